--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -230,7 +230,7 @@
 
     async def _claim(self, work: Work) -> None:
         outcome = await self._ask_claim(work)
-        for wait in const.OUTCOME_WAITS:
+        for wait in const.OUTCOME_POLL_DELAYS:
             # The first call may still run, or its outcome may be on its way to the
             # table: a repeat that came right behind it would be told "unknown" just
             # before the answer is there.
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -88,7 +88,7 @@
             ),
             # A host without an agent says nothing before its answer begins, and that
             # may take as long as its queue: only the deadline bounds it.
-            offer_seconds=float("inf"),
+            offer_timeout=float("inf"),
             refusals_cost=True,
             prompts_run=False,
         )
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -260,7 +260,7 @@
     in time: an entry that was paused for long would call "not run" what had run. The
     offer's age, counted from before it was sent, bounds what can have been forgotten.
     """
-    young = now - request.offered_at < const.BELIEVE_SECONDS
+    young = now - request.offered_at < const.NOT_RUN_TRUST_SECONDS
     return ran if young else Ran.UNKNOWN
 
 
--- a/radishtally/serving/const.py
+++ b/radishtally/serving/const.py
@@ -2,24 +2,24 @@
 
 from typing import Final
 
-OFFER_SECONDS: Final = 1.0
+OFFER_TIMEOUT_SECONDS: Final = 1.0
 """Longest time that an agent may leave an offer without a word."""
-CANCEL_SECONDS: Final = 2.0
+CANCEL_TIMEOUT_SECONDS: Final = 2.0
 """Longest wait for the word that a withdrawn attempt did not start."""
-RELINK_SECONDS: Final = 1.0
+RECONNECT_GRACE_SECONDS: Final = 1.0
 """Time that a lost link gets to come back before an answer goes on elsewhere."""
-CALL_RELINK_SECONDS: Final = 4.0
+CALL_RECONNECT_GRACE_SECONDS: Final = 4.0
 """The same for a call that may not run twice: only its agent knows the outcome."""
-OUTCOME_SECONDS: Final = 60.0
+OUTCOME_WAIT_SECONDS: Final = 60.0
 """Time that the outcome of a call that may not run twice is awaited for its claim,
 after the caller has been told that it is not known."""
-OUTCOME_WAITS: Final = (0.02, 0.05, 0.1, 0.2, 0.4)
+OUTCOME_POLL_DELAYS: Final = (0.02, 0.05, 0.1, 0.2, 0.4)
 """Seconds between looks for the outcome of a call that another request has begun."""
 MAX_OFFERS: Final = 4
 """Agents that one request is offered to before it is refused."""
 MAX_LOST: Final = 8
 """Attempts of one request that may be lost; planned moves do not count."""
-BELIEVE_SECONDS: Final = 60.0
+NOT_RUN_TRUST_SECONDS: Final = 60.0
 """Age of an offer up to which an agent's memory can tell that it never began. Agents
 remember for twice as long, so neither a pause nor a slow clock makes it untrue."""
 REQUEUE_SECONDS: Final = 5.0
@@ -31,10 +31,10 @@
 before the list of hosts says so: one alone may be a lost packet."""
 LEAST_TO_RISK: Final = 2
 """Hosts that must be able to run a request for one of them to be risked."""
-PAUSE_SPREAD: Final = 0.1
+PAUSE_JITTER: Final = 0.1
 """Part of a pause by which its end is put off at random: all who were asked for it
 would come back together."""
-MAX_HOLD_SECONDS: Final = 0.5
+MAX_PAUSE_WAIT_SECONDS: Final = 0.5
 """Longest pause that a request waits for; for longer ones its caller is told."""
 OK: Final = 200
 FIRST_FAILURE: Final = 500
--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -139,7 +139,11 @@
         if request.host != event.host or request.phase == CUT:
             continue
         once = not request.work.idempotent
-        grace = const.CALL_RELINK_SECONDS if once else const.RELINK_SECONDS
+        grace = (
+            const.CALL_RECONNECT_GRACE_SECONDS
+            if once
+            else const.RECONNECT_GRACE_SECONDS
+        )
         if request.phase != WITHDRAWING:
             request.phase = CUT
         wait(request, now + grace, core)
@@ -206,7 +210,7 @@
     # not run twice is not offered elsewhere until the agent says that it did not
     # start it and won't.
     request.phase = WITHDRAWING
-    wait(request, now + const.CANCEL_SECONDS, core)
+    wait(request, now + const.CANCEL_TIMEOUT_SECONDS, core)
 
 
 def _give_up_late(
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -43,7 +43,7 @@
         yield from refuse(request, 503, const.CODE_ENDS_HOSTS, text, denied, core)
         return
     pause = _find_pause(request, core, now)
-    if pause > const.MAX_HOLD_SECONDS and not request.is_begun:
+    if pause > const.MAX_PAUSE_WAIT_SECONDS and not request.is_begun:
         text = "all hosts that could run it have asked for a pause"
         wait_for = core.spread_pause(pause)
         yield from refuse(request, 503, const.CODE_OVERLOADED, text, wait_for, core)
@@ -74,7 +74,7 @@
     if request.stage != PREFILL:
         request.ends_known = core.suspects.note_offer(request.terms.content, now)
     request.asked_again_at = -1
-    wait(request, now + core.offer_seconds, core)
+    wait(request, now + core.offer_timeout, core)
     known = core.hosts[host]
     known.in_flight += 1
     core.placement.begin(request, known, now)
@@ -156,7 +156,7 @@
     """
     yield from give_up(request, Refusal(status, code, text, Ran.UNKNOWN))
     request.answered = True
-    request.deadline = now + const.OUTCOME_SECONDS
+    request.deadline = now + const.OUTCOME_WAIT_SECONDS
     core.schedule(request)
 
 
--- a/radishtally/serving/state.py
+++ b/radishtally/serving/state.py
@@ -6,8 +6,8 @@
 
 from radishtally.limits.retries import RetryBudgets
 from radishtally.serving.const import (
-    OFFER_SECONDS,
-    PAUSE_SPREAD,
+    OFFER_TIMEOUT_SECONDS,
+    PAUSE_JITTER,
     UNREACHED_TO_MISS,
 )
 from radishtally.serving.hosts import KnownHost
@@ -25,7 +25,7 @@
     random: random.Random
     placement: Placement = field(default_factory=RankedPlacement)
     budgets: RetryBudgets = field(default_factory=lambda: RetryBudgets(0.1))
-    offer_seconds: float = OFFER_SECONDS
+    offer_timeout: float = OFFER_TIMEOUT_SECONDS
     """Longest time that a host may leave an offer without a word."""
     refusals_cost: bool = False
     """Whether an offer that follows a refused one is paid from the budget too."""
@@ -90,7 +90,7 @@
 
     def spread_pause(self, seconds: float) -> float:
         """Put off the end of a pause, each time by another part of it."""
-        return seconds * (1.0 + self.random.uniform(0.0, PAUSE_SPREAD))
+        return seconds * (1.0 + self.random.uniform(0.0, PAUSE_JITTER))
 
     def set_host(self, host: str, place: str, upstream: str, live: bool) -> None:
         """Take what the membership makes of a host."""
--- a/tests/entry/test_calls.py
+++ b/tests/entry/test_calls.py
@@ -60,7 +60,7 @@
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
     driver.give(LinkDown(host))
-    driver.now += const.BELIEVE_SECONDS
+    driver.now += const.NOT_RUN_TRUST_SECONDS
     driver.link_up(host)
     driver.receive(host, Lost("r", 1, Ran.NO, NOT_KNOWN, 0))
     assert driver.refusal.ran == Ran.UNKNOWN
@@ -69,14 +69,14 @@
 
 
 def test_agents_remember_longer_than_entries_rely_on() -> None:
-    assert 2 * const.BELIEVE_SECONDS <= REMEMBER_SECONDS
+    assert 2 * const.NOT_RUN_TRUST_SECONDS <= REMEMBER_SECONDS
 
 
 def test_unanswered_offer_waits_for_the_agents_word(driver: Driver) -> None:
     # The caller is served once. The first agent leaves the offer without a word; it
     # is offered elsewhere only when that agent has said that it will never run it.
     host, _ = driver.find_offer()
-    driver.pass_time(const.OFFER_SECONDS)
+    driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     assert driver.list_sent(Cancel) == [(host, Cancel("r", 1))]
     assert len(driver.list_offers()) == 1
     driver.receive(host, Cancelled("r", 1, Ran.NO))
@@ -85,10 +85,10 @@
 
 def test_old_cancellation_is_not_believed(driver: Driver) -> None:
     host, _ = driver.find_offer()
-    driver.now += const.BELIEVE_SECONDS / 2
+    driver.now += const.NOT_RUN_TRUST_SECONDS / 2
     driver.core.requests["r"].deadline = float("inf")
     driver.pass_time(0.0)
-    driver.now += const.BELIEVE_SECONDS / 2
+    driver.now += const.NOT_RUN_TRUST_SECONDS / 2
     driver.receive(host, Cancelled("r", 1, Ran.NO))
     assert driver.refusal.ran == Ran.UNKNOWN
 
@@ -97,7 +97,7 @@
     # The caller gets its answer. The acceptance was late, the withdrawal came when
     # the call had begun: the agent lets it end, and its outcome is fetched.
     host, _ = driver.find_offer()
-    driver.pass_time(const.OFFER_SECONDS)
+    driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     driver.receive(host, Accepted("r", 1, 0.0))
     driver.receive(host, Cancelled("r", 1, Ran.UNKNOWN))
     assert driver.list_sent(Attach) == [(host, Attach("r", 1, 0))]
@@ -108,9 +108,9 @@
 
 def test_withdrawal_is_repeated_over_a_new_link(driver: Driver) -> None:
     host, _ = driver.find_offer()
-    driver.pass_time(const.OFFER_SECONDS)
+    driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     driver.give(LinkDown(host))
-    driver.pass_time(const.CANCEL_SECONDS)
+    driver.pass_time(const.CANCEL_TIMEOUT_SECONDS)
     assert not driver.list_refusals()
     driver.link_up(host)
     assert driver.list_sent(Cancel) == 2 * [(host, Cancel("r", 1))]
@@ -122,7 +122,7 @@
     # The caller is told "unknown". The agent died with the withdrawal under way; the
     # new one knows nothing of what its predecessor began and can't speak for it.
     host, _ = driver.find_offer()
-    driver.pass_time(const.OFFER_SECONDS)
+    driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     driver.give(LinkDown(host))
     driver.link_up(host, "2")
     assert driver.refusal.ran == Ran.UNKNOWN
@@ -180,7 +180,7 @@
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
     driver.give(LinkDown(host))
-    driver.pass_time(const.CALL_RELINK_SECONDS)
+    driver.pass_time(const.CALL_RECONNECT_GRACE_SECONDS)
     assert driver.refusal.ran == Ran.UNKNOWN
     driver.link_up(host)
     driver.receive(host, make_chunk("r", 1, 0, b"sent"))
@@ -205,7 +205,7 @@
 def test_outcome_is_not_awaited_for_ever(driver: Driver) -> None:
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
-    driver.pass_time(30.0 + const.OUTCOME_SECONDS)
+    driver.pass_time(30.0 + const.OUTCOME_WAIT_SECONDS)
     assert not driver.core.requests
     assert driver.core.hosts[host].in_flight == 0
     assert not driver.list_of(Release)
--- a/tests/entry/test_retries.py
+++ b/tests/entry/test_retries.py
@@ -126,7 +126,7 @@
     driver = Driver(hosts=2)
     driver.open(make_text())
     first, _ = driver.find_offer()
-    driver.pass_time(const.OFFER_SECONDS)
+    driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     second, offer = driver.find_offer()
     assert (second != first, offer.attempt) == (True, 2)
     driver.log.clear()
@@ -240,8 +240,8 @@
     driver = Driver(hosts=2)
     driver.open(make_text(), seconds=30.0)
     assert driver.find_offer()[1].budget == 30.0
-    driver.pass_time(const.OFFER_SECONDS)
-    assert driver.find_offer()[1].budget == 30.0 - const.OFFER_SECONDS
+    driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
+    assert driver.find_offer()[1].budget == 30.0 - const.OFFER_TIMEOUT_SECONDS
 
 
 def test_lost_offer_goes_to_the_same_host_again() -> None:
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -10,7 +10,7 @@
 
 from radishtally.direct.core import Instance, Notice
 from radishtally.links.messages import DECODE, KvRef
-from radishtally.serving.const import PAUSE_SPREAD
+from radishtally.serving.const import PAUSE_JITTER
 from standins.staged import StagedEngine
 from tests.common import run
 from tests.gateway.common import Deployment, deployment, make_prompt, wait_until
@@ -25,7 +25,7 @@
 ALLOWED_IN_PAUSE = 2
 REQUESTS = 12
 PAUSE_SECONDS = 3.5
-LONGEST_WAIT = PAUSE_SECONDS * (1.0 + PAUSE_SPREAD) ** 2
+LONGEST_WAIT = PAUSE_SECONDS * (1.0 + PAUSE_JITTER) ** 2
 """Both the host's return and the callers' are spread."""
 
 Answer = Callable[[web.Request], Awaitable[web.StreamResponse]]
