--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -309,16 +309,16 @@
             )
         case Repeated():
             text = "the call ran before; its answer was too large to be kept"
-            refusal = Refusal(409, const.CODE_UNCLEAR, text, Ran.UNKNOWN)
+            refusal = Refusal(409, const.CODE_OUTCOME_UNKNOWN, text, Ran.UNKNOWN)
         case UnknownOutcome():
             text = "a call with this key was begun before; its outcome is not known"
-            refusal = Refusal(409, const.CODE_UNCLEAR, text, Ran.UNKNOWN)
+            refusal = Refusal(409, const.CODE_OUTCOME_UNKNOWN, text, Ran.UNKNOWN)
         case KeyReused():
             text = "the idempotency key was used with another request"
             refusal = Refusal(422, const.CODE_KEY_REUSED, text)
         case StoreAway():
             text = "the call can't be made safe while the store is away"
             refusal = Refusal(
-                503, const.CODE_STORE_AWAY, text, Ran.NO, const.STORE_RETRY_AFTER
+                503, const.CODE_STORE_UNAVAILABLE, text, Ran.NO, const.STORE_RETRY_AFTER
             )
     return events.Denied(request, refusal)
--- a/radishtally/gateway/commands.py
+++ b/radishtally/gateway/commands.py
@@ -16,7 +16,7 @@
 from radishtally.links.messages import Cancel, Offer
 from radishtally.outcome import Refusal
 from radishtally.serving import events
-from radishtally.serving.const import FIRST_FAILURE
+from radishtally.serving.const import MIN_FAILURE_STATUS
 from radishtally.serving.replies import Replies
 from radishtally.serving.state import EntryCore
 
@@ -68,7 +68,7 @@
 
 @carry_out_command.register
 def _(command: events.Finish, parts: Parts) -> None:
-    is_good = command.end.status < FIRST_FAILURE
+    is_good = command.end.status < MIN_FAILURE_STATUS
     parts.metrics.ended(command.request, ANSWERED if is_good else FAILED)
     parts.replies.put(command)
 
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -171,12 +171,12 @@
     if not (yield from _confirm_end(message, request, host, core)):
         return
     body = bytes(request.received)
-    if message.status >= const.FIRST_FAILURE and request.work.idempotent:
+    if message.status >= const.MIN_FAILURE_STATUS and request.work.idempotent:
         request.failure = Finish(message.request, message, body)
         reason = f"status {message.status}"
         yield from lose(request, Ran.UNKNOWN, reason, core, now)
         return
-    if message.status < const.FIRST_FAILURE:
+    if message.status < const.MIN_FAILURE_STATUS:
         core.suspects.clear(request.terms.content)
     if host in core.hosts:
         core.hosts[host].breaker.succeeded()
@@ -308,7 +308,7 @@
         return
     # One refusal may be about what was offered, as a KV cache that can't be fetched.
     known.refusals += 1
-    if known.refusals >= const.REFUSALS_TO_PASS_OVER:
+    if known.refusals >= const.REFUSALS_TO_TRIP_BREAKER:
         known.breaker.failed(now)
 
 
@@ -366,7 +366,7 @@
     message: Finished, request: OpenRequest, core: EntryCore, now: float
 ) -> Iterator[Command]:
     """Take another answer than the rest of the one that the caller has a part of."""
-    if message.status >= const.FIRST_FAILURE:
+    if message.status >= const.MIN_FAILURE_STATUS:
         reason = f"status {message.status}"
         yield from lose(request, Ran.UNKNOWN, reason, core, now)
         return
--- a/radishtally/serving/const.py
+++ b/radishtally/serving/const.py
@@ -17,19 +17,19 @@
 """Seconds between looks for the outcome of a call that another request has begun."""
 MAX_OFFERS: Final = 4
 """Agents that one request is offered to before it is refused."""
-MAX_LOST: Final = 8
+MAX_LOST_ATTEMPTS: Final = 8
 """Attempts of one request that may be lost; planned moves do not count."""
 NOT_RUN_TRUST_SECONDS: Final = 60.0
 """Age of an offer up to which an agent's memory can tell that it never began. Agents
 remember for twice as long, so neither a pause nor a slow clock makes it untrue."""
 REQUEUE_SECONDS: Final = 5.0
 """Time that accepted work which a leaving agent gave back waits for another host."""
-REFUSALS_TO_PASS_OVER: Final = 2
+REFUSALS_TO_TRIP_BREAKER: Final = 2
 """Refusals in a row after which a host is left out for a while."""
-UNREACHED_TO_MISS: Final = 2
+UNREACHED_TO_PRESUME_GONE: Final = 2
 """Offers in a row that could not be brought to a host, from which it is taken for gone
 before the list of hosts says so: one alone may be a lost packet."""
-LEAST_TO_RISK: Final = 2
+MIN_HOSTS_TO_RISK_ONE: Final = 2
 """Hosts that must be able to run a request for one of them to be risked."""
 PAUSE_JITTER: Final = 0.1
 """Part of a pause by which its end is put off at random: all who were asked for it
@@ -37,7 +37,7 @@
 MAX_PAUSE_WAIT_SECONDS: Final = 0.5
 """Longest pause that a request waits for; for longer ones its caller is told."""
 OK: Final = 200
-FIRST_FAILURE: Final = 500
+MIN_FAILURE_STATUS: Final = 500
 """Least status of an answer in which an upstream says that it failed."""
 MIN_RETRY_AFTER: Final = 0.5
 DEFAULT_RETRY_AFTER: Final = 1.0
@@ -48,8 +48,8 @@
 CODE_NO_UPSTREAM: Final = "no_upstream"
 CODE_DEADLINE: Final = "deadline_exceeded"
 CODE_KEY_REUSED: Final = "idempotency_key_reused"
-CODE_UNCLEAR: Final = "outcome_unknown"
-CODE_STORE_AWAY: Final = "store_unavailable"
+CODE_OUTCOME_UNKNOWN: Final = "outcome_unknown"
+CODE_STORE_UNAVAILABLE: Final = "store_unavailable"
 CODE_CORRUPT: Final = "answer_corrupt"
 CODE_LOST: Final = "upstream_lost"
 CODE_REST_REFUSED: Final = "rest_refused"
--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -194,7 +194,9 @@
         yield from _withdraw_offer(request, core, now)
     elif request.is_claimed and not request.answered:
         text = "the call may have run; its outcome is not known yet"
-        yield from answer_unknown(request, 502, const.CODE_UNCLEAR, text, core, now)
+        yield from answer_unknown(
+            request, 502, const.CODE_OUTCOME_UNKNOWN, text, core, now
+        )
     elif not request.answered or request.work.idempotent:
         yield from lose(request, Ran.UNKNOWN, "host out of reach", core, now)
 
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -106,7 +106,7 @@
     request.lost += 1
     if not request.work.idempotent:
         text = "the call may have run; its outcome is not known"
-        yield from fail(request, 502, const.CODE_UNCLEAR, text, core)
+        yield from fail(request, 502, const.CODE_OUTCOME_UNKNOWN, text, core)
         return
     if request.lost >= request.terms.max_attempts or _is_stuck(request):
         text = f"the upstream failed ({reason})"
@@ -216,7 +216,7 @@
     """
     find_role = core.placement.find_role
     running = [known for known in usable if find_role(known.host) != PREFILL]
-    if len(running) < const.LEAST_TO_RISK:
+    if len(running) < const.MIN_HOSTS_TO_RISK_ONE:
         return []
     tried = {
         other.host
--- a/radishtally/serving/state.py
+++ b/radishtally/serving/state.py
@@ -8,7 +8,7 @@
 from radishtally.serving.const import (
     OFFER_TIMEOUT_SECONDS,
     PAUSE_JITTER,
-    UNREACHED_TO_MISS,
+    UNREACHED_TO_PRESUME_GONE,
 )
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.placement import Placement, RankedPlacement
@@ -78,7 +78,7 @@
     def is_out_of_reach(self, host: str) -> bool:
         """Tell whether a host has lately been tried in vain, more than once."""
         known = self.hosts.get(host)
-        return known is not None and known.unreached >= UNREACHED_TO_MISS
+        return known is not None and known.unreached >= UNREACHED_TO_PRESUME_GONE
 
     def pause_host(self, host: str, seconds: float, now: float) -> None:
         """Take that a host wants no work for a while."""
--- a/radishtally/serving/terms.py
+++ b/radishtally/serving/terms.py
@@ -2,7 +2,7 @@
 
 from typing import Final, NamedTuple
 
-from radishtally.serving.const import MAX_LOST
+from radishtally.serving.const import MAX_LOST_ATTEMPTS
 
 
 class PromptPart(NamedTuple):
@@ -15,7 +15,7 @@
 class Terms(NamedTuple):
     """Hold what a request's route asks for, and what its caller tells of it."""
 
-    max_attempts: int = MAX_LOST
+    max_attempts: int = MAX_LOST_ATTEMPTS
     """Attempts that may run."""
     objective: float = float("inf")
     """Time to the first part of an answer that is on time, seconds."""
--- a/tests/entry/test_retries.py
+++ b/tests/entry/test_retries.py
@@ -84,7 +84,7 @@
     driver.core.budgets = RetryBudgets(1.0, floor=100.0)
     driver.open(make_text(), seconds=300.0)
     host, offer = driver.find_offer()
-    for number in range(const.MAX_LOST):
+    for number in range(const.MAX_LOST_ATTEMPTS):
         assert offer.attempt == number + 1
         driver.receive(host, make_chunk("r", offer.attempt, number, b"x"))
         driver.receive(host, Lost("r", offer.attempt, Ran.UNKNOWN, "crash", number + 1))
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from radishtally.limits.retries import RetryBudgets
-from radishtally.serving.const import REFUSALS_TO_PASS_OVER
+from radishtally.serving.const import REFUSALS_TO_TRIP_BREAKER
 from tests.common import run
 from tests.gateway.common import (
     AUTHORITY,
@@ -181,7 +181,7 @@
                 assert status == 200
             assert len(taking.seen) == 4
             # A host that refuses again and again is left out for a while.
-            assert len(refusing.seen) <= REFUSALS_TO_PASS_OVER
+            assert len(refusing.seen) <= REFUSALS_TO_TRIP_BREAKER
 
     run(play())
 
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from radishtally.gateway.daemon import Gateway
-from radishtally.serving.const import REFUSALS_TO_PASS_OVER
+from radishtally.serving.const import REFUSALS_TO_TRIP_BREAKER
 from radishtally.serving.terms import PromptPart
 from radishtally.stages.core import Change
 from standins.staged import StagedEngine
@@ -143,7 +143,7 @@
         async with deployment() as made:
             await made.serve_desk("d-1", Desk(answer_whole), born=EARLY)
             known = made.gateway.core.hosts["d-1"]
-            known.refusals = REFUSALS_TO_PASS_OVER
+            known.refusals = REFUSALS_TO_TRIP_BREAKER
             known.live = False
             for _ in range(4):
                 known.breaker.failed(time.monotonic())
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -9,7 +9,7 @@
 from radishtally.engines.state import START_RATE, PeerShare
 from radishtally.limits.breaker import Breaker
 from radishtally.links.messages import WaitingTokens
-from radishtally.serving.const import UNREACHED_TO_MISS
+from radishtally.serving.const import UNREACHED_TO_PRESUME_GONE
 from standins.staged import EVENTS, StagedEngine, make_event
 from tests.common import run
 from tests.gateway.common import Deployment, deployment, make_prompt, wait_until
@@ -78,7 +78,7 @@
             known = made.gateway.core.hosts["p-1"]
             known.breaker = Breaker(first=60.0, longest=60.0)
             known.breaker.failed(time.monotonic())
-            known.unreached = UNREACHED_TO_MISS
+            known.unreached = UNREACHED_TO_PRESUME_GONE
             assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
             assert not prefill.handles
 
