--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -39,7 +39,7 @@
 )
 from radishtally.serving.state import DispatchCore
 
-__all__ = ["EntryCore", "handle_event"]
+__all__ = ["DispatchCore", "handle_event"]
 
 
 def handle_event(event: Event, core: DispatchCore, now: float) -> list[Command]:
