--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -154,7 +154,7 @@
 
     def _take_suspicions(self, peer: str, message: Suspicions, now: float) -> None:
         for suspicion in message.suspicions:
-            if self._suspects.take(suspicion, now):
+            if self._suspects.merge(suspicion, now):
                 log_message(
                     "suspects:denied",
                     content=suspicion.content,
@@ -163,7 +163,7 @@
                 )
                 # In a mesh nobody passes news on, and a link may be cut.
                 if is_mesh(self._sites):
-                    self._suspects.tell(suspicion.content)
+                    self._suspects.mark_changed(suspicion.content)
         if self._collects:
             self._heard_suspicions += [(peer, told) for told in message.suspicions]
 
@@ -266,7 +266,7 @@
 
     def _tell_suspicions(self, now: float) -> None:
         """Tell under which requests hosts have ended, in few messages."""
-        changed = self._suspects.take_changed(now)
+        changed = self._suspects.pop_changed(now)
         told = [(self._own, suspicion) for suspicion in changed]
         told += self._heard_suspicions
         self._heard_suspicions = []
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -56,7 +56,7 @@
     OpenRequest,
 )
 from radishtally.serving.state import DispatchCore
-from radishtally.serving.suspects import End
+from radishtally.serving.suspects import HostEnd
 
 
 @singledispatch
@@ -281,8 +281,8 @@
     if known is None or not known.live or request.stage == PREFILL:
         return
     began = now if request.accepted_at is None else request.accepted_at
-    end = End(request.ends_known, now - began)
-    ends = core.suspects.note_end(request.terms.content, end, now)
+    end = HostEnd(request.ends_known, now - began)
+    ends = core.suspects.record_host_end(request.terms.content, end, now)
     known.ended_at = now
     known.ended_under.add(request.terms.content)
     yield Note(request.work.request, f"{host} ended under it, {ends} hosts in a row")
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -22,7 +22,7 @@
 from radishtally.serving.placement import Declined, Placed
 from radishtally.serving.requests import CLAIMING, OFFERED, WAITING, OpenRequest
 from radishtally.serving.state import DispatchCore
-from radishtally.serving.suspects import ENDS_TO_SPARE
+from radishtally.serving.suspects import ENDS_TO_ISOLATE
 
 
 def wait(request: OpenRequest, until: float, core: DispatchCore) -> None:
@@ -37,7 +37,7 @@
         # Nobody waits any more: what has not begun is not begun now.
         yield from fail(request, 499, const.CODE_DEADLINE, "nobody waits", core)
         return
-    denied = core.suspects.find_wait(request.terms.content, now)
+    denied = core.suspects.find_denial_seconds(request.terms.content, now)
     if denied:
         text = "hosts have ended under this request one after another"
         yield from refuse(request, 503, const.CODE_ENDS_HOSTS, text, denied, core)
@@ -72,7 +72,7 @@
     request.accepted_at = None
     request.head = None
     if request.stage != PREFILL:
-        request.ends_known = core.suspects.note_offer(request.terms.content, now)
+        request.ends_known = core.suspects.record_offer(request.terms.content, now)
     request.asked_again_at = -1
     wait(request, now + core.offer_timeout, core)
     known = core.hosts[host]
@@ -204,7 +204,7 @@
     if request.offers >= const.MAX_OFFERS:
         return Declined(None)
     usable = _list_usable(request, core, now)
-    if core.suspects.count(request.terms.content, now) >= ENDS_TO_SPARE:
+    if core.suspects.count_ends(request.terms.content, now) >= ENDS_TO_ISOLATE:
         usable = _spare_hosts(usable, core, now)
         if not usable:
             return Declined(None, "hosts ended under it, and too few are left")
@@ -226,7 +226,7 @@
     tried = {
         other.host
         for other in core.requests.values()
-        if core.suspects.count(other.terms.content, now) >= ENDS_TO_SPARE
+        if core.suspects.count_ends(other.terms.content, now) >= ENDS_TO_ISOLATE
     }
     risked = min(
         running,
--- a/radishtally/serving/suspects.py
+++ b/radishtally/serving/suspects.py
@@ -9,9 +9,9 @@
 
 ENDS_TO_DENY: Final = 3
 """Hosts that end in a row under a request until it is offered to none."""
-ENDS_TO_SPARE: Final = 2
+ENDS_TO_ISOLATE: Final = 2
 """The same until it is kept away from the last host and from busy ones."""
-FORGET_SECONDS: Final = 300.0
+SUSPICION_SECONDS: Final = 300.0
 """Time after the last end for which a request is suspected, or is denied at first."""
 MAX_DENY_SECONDS: Final = 3_600.0
 """Longest time for which a request is denied before it is tried once more."""
@@ -19,15 +19,15 @@
 """Time that the verdict of such a trial may take."""
 MAX_SUSPECTS: Final = 8_192
 """Requests that are remembered: those open at a hundred hosts that end at once."""
-OUTLIVED_TIMES: Final = 4.0
+OUTLIVED_FACTOR: Final = 4.0
 """Times its longest run before an end after which a run has outlived what ended it."""
-OUTLIVED_SECONDS: Final = 1.0
+MIN_OUTLIVED_SECONDS: Final = 1.0
 """Least length of such a run."""
-MAX_TOLD: Final = 256
+MAX_SUSPICIONS_PER_MESSAGE: Final = 256
 """Suspicions that are told at once: a few KB."""
 
 
-class End(NamedTuple):
+class HostEnd(NamedTuple):
     """Describe the end of a host under a request."""
 
     known: int
@@ -58,7 +58,7 @@
         self._changed: OrderedDict[str, None] = OrderedDict()
         """Contents that the other entries are to be told of."""
 
-    def count(self, content: str, now: float) -> int:
+    def count_ends(self, content: str, now: float) -> int:
         """Count the ends in a row under a request."""
         known = self._find(content, now)
         return 0 if known is None else known.ends
@@ -70,14 +70,14 @@
             for known in self._suspects.values()
         )
 
-    def find_wait(self, content: str, now: float) -> float:
+    def find_denial_seconds(self, content: str, now: float) -> float:
         """Give the seconds for which a request is denied; 0 if it may be offered."""
         known = self._find(content, now)
         if known is None or known.ends < ENDS_TO_DENY:
             return 0.0
         return max(0.0, known.until - now)
 
-    def note_offer(self, content: str, now: float) -> int:
+    def record_offer(self, content: str, now: float) -> int:
         """Take an offer of a request that is not denied; give its ends in a row."""
         known = self._find(content, now)
         if known is None:
@@ -85,10 +85,10 @@
         if known.ends >= ENDS_TO_DENY:
             # Its time is over, and one run may show whether it still ends its host.
             known.until = now + TRIAL_SECONDS
-            self.tell(content)
+            self.mark_changed(content)
         return known.ends
 
-    def note_end(self, content: str, end: End, now: float) -> int:
+    def record_host_end(self, content: str, end: HostEnd, now: float) -> int:
         """Take the end of a host under a request; give its ends in a row."""
         if not content:
             return 0
@@ -98,15 +98,15 @@
         ends = max(known.ends, min(end.known, known.ends) + 1)
         until = now + _find_seconds(ends)
         self._set(content, _Suspect(ends, max(known.seconds, end.seconds), until))
-        self.tell(content)
+        self.mark_changed(content)
         return ends
 
     def clear(self, content: str) -> None:
         """Take that a request has its whole answer."""
         if self._suspects.pop(content, None) is not None:
-            self.tell(content)
+            self.mark_changed(content)
 
-    def take(self, suspicion: Suspicion, now: float) -> bool:
+    def merge(self, suspicion: Suspicion, now: float) -> bool:
         """Take what another entry tells; say whether that denies the request anew."""
         content = suspicion.content
         if not suspicion.ends:
@@ -131,16 +131,16 @@
             if now < known.until or known.ends >= ENDS_TO_DENY
         ]
 
-    def tell(self, content: str) -> None:
+    def mark_changed(self, content: str) -> None:
         """Have the other entries told of a request with the next that has changed."""
         self._changed[content] = None
         while len(self._changed) > MAX_SUSPECTS:
             self._changed.popitem(last=False)
 
-    def take_changed(self, now: float) -> list[Suspicion]:
+    def pop_changed(self, now: float) -> list[Suspicion]:
         """Take some of what has changed since the last call."""
         told = []
-        while self._changed and len(told) < MAX_TOLD:
+        while self._changed and len(told) < MAX_SUSPICIONS_PER_MESSAGE:
             content, _ = self._changed.popitem(last=False)
             known = self._find(content, now) or _Suspect(0, 0.0, now)
             told.append(_describe(content, known, now))
@@ -164,7 +164,7 @@
         few = (
             content
             for content, known in self._suspects.items()
-            if known.ends < ENDS_TO_SPARE
+            if known.ends < ENDS_TO_ISOLATE
         )
         return next(few, None) or next(iter(self._suspects))
 
@@ -172,7 +172,10 @@
 def group_suspicions(suspicions: Iterable[Suspicion]) -> list[tuple[Suspicion, ...]]:
     """Group suspicions as they are told at once."""
     rest = tuple(suspicions)
-    return [rest[i : i + MAX_TOLD] for i in range(0, len(rest), MAX_TOLD)]
+    return [
+        rest[i : i + MAX_SUSPICIONS_PER_MESSAGE]
+        for i in range(0, len(rest), MAX_SUSPICIONS_PER_MESSAGE)
+    ]
 
 
 def _describe(content: str, known: _Suspect, now: float) -> Suspicion:
@@ -181,10 +184,10 @@
 
 
 def _find_outlived(known: _Suspect) -> float:
-    return max(OUTLIVED_SECONDS, OUTLIVED_TIMES * known.seconds)
+    return max(MIN_OUTLIVED_SECONDS, OUTLIVED_FACTOR * known.seconds)
 
 
 def _find_seconds(ends: int) -> float:
     """Find for how long an end is remembered: twice as long with each further one."""
     doublings = min(16, max(0, ends - ENDS_TO_DENY))
-    return min(MAX_DENY_SECONDS, FORGET_SECONDS * 2**doublings)
+    return min(MAX_DENY_SECONDS, SUSPICION_SECONDS * 2**doublings)
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -30,7 +30,7 @@
 )
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.requests import OpenRequest
-from radishtally.serving.suspects import ENDS_TO_DENY, End, Suspects
+from radishtally.serving.suspects import ENDS_TO_DENY, HostEnd, Suspects
 from radishtally.stages.keeper import StageKeeper
 
 MANY = MESH_GATEWAYS + 8
@@ -336,7 +336,7 @@
 def deny(gateway: Gateway, content: str, now: float) -> None:
     """End hosts under a request of one gateway."""
     for known in range(ENDS_TO_DENY):
-        gateway.suspects.note_end(content, End(known, 0.05), now)
+        gateway.suspects.record_host_end(content, HostEnd(known, 0.05), now)
 
 
 # A request that has ended hosts at one gateway would end as many at each other one.
@@ -348,10 +348,14 @@
     now = time.monotonic()
     deny(net.gateways[f"g-{count - 1}"], "a", now)
     net.play(now)
-    assert all(each.suspects.find_wait("a", now) for each in net.gateways.values())
+    assert all(
+        each.suspects.find_denial_seconds("a", now) for each in net.gateways.values()
+    )
     net.gateways["g-0"].suspects.clear("a")
     net.play(now)
-    assert not any(each.suspects.find_wait("a", now) for each in net.gateways.values())
+    assert not any(
+        each.suspects.find_denial_seconds("a", now) for each in net.gateways.values()
+    )
 
 
 # The link between two gateways is cut, and the one goes on ending hosts with a request
@@ -364,7 +368,7 @@
     now = time.monotonic()
     deny(net.gateways["g-0"], "a", now)
     net.play(now)
-    assert net.gateways["g-1"].suspects.find_wait("a", now)
+    assert net.gateways["g-1"].suspects.find_denial_seconds("a", now)
 
 
 # Thousands of requests fail at once, and gateways tell each other of nothing else.
@@ -375,7 +379,9 @@
         net.play(0.0)
         net.sent = 0
         for gateway in net.gateways.values():
-            gateway.suspects.note_end(f"of-{gateway.name}", End(0, 0.05), 0.0)
+            gateway.suspects.record_host_end(
+                f"of-{gateway.name}", HostEnd(0, 0.05), 0.0
+            )
         net.play(0.0)
         sent[count] = net.sent / count
     assert sent[10 * MANY] <= 1.1 * sent[MANY]
