--- a/radishtally/limits/breaker.py
+++ b/radishtally/limits/breaker.py
@@ -6,7 +6,7 @@
 MAX_SECONDS: Final = 30.0
 
 
-class Breaker:
+class CircuitBreaker:
     """Leave a failing peer out for a growing while, then probe it with one request."""
 
     __slots__ = ("_first", "_longest", "_open_until", "_probed", "_seconds")
--- a/radishtally/serving/hosts.py
+++ b/radishtally/serving/hosts.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from radishtally.limits.breaker import Breaker
+from radishtally.limits.breaker import CircuitBreaker
 from radishtally.links.messages import Load
 from radishtally.routing.core import Candidate
 
@@ -34,7 +34,7 @@
     """What was asked by the requests that were open there."""
     paused_until: float = 0.0
     """Time until which it has asked for no work."""
-    breaker: Breaker = field(default_factory=Breaker)
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
 
     def note_load(self, load: Load, now: float) -> None:
         """Take a load report."""
@@ -50,7 +50,7 @@
         self.unreached = 0
         self.ended_under.clear()
         self.paused_until = 0.0
-        self.breaker = Breaker()
+        self.breaker = CircuitBreaker()
 
     def describe(self, now: float) -> Candidate:
         """Describe the host to the routing."""
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -7,7 +7,7 @@
 import pytest
 
 from radishtally.engines.state import START_RATE, PeerShare
-from radishtally.limits.breaker import Breaker
+from radishtally.limits.breaker import CircuitBreaker
 from radishtally.links.messages import WaitingTokens
 from radishtally.serving.const import UNREACHED_TO_PRESUME_GONE
 from standins.staged import EVENTS, StagedEngine, make_event
@@ -62,7 +62,7 @@
         async with deployment() as made:
             prefill, decode = await start_engines(made)
             known = made.gateway.core.hosts[host]
-            known.breaker = Breaker(first=60.0, longest=60.0)
+            known.breaker = CircuitBreaker(first=60.0, longest=60.0)
             known.breaker.failed(time.monotonic())
             assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
             assert len(prefill.handles) == 1
@@ -76,7 +76,7 @@
         async with deployment() as made:
             prefill, decode = await start_engines(made)
             known = made.gateway.core.hosts["p-1"]
-            known.breaker = Breaker(first=60.0, longest=60.0)
+            known.breaker = CircuitBreaker(first=60.0, longest=60.0)
             known.breaker.failed(time.monotonic())
             known.unreached = UNREACHED_TO_PRESUME_GONE
             assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
--- a/tests/limits/test_breaker.py
+++ b/tests/limits/test_breaker.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from radishtally.limits.breaker import Breaker
+from radishtally.limits.breaker import CircuitBreaker
 
 
 def test_a_failing_peer_is_probed_after_a_growing_while():
@@ -12,7 +12,7 @@
     Callers are sent elsewhere; the probes get rarer, so that a dead peer costs next to
     nothing, and one success brings it back at once.
     """
-    breaker = Breaker(first=1.0, longest=5.0)
+    breaker = CircuitBreaker(first=1.0, longest=5.0)
     assert breaker.allows(0.0)
     now, whiles = 0.0, []
     for _ in range(5):
@@ -28,7 +28,7 @@
 
 
 def test_only_one_request_probes():
-    breaker = Breaker(first=1.0)
+    breaker = CircuitBreaker(first=1.0)
     breaker.failed(0.0)
     assert breaker.allows(1.0)
     breaker.offered(1.0)
@@ -37,7 +37,7 @@
 
 def test_a_lost_probe_does_not_lock_the_peer_out():
     """The probe's request is cancelled by its caller and nobody tells the breaker."""
-    breaker = Breaker(first=1.0)
+    breaker = CircuitBreaker(first=1.0)
     breaker.failed(0.0)
     breaker.offered(1.0)
     assert breaker.allows(2.0)
@@ -45,13 +45,13 @@
 
 @given(st.integers(1, 100))
 def test_requests_that_fail_together_count_once(number):
-    breaker = Breaker(first=1.0)
+    breaker = CircuitBreaker(first=1.0)
     for _ in range(number):
         breaker.failed(0.0)
     assert breaker.allows(1.0)
 
 
 def test_offers_to_a_healthy_peer_change_nothing():
-    breaker = Breaker()
+    breaker = CircuitBreaker()
     breaker.offered(0.0)
     assert breaker.allows(0.0)
