--- a/radishtally/limits/breaker.py
+++ b/radishtally/limits/breaker.py
@@ -20,7 +20,7 @@
         self._open_until = 0.0
         self._probed = False
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note a failure of the peer."""
         # Requests sent together fail together: they count as one failure, else a
         # single hiccup under load would leave the peer out for the longest while.
@@ -31,7 +31,7 @@
         self._open_until = now + self._seconds
         self._probed = False
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note an answer of the peer."""
         self._seconds = 0.0
         self._probed = False
@@ -40,7 +40,7 @@
         """Tell whether the peer may be offered work; changes nothing."""
         return not self._seconds or now >= self._open_until
 
-    def offered(self, now: float) -> None:
+    def record_offer(self, now: float) -> None:
         """Note that the peer was offered work; while it is probed it gets no more."""
         if not self._seconds:
             return
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -87,7 +87,7 @@
     if request.phase != OFFERED:
         return
     if host in core.hosts:
-        core.hosts[host].breaker.succeeded()
+        core.hosts[host].breaker.record_success()
         core.hosts[host].refusals = 0
         core.hosts[host].unreached = 0
         _note_alive(request, core.hosts[host], core)
@@ -183,7 +183,7 @@
     if message.status < const.MIN_FAILURE_STATUS:
         core.suspects.clear(request.terms.content)
     if host in core.hosts:
-        core.hosts[host].breaker.succeeded()
+        core.hosts[host].breaker.record_success()
         core.placement.finish(request, core.hosts[host])
     core.leave_host(request)
     core.requests.pop(message.request)
@@ -224,7 +224,7 @@
         return
     yield _ack(message, host)
     if message.reason != NOT_KNOWN and host in core.hosts:
-        core.hosts[host].breaker.failed(now)
+        core.hosts[host].breaker.record_failure(now)
         core.hosts[host].unreached += message.reason == UNREACHED
     if message.reason == ENDED:
         yield from _note_end(request, host, core, now)
@@ -317,7 +317,7 @@
     # One refusal may be about what was offered, as a KV cache that can't be fetched.
     known.refusals += 1
     if known.refusals >= const.REFUSALS_TO_TRIP_BREAKER:
-        known.breaker.failed(now)
+        known.breaker.record_failure(now)
 
 
 def _is_foreign(request: OpenRequest) -> bool:
--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -191,7 +191,7 @@
     if request.phase not in (OFFERED, WITHDRAWING, CUT):
         return
     if request.host in core.hosts:
-        core.hosts[request.host].breaker.failed(now)
+        core.hosts[request.host].breaker.record_failure(now)
     if request.phase == OFFERED:
         yield from _withdraw_offer(request, core, now)
     elif request.is_claimed and not request.answered:
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -78,7 +78,7 @@
     known = core.hosts[host]
     known.in_flight += 1
     core.placement.begin(request, known, now)
-    known.breaker.offered(now)
+    known.breaker.record_offer(now)
     text = f"attempt {request.attempt} offered to {host}"
     yield Note(request.work.request, f"{text}: {why}" if why else text)
     yield Send(host, request.make_offer(request.deadline - now))
--- a/tests/gateway/test_request_ends_hosts.py
+++ b/tests/gateway/test_request_ends_hosts.py
@@ -269,7 +269,7 @@
                 for engine in fleet.answers:
                     if engine.has_ended:
                         await engine.start_again()
-                        core.hosts[engine.instance].breaker.succeeded()
+                        core.hosts[engine.instance].breaker.record_success()
                 assert (await fleet.send(0, f"o-{number}", b"other"))[0] == 200
             assert fleet.ends <= ENDS_ALLOWED + RETRIES_ALLOWED
 
@@ -348,7 +348,7 @@
                 await engine.start_again()
                 engine.seconds = 0.0
                 core = fleet.gateways[0].core
-                core.hosts[engine.instance].breaker.succeeded()
+                core.hosts[engine.instance].breaker.record_success()
                 assert (await fleet.send(0, f"other-{number}", b"other"))[0] == 200
             assert (await fleet.send(0, "served", b"prompt"))[0] == 200
 
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -146,7 +146,7 @@
             known.refusals = REFUSALS_TO_TRIP_BREAKER
             known.live = False
             for _ in range(4):
-                known.breaker.failed(time.monotonic())
+                known.breaker.record_failure(time.monotonic())
             made.announce("d-1", made.addresses["d-1"], "desk", born=LATE)
             await wait_for_start(made.gateway, "d-1", LATE)
             known = made.gateway.core.hosts["d-1"]
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -63,7 +63,7 @@
             prefill, decode = await start_engines(made)
             known = made.gateway.core.hosts[host]
             known.breaker = CircuitBreaker(first=60.0, longest=60.0)
-            known.breaker.failed(time.monotonic())
+            known.breaker.record_failure(time.monotonic())
             assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
             assert len(prefill.handles) == 1
             assert decode.runs == {"r1": 1}
@@ -77,7 +77,7 @@
             prefill, decode = await start_engines(made)
             known = made.gateway.core.hosts["p-1"]
             known.breaker = CircuitBreaker(first=60.0, longest=60.0)
-            known.breaker.failed(time.monotonic())
+            known.breaker.record_failure(time.monotonic())
             known.unreached = UNREACHED_TO_PRESUME_GONE
             assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
             assert not prefill.handles
--- a/tests/limits/test_breaker.py
+++ b/tests/limits/test_breaker.py
@@ -16,30 +16,30 @@
     assert breaker.allows(0.0)
     now, whiles = 0.0, []
     for _ in range(5):
-        breaker.failed(now)
+        breaker.record_failure(now)
         steps = [now + 0.5 * step for step in range(20)]
         allowed = next(step for step in steps if breaker.allows(step))
         whiles.append(allowed - now)
         now = allowed
-        breaker.offered(now)
+        breaker.record_offer(now)
     assert whiles == [1.0, 2.0, 4.0, 5.0, 5.0]
-    breaker.succeeded()
+    breaker.record_success()
     assert breaker.allows(now)
 
 
 def test_only_one_request_probes():
     breaker = CircuitBreaker(first=1.0)
-    breaker.failed(0.0)
+    breaker.record_failure(0.0)
     assert breaker.allows(1.0)
-    breaker.offered(1.0)
+    breaker.record_offer(1.0)
     assert not breaker.allows(1.5)
 
 
 def test_a_lost_probe_does_not_lock_the_peer_out():
     """The probe's request is cancelled by its caller and nobody tells the breaker."""
     breaker = CircuitBreaker(first=1.0)
-    breaker.failed(0.0)
-    breaker.offered(1.0)
+    breaker.record_failure(0.0)
+    breaker.record_offer(1.0)
     assert breaker.allows(2.0)
 
 
@@ -47,11 +47,11 @@
 def test_requests_that_fail_together_count_once(number):
     breaker = CircuitBreaker(first=1.0)
     for _ in range(number):
-        breaker.failed(0.0)
+        breaker.record_failure(0.0)
     assert breaker.allows(1.0)
 
 
 def test_offers_to_a_healthy_peer_change_nothing():
     breaker = CircuitBreaker()
-    breaker.offered(0.0)
+    breaker.record_offer(0.0)
     assert breaker.allows(0.0)
