--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -60,7 +60,7 @@
     parts.placement.set_instance(instance)
     live = not instance.is_draining
     parts.core.set_host(host, instance.data_centre, instance.upstream, live)
-    parts.core.hosts[host].tells_start = instance.started_ms > 0
+    parts.core.hosts[host].reports_start = instance.started_ms > 0
     if host not in parts.core.links:
         _link(instance, parts)
 
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -70,7 +70,7 @@
 @receive.register
 def _(message: Load, host: str, core: DispatchCore, now: float) -> Iterator[Command]:
     if host in core.hosts:
-        core.hosts[host].note_load(message, now)
+        core.hosts[host].update_load(message, now)
     yield from ()
 
 
@@ -89,7 +89,7 @@
     if host in core.hosts:
         core.hosts[host].breaker.record_success()
         core.hosts[host].refusals = 0
-        core.hosts[host].unreached = 0
+        core.hosts[host].unreached_offers = 0
         _note_alive(request, core.hosts[host], core)
     request.phase = ACCEPTED
     request.accepted_at = now
@@ -101,9 +101,9 @@
 @receive.register
 def _(message: Refused, host: str, core: DispatchCore, now: float) -> Iterator[Command]:
     if host in core.hosts:
-        core.hosts[host].unreached = 0
+        core.hosts[host].unreached_offers = 0
     if message.load is not None and host in core.hosts:
-        core.hosts[host].note_load(message.load, now)
+        core.hosts[host].update_load(message.load, now)
     request = _find(message, host, core)
     if request is None:
         return
@@ -225,7 +225,7 @@
     yield _ack(message, host)
     if message.reason != NOT_KNOWN and host in core.hosts:
         core.hosts[host].breaker.record_failure(now)
-        core.hosts[host].unreached += message.reason == UNREACHED
+        core.hosts[host].unreached_offers += message.reason == UNREACHED
     if message.reason == ENDED:
         yield from _note_end(request, host, core, now)
     ran = _believe(message.ran, request, now)
@@ -294,7 +294,7 @@
     A cut link may refuse connections as well, and looks like an end. A host that keeps
     its name may have started again since, which its next heartbeat tells.
     """
-    if known.tells_start or request.offered_at <= known.ended_at:
+    if known.reports_start or request.offered_at <= known.ended_at:
         return
     for content in known.ended_under:
         core.suspects.clear(content)
--- a/radishtally/serving/hosts.py
+++ b/radishtally/serving/hosts.py
@@ -24,9 +24,9 @@
     reported_in_flight: int = 0
     refusals: int = 0
     """Refusals since the host last took an offer."""
-    unreached: int = 0
+    unreached_offers: int = 0
     """Offers in a row that could not be brought to it."""
-    tells_start: bool = False
+    reports_start: bool = False
     """Whether its starts are told apart by more than its name."""
     ended_at: float = 0.0
     """Time at which it was last found to have ended."""
@@ -36,7 +36,7 @@
     """Time until which it has asked for no work."""
     breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
 
-    def note_load(self, load: Load, now: float) -> None:
+    def update_load(self, load: Load, now: float) -> None:
         """Take a load report."""
         self.load = load
         self.load_at = now
@@ -47,7 +47,7 @@
         self.load = None
         self.reported_in_flight = 0
         self.refusals = 0
-        self.unreached = 0
+        self.unreached_offers = 0
         self.ended_under.clear()
         self.paused_until = 0.0
         self.breaker = CircuitBreaker()
--- a/radishtally/serving/state.py
+++ b/radishtally/serving/state.py
@@ -78,7 +78,7 @@
     def is_out_of_reach(self, host: str) -> bool:
         """Tell whether a host has lately been tried in vain, more than once."""
         known = self.hosts.get(host)
-        return known is not None and known.unreached >= UNREACHED_TO_PRESUME_GONE
+        return known is not None and known.unreached_offers >= UNREACHED_TO_PRESUME_GONE
 
     def pause_host(self, host: str, seconds: float, now: float) -> None:
         """Take that a host wants no work for a while."""
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -78,7 +78,7 @@
             known = made.gateway.core.hosts["p-1"]
             known.breaker = CircuitBreaker(first=60.0, longest=60.0)
             known.breaker.record_failure(time.monotonic())
-            known.unreached = UNREACHED_TO_PRESUME_GONE
+            known.unreached_offers = UNREACHED_TO_PRESUME_GONE
             assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
             assert not prefill.handles
 
