--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -210,7 +210,7 @@
         request.next_stage = DECODE
         request.tried.clear()
         request.offers = 0
-        request.patience = float("inf")
+        request.hold_until = float("inf")
     else:
         request.next_stage = WHOLE
         _move(request, host, float("inf"))
@@ -345,12 +345,12 @@
     yield Deliver(name, new, request.tokens)
 
 
-def _move(request: OpenRequest, host: str, patience: float) -> None:
+def _move(request: OpenRequest, host: str, hold_until: float) -> None:
     """Take note that a planned change moves the request: it is not cut for that."""
     request.tried = {host}
     request.offers = 0
     request.rounds = 0
-    request.patience = max(request.patience, patience)
+    request.hold_until = max(request.hold_until, hold_until)
 
 
 def _confirm_end(
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -133,7 +133,7 @@
         request.drop_received()
     # An answer that has begun is not cut because no host is free at this moment.
     if request.is_begun:
-        request.patience = float("inf")
+        request.hold_until = float("inf")
 
 
 def withdraw(request: OpenRequest, core: DispatchCore) -> Iterator[Command]:
@@ -239,7 +239,7 @@
 def _go_without_host(
     request: OpenRequest, core: DispatchCore, now: float
 ) -> Iterator[Command]:
-    if now < request.patience:
+    if now < request.hold_until:
         yield from _hold(request, "no host takes it now", core, now)
         return
     if request.tried or _list_usable(request, core, now):
@@ -294,7 +294,7 @@
 def _go_without_budget(
     request: OpenRequest, core: DispatchCore, now: float
 ) -> Iterator[Command]:
-    if now < request.patience:
+    if now < request.hold_until:
         yield from _hold(request, "the retry budget is spent", core, now)
         return
     text = "the upstream failed and too many retries are under way"
--- a/radishtally/serving/requests.py
+++ b/radishtally/serving/requests.py
@@ -54,7 +54,7 @@
     """Time at which the present phase is given up."""
     scheduled: float = float("inf")
     """Earliest time at which the core will look at the request."""
-    patience: float = float("-inf")
+    hold_until: float = float("-inf")
     """Time until which it waits for a host rather than be refused."""
     owes_retry: bool = False
     """Whether the next offer is to be paid from the retry budget."""
--- a/tests/entry/test_leaving.py
+++ b/tests/entry/test_leaving.py
@@ -27,7 +27,7 @@
     driver = Driver(hosts=1)
     driver.open(make_call())
     host, offer = driver.find_offer()
-    driver.core.requests["r"].patience = driver.now + 10.0
+    driver.core.requests["r"].hold_until = driver.now + 10.0
     driver.receive(host, Refused("r", offer.attempt, "full", 1.0))
     driver.give(events.Leave())
     assert (driver.refusal.status, driver.refusal.ran) == (503, Ran.NO)
