--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -274,7 +274,9 @@
         expected = request.terms.output_tokens
         self.observer.note_request(work.upstream, tokens, expected, now)
 
-    def note_answer(self, request: OpenRequest, host: KnownHost, now: float) -> None:
+    def record_progress(
+        self, request: OpenRequest, host: KnownHost, now: float
+    ) -> None:
         """Note that a part of an answer has come: its prompt is read."""
         engine = self._engines.get(host.host)
         if engine is None:
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -157,7 +157,7 @@
         request.phase = ACCEPTED
         wait(request, float("inf"), core)
     if host in core.hosts:
-        core.placement.note_answer(request, core.hosts[host], now)
+        core.placement.record_progress(request, core.hosts[host], now)
     yield from _deliver(new, request)
 
 
--- a/radishtally/serving/placement.py
+++ b/radishtally/serving/placement.py
@@ -44,7 +44,9 @@
     def begin(self, request: OpenRequest, host: KnownHost, now: float) -> None:
         """Note that the request was offered to a host."""
 
-    def note_answer(self, request: OpenRequest, host: KnownHost, now: float) -> None:
+    def record_progress(
+        self, request: OpenRequest, host: KnownHost, now: float
+    ) -> None:
         """Note that a part of an answer has come from a host."""
 
     def finish(self, request: OpenRequest, host: KnownHost) -> None:
@@ -84,7 +86,9 @@
     def begin(self, request: OpenRequest, host: KnownHost, now: float) -> None:
         """Note that the request was offered to a host."""
 
-    def note_answer(self, request: OpenRequest, host: KnownHost, now: float) -> None:
+    def record_progress(
+        self, request: OpenRequest, host: KnownHost, now: float
+    ) -> None:
         """Note that a part of an answer has come from a host."""
 
     def finish(self, request: OpenRequest, host: KnownHost) -> None:
--- a/tests/engines/test_placement.py
+++ b/tests/engines/test_placement.py
@@ -252,7 +252,7 @@
     world.placement.begin(request, known, 0.0)
     engine = world.placement._engines["d0"]
     assert (engine.count_tokens(), engine.count_answers()) == (600, 1)
-    world.placement.note_answer(request, known, 0.1)
+    world.placement.record_progress(request, known, 0.1)
     assert (engine.count_tokens(), engine.count_answers()) == (0, 1)
     world.placement.end(request, known)
     assert (engine.count_tokens(), engine.count_answers()) == (0, 0)
--- a/tests/entry/test_attempts.py
+++ b/tests/entry/test_attempts.py
@@ -26,7 +26,9 @@
         super().__init__()
         self.noted: list[str] = []
 
-    def note_answer(self, request: OpenRequest, host: KnownHost, now: float) -> None:
+    def record_progress(
+        self, request: OpenRequest, host: KnownHost, now: float
+    ) -> None:
         self.noted.append(host.host)
 
 
