--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -57,7 +57,7 @@
         body = bytes(bytearray(4_000))
         work = make_work(name, "pool-0")._replace(body=body)
         for command in handle_event(events.Arrived(work, 30.0, True), core, 0.0):
-            if isinstance(command, events.Note):
+            if isinstance(command, events.RecordStep):
                 steps.note(name, command.text)
         replies.open(name)
         core.requests[name].received += ANSWER[: len(ANSWER) // 2]
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -212,7 +212,7 @@
         self.replies.put(command)
 
     @_execute.register
-    def _(self, command: events.Break | events.Refuse) -> None:
+    def _(self, command: events.AbortAnswer | events.Refuse) -> None:
         refusal = command.refusal
         log_message(
             "request:refused",
@@ -225,7 +225,7 @@
         self.replies.put(command)
 
     @_execute.register
-    def _(self, command: events.Note) -> None:
+    def _(self, command: events.RecordStep) -> None:
         self.steps.note(command.request, command.text)
 
     async def _claim(self, work: Work) -> None:
--- a/radishtally/entry/http.py
+++ b/radishtally/entry/http.py
@@ -35,7 +35,7 @@
 )
 from radishtally.links.messages import CHAT, COMPLETION, Finished, Work
 from radishtally.outcome import Error, Ran, Refusal, Result
-from radishtally.serving.events import Break, Deliver, Finish, Refuse, Whole
+from radishtally.serving.events import AbortAnswer, Deliver, Finish, Refuse, Whole
 from radishtally.serving.replies import Reply
 
 MAX_REQUEST_BYTES: Final = 16 * 1024 * 1024
@@ -341,7 +341,7 @@
             await _send(request, response, format_part(answer, text, first))
             first = False
         part = await parts.get()
-    if isinstance(part, Break):
+    if isinstance(part, AbortAnswer):
         last = format_event(format_refusal(part.refusal))
     else:
         learn(part.end)
--- a/radishtally/gateway/commands.py
+++ b/radishtally/gateway/commands.py
@@ -80,7 +80,7 @@
 
 
 @carry_out_command.register
-def _(command: events.Break, parts: Parts) -> None:
+def _(command: events.AbortAnswer, parts: Parts) -> None:
     parts.note_refusal(command.request, command.refusal)
     parts.metrics.ended(command.request, BROKEN_OFF)
     parts.replies.put(command)
@@ -94,5 +94,5 @@
 
 
 @carry_out_command.register
-def _(command: events.Note, parts: Parts) -> None:
+def _(command: events.RecordStep, parts: Parts) -> None:
     log_message("request:step", request=command.request, text=command.text)
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -171,7 +171,7 @@
         await asyncio.sleep(LEAVE_POLL_SECONDS)
         while await self.front.close_idle() and time.monotonic() < until:
             await asyncio.sleep(LEAVE_POLL_SECONDS)
-        self.handle(events.Leave())
+        self.handle(events.Shutdown())
         await asyncio.sleep(LEAVE_POLL_SECONDS)
 
     async def _unload(self, *more: asyncio.Task) -> None:
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -37,7 +37,7 @@
     Deliver,
     DropKv,
     Finish,
-    Note,
+    RecordStep,
     Send,
     Settle,
 )
@@ -95,7 +95,7 @@
     request.accepted_at = now
     wait(request, float("inf"), core)
     joined = ", joined to the answer of its key" if message.attached else ""
-    yield Note(message.request, f"accepted by {host}{joined}")
+    yield RecordStep(message.request, f"accepted by {host}{joined}")
 
 
 @receive.register
@@ -107,7 +107,7 @@
     request = _find(message, host, core)
     if request is None:
         return
-    yield Note(message.request, f"refused by {host}: {message.reason}")
+    yield RecordStep(message.request, f"refused by {host}: {message.reason}")
     core.leave_host(request)
     if core.refusals_cost_retries:
         request.owes_retry = True
@@ -201,7 +201,7 @@
         return
     if not (yield from _confirm_end(message, request, host, core)):
         return
-    yield Note(message.request, f"handed over by {host}")
+    yield RecordStep(message.request, f"handed over by {host}")
     request.kv = message.kv
     core.leave_host(request)
     # A prompt alone that was computed is no run of the request.
@@ -285,7 +285,9 @@
     ends = core.suspects.record_host_end(request.terms.content, end, now)
     known.ended_at = now
     known.ended_under.add(request.terms.content)
-    yield Note(request.work.request, f"{host} ended under it, {ends} hosts in a row")
+    yield RecordStep(
+        request.work.request, f"{host} ended under it, {ends} hosts in a row"
+    )
 
 
 def _note_alive(request: OpenRequest, known: KnownHost, core: DispatchCore) -> None:
@@ -389,7 +391,7 @@
     if request.asked_again_at == offset:
         return
     request.asked_again_at = offset
-    yield Note(request.work.request, f"part missing from byte {offset}")
+    yield RecordStep(request.work.request, f"part missing from byte {offset}")
     yield Send(host, Attach(request.work.request, request.attempt, offset))
 
 
--- a/radishtally/serving/conclusions.py
+++ b/radishtally/serving/conclusions.py
@@ -4,7 +4,7 @@
 
 from radishtally.links.messages import Finished
 from radishtally.outcome import Refusal
-from radishtally.serving.events import Break, Command, End, Finish, Refuse
+from radishtally.serving.events import AbortAnswer, Command, End, Finish, Refuse
 from radishtally.serving.requests import OpenRequest
 
 
@@ -25,7 +25,7 @@
     name = request.work.request
     if request.has_part:
         # What another attempt has ended with is no end of this answer.
-        yield Break(name, refusal)
+        yield AbortAnswer(name, refusal)
         return
     # What an upstream itself said of its failure tells the caller more than that no
     # other one could be asked.
--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -17,7 +17,7 @@
 from radishtally.serving.events import (
     Command,
     Event,
-    Note,
+    RecordStep,
     Send,
 )
 from radishtally.serving.offers import (
@@ -75,7 +75,7 @@
         return
     if request.phase != CLAIMING:
         return
-    yield Note(event.work.request, "claim granted")
+    yield RecordStep(event.work.request, "claim granted")
     request.phase = WAITING
     yield from offer(request, core, now)
 
@@ -128,7 +128,7 @@
             request.phase = ACCEPTED
             request.asked_again_at = -1
             wait(request, float("inf"), core)
-            yield Note(request.work.request, f"link to {host} is back")
+            yield RecordStep(request.work.request, f"link to {host} is back")
             yield Send(host, Attach(*name, len(request.received)))
 
 
@@ -147,7 +147,7 @@
         if request.phase != WITHDRAWING:
             request.phase = CUT
         wait(request, now + grace, core)
-        yield Note(request.work.request, f"link to {event.host} is gone")
+        yield RecordStep(request.work.request, f"link to {event.host} is gone")
 
 
 @_handle.register
@@ -167,7 +167,7 @@
 
 
 @_handle.register
-def _(event: events.Leave, core: DispatchCore, now: float) -> Iterator[Command]:
+def _(event: events.Shutdown, core: DispatchCore, now: float) -> Iterator[Command]:
     # Without a word a caller only sees its connection end, and can't tell whether the
     # request ran; of many requests that can be said for sure.
     text = "the process ends before the answer is whole"
--- a/radishtally/serving/events.py
+++ b/radishtally/serving/events.py
@@ -67,7 +67,7 @@
     """Say that time has passed."""
 
 
-class Leave(NamedTuple):
+class Shutdown(NamedTuple):
     """Say that the process ends now, with requests still open."""
 
 
@@ -81,7 +81,7 @@
     | Repeated
     | Denied
     | Tick
-    | Leave
+    | Shutdown
 )
 
 
@@ -143,7 +143,7 @@
     end: Finished
 
 
-class Break(NamedTuple):
+class AbortAnswer(NamedTuple):
     """Break off an answer of which the caller has a part."""
 
     request: str
@@ -165,17 +165,17 @@
     refusal: Refusal
 
 
-class Note(NamedTuple):
+class RecordStep(NamedTuple):
     """Record a step of a request for `explain`."""
 
     request: str
     text: str
 
 
-Part = Begin | Deliver | End | Break
+Part = Begin | Deliver | End | AbortAnswer
 """What a caller is given of an answer that is passed on as it comes."""
 
 Whole = Finish | Refuse
 """What a caller is given at once, and nothing before it."""
 
-Command = Send | Claim | Release | Settle | DropKv | Part | Whole | Note
+Command = Send | Claim | Release | Settle | DropKv | Part | Whole | RecordStep
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -17,7 +17,7 @@
 from radishtally.outcome import Ran, Refusal
 from radishtally.serving import const
 from radishtally.serving.conclusions import give_up
-from radishtally.serving.events import Command, DropKv, Note, Release, Send
+from radishtally.serving.events import Command, DropKv, RecordStep, Release, Send
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.placement import Declined, Placed
 from radishtally.serving.requests import CLAIMING, OFFERED, WAITING, OpenRequest
@@ -53,7 +53,7 @@
         if placed.retry_after is not None:
             request.retry_after = placed.retry_after
         if placed.why:
-            yield Note(request.work.request, f"not offered: {placed.why}")
+            yield RecordStep(request.work.request, f"not offered: {placed.why}")
         yield from _go_without_host(request, core, now)
         return
     stage, host, why = placed
@@ -80,7 +80,7 @@
     core.placement.begin(request, known, now)
     known.breaker.record_offer(now)
     text = f"attempt {request.attempt} offered to {host}"
-    yield Note(request.work.request, f"{text}: {why}" if why else text)
+    yield RecordStep(request.work.request, f"{text}: {why}" if why else text)
     yield Send(host, request.make_offer(request.deadline - now))
 
 
@@ -91,7 +91,7 @@
     text = f"attempt {request.attempt} at {request.host} lost: {reason}, ran {ran}"
     if request.received:
         text += f", after event {request.tokens} ({len(request.received)} bytes)"
-    yield Note(request.work.request, text)
+    yield RecordStep(request.work.request, text)
     # A host that the offer never reached, or a new start of one, has refused nothing.
     if request.host is not None and reason not in (NOT_KNOWN, RESTARTED):
         request.tried.add(request.host)
@@ -308,7 +308,7 @@
     request.phase = WAITING
     request.rounds += 1
     wait(request, now + backoff(request.rounds, core.random), core)
-    yield Note(request.work.request, f"waits: {reason}")
+    yield RecordStep(request.work.request, f"waits: {reason}")
 
 
 def _bound(retry_after: float | None) -> float:
--- a/tests/entry/common.py
+++ b/tests/entry/common.py
@@ -41,7 +41,7 @@
         commands = [
             c
             for c in handle_event(event, self.core, self.now)
-            if not isinstance(c, events.Note)
+            if not isinstance(c, events.RecordStep)
         ]
         self.log += commands
         return commands
@@ -96,8 +96,8 @@
     def list_of(self, kind: type | tuple[type, ...]) -> list[events.Command]:
         return [c for c in self.log if isinstance(c, kind)]
 
-    def list_refusals(self) -> list[events.Refuse | events.Break]:
-        return self.list_of((events.Refuse, events.Break))
+    def list_refusals(self) -> list[events.Refuse | events.AbortAnswer]:
+        return self.list_of((events.Refuse, events.AbortAnswer))
 
     def list_ends(self) -> list[events.Finish | events.End]:
         return self.list_of((events.Finish, events.End))
--- a/tests/entry/front.py
+++ b/tests/entry/front.py
@@ -16,7 +16,7 @@
 from radishtally.entry.http import make_app
 from radishtally.links.messages import Finished, Work
 from radishtally.outcome import Refusal
-from radishtally.serving.events import Break, Deliver, End, Finish, Refuse
+from radishtally.serving.events import AbortAnswer, Deliver, End, Finish, Refuse
 from radishtally.serving.replies import Reply
 from tests.common import START_SECONDS
 
@@ -56,7 +56,7 @@
         has_part = False
         for part in self.parts:
             if isinstance(part, Refusal):
-                kind = Break if has_part else Refuse
+                kind = AbortAnswer if has_part else Refuse
                 queue.put_nowait(kind(work.request, part))
             elif streamed:
                 has_part = True
--- a/tests/entry/world.py
+++ b/tests/entry/world.py
@@ -197,7 +197,7 @@
                 self.callers[request].finish(command, self.ledger)
             case entry_events.End(request, _):
                 self.callers[request].finish_stream(command, self.ledger)
-            case entry_events.Break(request, refusal):
+            case entry_events.AbortAnswer(request, refusal):
                 assert self.callers[request].delivered
                 self.callers[request].refuse(refusal, self.ledger)
             case entry_events.Refuse(request, refusal):
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -9,7 +9,7 @@
 from radishtally.gateway.endings import Ending, Given
 from radishtally.gateway.requests import NOT_READY
 from radishtally.links.messages import Finished
-from radishtally.serving.events import Finish, Leave, Refuse
+from radishtally.serving.events import Finish, Refuse, Shutdown
 from standins.spoiling import RunFault
 from standins.staged import EVENTS, StagedEngine, make_event
 from tests.common import run
@@ -108,7 +108,7 @@
             ):
                 assert response.status == 200
                 if how == "leave":
-                    made.gateway.handle(Leave())
+                    made.gateway.handle(Shutdown())
                 elif how == "finish":
                     end = Finished("r1", 1, 0, 0, 500, "", 0, 0)
                     made.gateway.replies.put(Finish("r1", end, b""))
--- a/tests/serving/test_begun_streams.py
+++ b/tests/serving/test_begun_streams.py
@@ -27,7 +27,7 @@
     events.Begin,
     events.Deliver,
     events.End,
-    events.Break,
+    events.AbortAnswer,
     events.Finish,
     events.Refuse,
 )
@@ -61,7 +61,7 @@
     driver.receive(host, Chunk("r", 1, 0, b"data: x\n\n", 0))
     driver.receive(host, Lost("r", 1, Ran.UNKNOWN, "reset", 0))
     assert len(driver.list_offers()) == 1
-    assert driver.list_of(events.Break)
+    assert driver.list_of(events.AbortAnswer)
 
 
 class BegunStream(RuleBasedStateMachine):
@@ -140,7 +140,7 @@
 
     @rule()
     def leave(self) -> None:
-        self.driver.give(events.Leave())
+        self.driver.give(events.Shutdown())
 
     @invariant()
     def caller_gets_one_answer(self) -> None:
@@ -161,12 +161,12 @@
         assert came and WHOLE.startswith(came)
         if ends:
             is_whole = isinstance(ends[0], events.End)
-            assert is_whole or isinstance(ends[0], events.Break)
+            assert is_whole or isinstance(ends[0], events.AbortAnswer)
             assert not is_whole or came == WHOLE
 
     @invariant()
     def nothing_is_open_behind_an_end(self) -> None:
-        ends = (events.Refuse, events.Finish, events.Break, events.End)
+        ends = (events.Refuse, events.Finish, events.AbortAnswer, events.End)
         assert (self.request is None) == bool(self.driver.list_of(ends))
 
 
