--- a/radishtally/entry/http.py
+++ b/radishtally/entry/http.py
@@ -35,7 +35,7 @@
 )
 from radishtally.links.messages import CHAT, COMPLETION, Finished, Work
 from radishtally.outcome import Error, Ran, Refusal, Result
-from radishtally.serving.events import AbortAnswer, Deliver, Finish, Refuse, Whole
+from radishtally.serving.events import AbortAnswer, Deliver, Finish, FullReply, Refuse
 from radishtally.serving.replies import Reply
 
 MAX_REQUEST_BYTES: Final = 16 * 1024 * 1024
@@ -295,7 +295,7 @@
 
 
 async def _wait_whole(
-    answer: Answer, parts: asyncio.Queue[Whole], learn: Learn
+    answer: Answer, parts: asyncio.Queue[FullReply], learn: Learn
 ) -> HTTPResponse:
     end = await parts.get()
     if isinstance(end, Refuse):
@@ -307,7 +307,7 @@
     return raw(body, content_type="application/json")
 
 
-async def _wait_call(parts: asyncio.Queue[Whole]) -> HTTPResponse:
+async def _wait_call(parts: asyncio.Queue[FullReply]) -> HTTPResponse:
     end = await parts.get()
     if isinstance(end, Refuse):
         return respond_refusal(end.refusal)
--- a/radishtally/serving/events.py
+++ b/radishtally/serving/events.py
@@ -172,10 +172,12 @@
     text: str
 
 
-Part = Begin | Deliver | End | AbortAnswer
+StreamReply = Begin | Deliver | End | AbortAnswer
 """What a caller is given of an answer that is passed on as it comes."""
 
-Whole = Finish | Refuse
+FullReply = Finish | Refuse
 """What a caller is given at once, and nothing before it."""
 
-Command = Send | Claim | Release | Settle | DropKv | Part | Whole | RecordStep
+Command = (
+    Send | Claim | Release | Settle | DropKv | StreamReply | FullReply | RecordStep
+)
--- a/radishtally/serving/replies.py
+++ b/radishtally/serving/replies.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from radishtally.serving.events import Part, Whole
+from radishtally.serving.events import FullReply, StreamReply
 
-Reply = Part | Whole
+Reply = StreamReply | FullReply
 
 
 class Replies:
