--- a/radishtally/limits/retries.py
+++ b/radishtally/limits/retries.py
@@ -32,7 +32,7 @@
         self._spare = max(1.0, floor) if floor else 0.0
         self._seen: float | None = None
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request that came in."""
         self._gather(now)
         self._earned += self.ratio
@@ -77,9 +77,9 @@
             budget.ratio = ratio
             budget.floor = floor
 
-    def note_request(self, upstream: str, now: float) -> None:
+    def record_request(self, upstream: str, now: float) -> None:
         """Count a request that came in for an upstream."""
-        self._find(upstream).note_request(now)
+        self._find(upstream).record_request(now)
 
     def spend(self, upstream: str, now: float) -> bool:
         """Take one retry from an upstream's budget, if there is one."""
--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -55,7 +55,7 @@
 @_handle.register
 def _(event: events.Arrived, core: DispatchCore, now: float) -> Iterator[Command]:
     work = event.work
-    core.budgets.note_request(work.upstream, now)
+    core.budgets.record_request(work.upstream, now)
     request = OpenRequest(work, event.deadline, event.streamed, now, event.terms)
     core.requests[work.request] = request
     core.schedule(request)
--- a/tests/entry/test_budgets.py
+++ b/tests/entry/test_budgets.py
@@ -8,9 +8,9 @@
 def test_requests_of_one_upstream_pay_for_no_retry_of_another() -> None:
     budgets = RetryBudgets(0.125, 0.0)
     for _ in range(1_000):
-        budgets.note_request("large", 0.0)
+        budgets.record_request("large", 0.0)
     for _ in range(16):
-        budgets.note_request("small", 0.0)
+        budgets.record_request("small", 0.0)
     assert sum(budgets.spend("small", 0.0) for _ in range(100)) == 2
     assert sum(budgets.spend("large", 0.0) for _ in range(1_000)) == 125
 
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -29,7 +29,7 @@
     """Count the retries that some requests allow at once."""
     budgets = gateway.core.budgets
     for _ in range(REQUESTS):
-        budgets.note_request("desk", 0.0)
+        budgets.record_request("desk", 0.0)
     return sum(budgets.spend("desk", 0.0) for _ in range(REQUESTS))
 
 
--- a/tests/limits/test_retries.py
+++ b/tests/limits/test_retries.py
@@ -25,7 +25,7 @@
     retries = 0
     for second in range(seconds):
         for _ in range(rate):
-            budget.note_request(float(second))
+            budget.record_request(float(second))
             retries += budget.spend(float(second))
         retries += sum(budget.spend(float(second)) for _ in range(100))
     assert retries <= ratio * rate * seconds + floor * (seconds + 1) + 1
@@ -52,10 +52,10 @@
     ratio, rate, window = 0.1, 10, 10.0
     budget = RetryBudget(ratio, 0.0)
     for number in range(1_000):
-        budget.note_request(number / rate)
+        budget.record_request(number / rate)
     retries = sum(budget.spend(1_000 / rate) for _ in range(1_000))
     assert 0 < retries <= ratio * rate * window
-    budget.note_request(1_000 / rate + 5 * window)
+    budget.record_request(1_000 / rate + 5 * window)
     assert not budget.spend(1_000 / rate + 5 * window)
 
 
