--- a/radishtally/engines/news.py
+++ b/radishtally/engines/news.py
@@ -3,7 +3,7 @@
 from math import exp
 from typing import Final, NamedTuple
 
-from radishtally.limits.pace import Decaying
+from radishtally.limits.pace import DecayingSum
 
 RATE_SECONDS: Final = 5.0
 """Window of an entry's own requests, by which it takes those of the others: with four a
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         self.others = Others()
-        self._own = Decaying(RATE_SECONDS)
+        self._own = DecayingSum(RATE_SECONDS)
         self._begun_at: float | None = None
 
     def note(self, now: float) -> None:
--- a/radishtally/limits/pace.py
+++ b/radishtally/limits/pace.py
@@ -16,7 +16,7 @@
 """Share of the slots' time that higher priorities are taken to keep at most."""
 
 
-class Decaying:
+class DecayingSum:
     """Sum amounts over an exponentially decaying window."""
 
     __slots__ = ("_seen", "_sum", "_window")
@@ -47,8 +47,8 @@
     __slots__ = ("_seconds", "_tokens")
 
     def __init__(self) -> None:
-        self._seconds = Decaying(PACE_SECONDS)
-        self._tokens = Decaying(PACE_SECONDS)
+        self._seconds = DecayingSum(PACE_SECONDS)
+        self._tokens = DecayingSum(PACE_SECONDS)
 
     def note(self, seconds: float, tokens: int, now: float) -> None:
         """Take in the time that an answer's next tokens took."""
--- a/radishtally/stages/demand.py
+++ b/radishtally/stages/demand.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from radishtally.engines.pace import AnswerPace, NeededSpeed
-from radishtally.limits.pace import Decaying
+from radishtally.limits.pace import DecayingSum
 from radishtally.stages import const
 from radishtally.stages.split import Needs, find_most_events
 
@@ -32,7 +32,7 @@
     """Sum up what comes to all gateways, and learn what engines make of it."""
 
     def __init__(self) -> None:
-        self._own = [Decaying(const.DEMAND_SECONDS) for _ in DemandSums._fields]
+        self._own = [DecayingSum(const.DEMAND_SECONDS) for _ in DemandSums._fields]
         self._others: dict[str, tuple[DemandSums, float]] = {}
         """Last report of each other gateway, and when it came."""
         self._begun_at: float | None = None
