--- a/radishtally/agent/core.py
+++ b/radishtally/agent/core.py
@@ -98,7 +98,7 @@
     assignment = core.running.get((event.request, event.attempt))
     if assignment is not None:
         if assignment.last_token is not None:
-            core.queue.note_tokens(now - assignment.last_token, event.tokens, now)
+            core.queue.record_tokens(now - assignment.last_token, event.tokens, now)
         assignment.last_token = now
         assignment.answer.append(event.data, event.tokens)
         core.dirty[assignment.name] = assignment
@@ -304,7 +304,7 @@
     if core.state is None or not core.state.ready or core.drains:
         return
     while len(core.running) < core.state.slots:
-        job = core.queue.take(now)
+        job = core.queue.pop_next(now)
         if job is None:
             return
         assignment = core.assignments[job.request, job.attempt]
--- a/radishtally/limits/queue.py
+++ b/radishtally/limits/queue.py
@@ -181,7 +181,7 @@
             return Error(NoRoom(Reason.NO_SLOTS, MAX_RETRY_SECONDS))
         rates = self.adjust(rates, now)
         entry = self._make_entry(job, rates)
-        wait = self._predict_wait(entry, rates, running, now)
+        wait = self._predict_entry_wait(entry, rates, running, now)
         first_token = wait + rates.prefill(job.prompt_tokens)
         # Under overload the queue fills up to the deadlines: without a margin each wait
         # that turned out a little longer made the answer late, and its work was lost.
@@ -206,11 +206,11 @@
         """Give the rates with the present pace."""
         return self._pace.adjust(rates, now)
 
-    def note_tokens(self, seconds: float, tokens: int, now: float) -> None:
+    def record_tokens(self, seconds: float, tokens: int, now: float) -> None:
         """Take in the time that a running answer's next tokens took."""
         self._pace.note(seconds, tokens, now)
 
-    def take(self, now: float) -> Job | None:
+    def pop_next(self, now: float) -> Job | None:
         """Take the job to start next, if any; priority, fair share, least slack."""
         if not self._entries:
             return None
@@ -255,11 +255,13 @@
             self.remove(job.request, job.attempt)
         return jobs
 
-    def backlog(self, rates: Rates) -> float:
+    def prefill_backlog(self, rates: Rates) -> float:
         """Sum the seconds of prefill of the queued jobs."""
         return rates.prefill(self._prompt_tokens)
 
-    def wait(self, rates: Rates, running: Sequence[Running], now: float) -> float:
+    def predict_wait(
+        self, rates: Rates, running: Sequence[Running], now: float
+    ) -> float:
         """Predict the seconds until new work of middling priority would start."""
         timeline = Timeline(self.adjust(rates, now), running)
         for priority, level in self._levels.items():
@@ -281,7 +283,7 @@
         charge = max(seconds, MIN_CHARGE_SECONDS) / max(job.share, MIN_SHARE)
         return Entry(latest_start, self._arrivals, job, charge)
 
-    def _predict_wait(
+    def _predict_entry_wait(
         self, entry: Entry, rates: Rates, running: Sequence[Running], now: float
     ) -> float:
         timeline = Timeline(rates, running)
--- a/tests/limits/test_pace.py
+++ b/tests/limits/test_pace.py
@@ -13,7 +13,7 @@
 
 def slow_down(queue: WorkQueue, now: float, seconds: float = 0.08) -> None:
     for _ in range(20):
-        queue.note_tokens(seconds, 1, now)
+        queue.record_tokens(seconds, 1, now)
 
 
 def test_admits_by_the_present_pace(queue):
@@ -72,7 +72,7 @@
     for number in range(6):
         now = number / 1_000
         queue.admit(make_job("b", priority=-1), RATES, [], now)
-        assert queue.take(now) is not None
+        assert queue.pop_next(now) is not None
     running = [make_running(50), make_running(50)]
     wait = queue.admit(make_job(), RATES, running, 0.01).ok - 0.5
     assert wait == pytest.approx(1.0 / (1 - 0.6), rel=0.02)
@@ -91,7 +91,7 @@
         now = number / 1_000
         tag = make_job(prompt_tokens=100, output_tokens=5, deadline=now + 4.0)
         queue.admit(tag, RATES, [], now)
-        assert queue.take(now) is not None
+        assert queue.pop_next(now) is not None
     running = [make_running(100), make_running(100)]
     question = make_job(deadline=60.0)
     wait = queue.admit(question, RATES, running, 0.01).ok - 0.5
@@ -103,7 +103,7 @@
 def test_what_has_passed_long_ago_does_not_count(queue):
     for _ in range(9):
         queue.admit(make_job("b", priority=-1), RATES, [], 0.0)
-        queue.take(0.0)
+        queue.pop_next(0.0)
     running = [make_running(50), make_running(50)]
     wait = queue.admit(make_job(), RATES, running, 6.0).ok - 0.5
     assert wait == pytest.approx(1.0)
--- a/tests/limits/test_queue.py
+++ b/tests/limits/test_queue.py
@@ -13,7 +13,7 @@
 
 
 def take_teams(queue: WorkQueue, number: int) -> list[str]:
-    return [queue.take(0.0).team for _ in range(number)]
+    return [queue.pop_next(0.0).team for _ in range(number)]
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
     assert not queue.remove(job.request, attempt=2)
     assert queue.remove(job.request, attempt=1)
     assert not queue.remove(job.request, attempt=1)
-    assert queue.take(0.0) is None
+    assert queue.pop_next(0.0) is None
 
 
 def test_takes_by_priority_then_share_then_slack(queue):
@@ -87,7 +87,7 @@
     ]
     for job in jobs:
         queue.admit(job, RATES, [], 0.0)
-    assert [queue.take(0.0) for _ in jobs] == [jobs[2], jobs[3], jobs[1], jobs[0]]
+    assert [queue.pop_next(0.0) for _ in jobs] == [jobs[2], jobs[3], jobs[1], jobs[0]]
 
 
 def test_shares_turns_by_weight(queue):
@@ -143,7 +143,7 @@
     stalled = [make_running(100), make_running(100)]
     assert queue.expire(RATES, stalled, 0.0) == [short]
     assert queue.expire(RATES, stalled, 0.0) == []
-    assert queue.take(0.0) == long
+    assert queue.pop_next(0.0) == long
 
 
 def test_expiry_leaves_work_admitted_just_in_time(queue):
@@ -158,20 +158,20 @@
     jobs = [make_job("a", deadline=90.0 - number) for number in range(3)]
     for job in jobs:
         queue.admit(job, RATES, [], 0.0)
-    assert queue.backlog(RATES) == pytest.approx(1.5)
+    assert queue.prefill_backlog(RATES) == pytest.approx(1.5)
     assert queue.drain() == jobs[::-1]
     assert len(queue) == 0
-    assert queue.backlog(RATES) == 0
+    assert queue.prefill_backlog(RATES) == 0
 
 
 def test_wait_counts_work_of_middling_priority_and_above(queue):
     running = [make_running(50), make_running(50)]
-    assert queue.wait(RATES, [], 0.0) == 0
-    assert queue.wait(RATES, running, 0.0) == pytest.approx(1.0)
+    assert queue.predict_wait(RATES, [], 0.0) == 0
+    assert queue.predict_wait(RATES, running, 0.0) == pytest.approx(1.0)
     queue.admit(make_job(priority=1), RATES, running, 0.0)
-    assert queue.wait(RATES, running, 0.0) == pytest.approx(1.0)
+    assert queue.predict_wait(RATES, running, 0.0) == pytest.approx(1.0)
     queue.admit(make_job(priority=-1), RATES, running, 0.0)
-    assert queue.wait(RATES, running, 0.0) == pytest.approx(1.5)
+    assert queue.predict_wait(RATES, running, 0.0) == pytest.approx(1.5)
 
 
 def test_a_plain_service_has_slots_only(queue):
--- a/tests/limits/test_queue_properties.py
+++ b/tests/limits/test_queue_properties.py
@@ -53,7 +53,7 @@
     @precondition(lambda self: self.inside)
     @rule()
     def take(self):
-        job = self.queue.take(self.now)
+        job = self.queue.pop_next(self.now)
         assert job.priority == min(item.priority for item in self.inside.values())
         self.leave(job)
 
@@ -83,7 +83,7 @@
     def holds_what_went_in(self):
         assert len(self.queue) == len(self.inside) <= 12
         tokens = sum(job.prompt_tokens for job in self.inside.values())
-        assert abs(self.queue.backlog(RATES) - tokens / 1_000) < 1e-6
+        assert abs(self.queue.prefill_backlog(RATES) - tokens / 1_000) < 1e-6
 
 
 TestQueue = QueueMachine.TestCase
@@ -103,12 +103,12 @@
     for team, prompt in arrivals:
         job = make_job(team, prompt_tokens=prompt, deadline=1_000.0 + passed)
         queue.admit(job, RATES, [], 0.0)
-        taken = queue.take(passed)
+        taken = queue.pop_next(passed)
         if taken == first:
             return
         passed += 1.0
         assert passed <= 3, "each other team gets one job at most before it"
-    assert queue.take(passed) == first
+    assert queue.pop_next(passed) == first
 
 
 @given(
@@ -141,6 +141,6 @@
     for _ in range(70):
         for team, share in zip("ab", shares, strict=True):
             queue.admit(make_job(team, share=share), RATES, [], 0.0)
-    taken = [queue.take(0.0).team for _ in range(turns)]
+    taken = [queue.pop_next(0.0).team for _ in range(turns)]
     normal = [taken.count(t) / s for t, s in zip("ab", shares, strict=True)]
     assert abs(normal[0] - normal[1]) <= 1 / shares[0] + 1 / shares[1]
