--- a/radishtally/claims/core.py
+++ b/radishtally/claims/core.py
@@ -68,7 +68,7 @@
 """Failures in a row, over about a second, after which the store is taken for away."""
 
 
-class ClaimTerms(NamedTuple):
+class ClaimLimits(NamedTuple):
     """Set the limits of the claims."""
 
     group_size: int = MAX_WRITES
@@ -121,10 +121,10 @@
 class ClaimCore:
     """Claim keys and keep outcomes for one process."""
 
-    def __init__(self, holder: str, ids: WriteIds, terms: ClaimTerms) -> None:
+    def __init__(self, holder: str, ids: WriteIds, limits: ClaimLimits) -> None:
         self._holder = holder
         self._ids = ids
-        self._terms = terms
+        self._limits = limits
         self._jobs: dict[Key, _Job] = {}
         self._deadlines: list[tuple[float, int, _Job]] = []
         self._claims: deque[_Job] = deque()
@@ -135,7 +135,7 @@
         self._finished: OrderedDict[Key, _Known] = OrderedDict()
         self._finished_bytes = 0
         self._waiting_bytes = 0
-        self._size = terms.group_size
+        self._size = limits.group_size
         self._flush_at = float("inf")
         self._pause_until = float("-inf")
         self._failures = 0
@@ -164,7 +164,7 @@
     @_take.register
     def _(self, event: ClaimAsked, now: float) -> list[Command]:
         outcome = self._recall(event.claim)
-        full = len(self._claims) >= self._terms.waiting
+        full = len(self._claims) >= self._limits.waiting
         if outcome is None and (full or self._is_away(now)):
             outcome = StoreAway()
         if outcome is not None:
@@ -181,7 +181,7 @@
         known = self._take_granted(event.claim)
         if known is None:
             return [OutcomeLost(event.claim.request, "not granted here")]
-        roomy = self._waiting_bytes < self._terms.waiting_bytes
+        roomy = self._waiting_bytes < self._limits.waiting_bytes
         answer = bound_answer(event.answer, BODY_BYTES if roomy else 0)
         self._remember(known._replace(answer=answer))
         value = make_done_value(known.claim, answer, known.expires)
@@ -263,7 +263,7 @@
     def _add_outcome(
         self, known: _Known, value: ClaimValue, now: float
     ) -> list[Command]:
-        if len(self._outcomes) >= self._terms.waiting:
+        if len(self._outcomes) >= self._limits.waiting:
             return [OutcomeLost(known.claim.request, "too many wait for the store")]
         job = _Job(known.claim, value, known.rev)
         job.claim_ids = frozenset({known.write_id})
@@ -275,7 +275,7 @@
             return self._withdraw(job, now)
         queue = self._claims if job.is_claim else self._outcomes
         queue.append(job)
-        self._flush_at = min(self._flush_at, now + self._terms.group_seconds)
+        self._flush_at = min(self._flush_at, now + self._limits.group_seconds)
         return []
 
     def _remove(self, job: _Job) -> None:
@@ -414,7 +414,7 @@
         return commands
 
     def _may_send(self) -> bool:
-        if len(self._groups) >= self._terms.groups:
+        if len(self._groups) >= self._limits.groups:
             return False
         return bool(self._claims or self._outcomes)
 
@@ -447,20 +447,20 @@
         return self._failures >= AWAY_FAILURES and now < self._pause_until
 
     def _pause(self, now: float) -> None:
-        seconds = self._terms.retry_seconds * 2 ** min(self._failures, 10)
-        seconds = min(seconds, self._terms.longest_retry_seconds)
+        seconds = self._limits.retry_seconds * 2 ** min(self._failures, 10)
+        seconds = min(seconds, self._limits.longest_retry_seconds)
         self._pause_until = max(self._pause_until, now + seconds)
         self._failures += 1
 
     def _recover(self) -> None:
         self._failures = 0
-        self._size = min(self._terms.group_size, self._size * 2)
+        self._size = min(self._limits.group_size, self._size * 2)
 
     def _remember(self, known: _Known) -> None:
         key = name_claim(known.claim)
         self._finished[key] = known
         self._finished_bytes += _count_bytes(known)
-        while self._finished_bytes > self._terms.remembered_bytes:
+        while self._finished_bytes > self._limits.remembered_bytes:
             _, oldest = self._finished.popitem(last=False)
             self._finished_bytes -= _count_bytes(oldest)
 
--- a/radishtally/claims/store.py
+++ b/radishtally/claims/store.py
@@ -8,7 +8,7 @@
 
 import eliot
 
-from radishtally.claims.core import ClaimCore, ClaimTerms
+from radishtally.claims.core import ClaimCore, ClaimLimits
 from radishtally.claims.events import (
     Answer,
     CallFinished,
@@ -49,14 +49,14 @@
         table: Table,
         holder: str,
         ids: WriteIds,
-        terms: ClaimTerms | None = None,
+        limits: ClaimLimits | None = None,
         *,
         seconds: float = CLAIM_SECONDS,
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
         self._table = table
-        super().__init__(ClaimCore(holder, ids, terms or ClaimTerms()), Tick(), clock)
+        super().__init__(ClaimCore(holder, ids, limits or ClaimLimits()), Tick(), clock)
         self._seconds = seconds
         self._wall = wall
         self._asked: dict[int, _Asked] = {}
--- a/radishtally/direct/core.py
+++ b/radishtally/direct/core.py
@@ -80,7 +80,7 @@
     """Unix milliseconds of its start; 0 where the deployment does not tell it."""
 
 
-class KeptPart(NamedTuple):
+class CachedPart(NamedTuple):
     """Name a part of prompts that an engine keeps."""
 
     model: str
@@ -122,10 +122,10 @@
     def read_report(self, body: bytes) -> Result[EngineReport, str]:
         """Read what an engine says of itself."""
 
-    def encode_kept(self, instance: Instance) -> UpstreamCall:
+    def encode_cached_parts(self, instance: Instance) -> UpstreamCall:
         """Give the request that asks an engine which parts of prompts it keeps."""
 
-    def read_kept(self, body: bytes) -> Result[list[KeptPart], str]:
+    def read_cached_parts(self, body: bytes) -> Result[list[CachedPart], str]:
         """Read which parts of prompts an engine keeps."""
 
     def encode_order(
--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -10,10 +10,10 @@
 from radishtally.direct.answers import AnswerReader, Receive
 from radishtally.direct.const import DROP_SECONDS, OK, ORDER_SECONDS
 from radishtally.direct.core import (
+    CachedPart,
     Dialect,
     EngineReport,
     Instance,
-    KeptPart,
     OrderOutcome,
     UpstreamCall,
 )
@@ -98,10 +98,12 @@
         read = await self._ask(instance, self._dialect.encode_report(instance))
         return read.bind(self._dialect.read_report)
 
-    async def read_kept(self, instance: Instance) -> Result[list[KeptPart], str]:
+    async def read_cached_parts(
+        self, instance: Instance
+    ) -> Result[list[CachedPart], str]:
         """Ask an engine which parts of prompts it keeps."""
-        read = await self._ask(instance, self._dialect.encode_kept(instance))
-        return read.bind(self._dialect.read_kept)
+        read = await self._ask(instance, self._dialect.encode_cached_parts(instance))
+        return read.bind(self._dialect.read_cached_parts)
 
     async def _ask(self, instance: Instance, call: UpstreamCall) -> Result[bytes, str]:
         """Give the body of an engine's answer to a question about itself.
--- a/radishtally/engines/cache.py
+++ b/radishtally/engines/cache.py
@@ -5,7 +5,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from radishtally.direct.core import KeptPart
+from radishtally.direct.core import CachedPart
 from radishtally.links.messages import HashedPart
 from radishtally.serving.terms import PromptPart
 
@@ -92,7 +92,7 @@
     ]
 
 
-def hash_kept(kept: KeptPart) -> HashedPart:
+def hash_kept(kept: CachedPart) -> HashedPart:
     """Give a part that an engine names under the same hash."""
     (part,) = hash_parts(kept.model, [PromptPart(kept.name, kept.tokens)])
     return part
--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -6,7 +6,7 @@
 from statistics import mean
 from typing import Final
 
-from radishtally.direct.core import Instance, KeptPart, is_same_start
+from radishtally.direct.core import CachedPart, Instance, is_same_start
 from radishtally.engines.cache import PromptCache, hash_kept
 from radishtally.engines.choice import (
     Field,
@@ -167,7 +167,7 @@
             return
         engine.cache.take(told.parts)
 
-    def recall(self, host: str, kept: Iterable[KeptPart]) -> int:
+    def recall(self, host: str, kept: Iterable[CachedPart]) -> int:
         """Take which parts an engine says that it keeps; give how many they are."""
         engine = self._engines.get(host)
         if engine is None:
--- a/radishtally/gateway/recall.py
+++ b/radishtally/gateway/recall.py
@@ -7,7 +7,7 @@
 from eliot import log_message
 from xxhash import xxh3_64_intdigest
 
-from radishtally.direct.core import Instance, KeptPart
+from radishtally.direct.core import CachedPart, Instance
 from radishtally.engines.placement import EnginePlacement
 from radishtally.outcome import Result
 from radishtally.routing.core import rank
@@ -22,7 +22,9 @@
 class Engines(Protocol):
     """Reach engines."""
 
-    async def read_kept(self, instance: Instance) -> Result[list[KeptPart], str]:
+    async def read_cached_parts(
+        self, instance: Instance
+    ) -> Result[list[CachedPart], str]:
         """Ask an engine which parts of prompts it keeps."""
 
 
@@ -63,7 +65,7 @@
         return rank(names, key)[0] == self._own
 
     async def _ask(self, instance: Instance) -> None:
-        kept = await self._engines.read_kept(instance)
+        kept = await self._engines.read_cached_parts(instance)
         if kept.is_error():
             log_message("recall:engine_unread", engine=instance.host, reason=kept.error)
             return
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -129,7 +129,7 @@
 
 
 async def ask_kept(made: Deployment, instance: Instance) -> None:
-    await made.gateway.hosts.read_kept(instance)
+    await made.gateway.hosts.read_cached_parts(instance)
 
 
 async def give_order(made: Deployment, instance: Instance) -> None:
--- a/tests/gateway/test_recall.py
+++ b/tests/gateway/test_recall.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from radishtally.direct.core import Instance, KeptPart
+from radishtally.direct.core import CachedPart, Instance
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.peers import GATEWAYS
 from radishtally.gateway.recall import Recall
@@ -15,7 +15,7 @@
 from tests.gateway.test_streams import start_engines
 
 NAMES = [f"g-{number}" for number in range(5)]
-KEPT = [KeptPart("m", "a", 500), KeptPart("m", "b", 5_000)]
+KEPT = [CachedPart("m", "a", 500), CachedPart("m", "b", 5_000)]
 PROMPT = (PromptPart("aa", 500), PromptPart("bb", 400))
 PARTS = (PromptPart("a", 500), PromptPart("b", 5_000), PromptPart("own", 900))
 
@@ -27,7 +27,9 @@
         self.asked: list[str] = []
         self.silent: set[str] = set()
 
-    async def read_kept(self, instance: Instance) -> Result[list[KeptPart], str]:
+    async def read_cached_parts(
+        self, instance: Instance
+    ) -> Result[list[CachedPart], str]:
         self.asked.append(instance.host)
         return Error("no answer") if instance.host in self.silent else Ok(KEPT)
 
