--- a/radishtally/direct/doubts.py
+++ b/radishtally/direct/answer_checks.py
@@ -8,7 +8,7 @@
 from radishtally.connector import Usage
 
 
-class Doubt(StrEnum):
+class AnswerMismatch(StrEnum):
     """Say why an answer may not be the request's own."""
 
     FOREIGN = "it names another request"
@@ -17,7 +17,7 @@
     UNASKED = "it came while no request was out"
 
 
-class Flaw(StrEnum):
+class IncompleteReason(StrEnum):
     """Say why an answer may lack a part, though nothing broke it off."""
 
     CUT_EVENT = "closed within an event"
@@ -26,33 +26,35 @@
     HOST_ENDED = "closed by a host that has ended"
 
 
-class FlawedAnswerError(aiohttp.ClientPayloadError):
+class IncompleteAnswerError(aiohttp.ClientPayloadError):
     """Say why an answer is not taken for a whole one."""
 
-    def __init__(self, flaw: Flaw) -> None:
+    def __init__(self, flaw: IncompleteReason) -> None:
         super().__init__(f"the answer may not be whole: {flaw}")
 
 
-class ForeignAnswerError(aiohttp.ClientPayloadError):
+class MismatchedAnswerError(aiohttp.ClientPayloadError):
     """Say why an answer is not taken for the request's own."""
 
-    def __init__(self, doubt: Doubt) -> None:
+    def __init__(self, doubt: AnswerMismatch) -> None:
         super().__init__(f"not the request's answer: {doubt}")
 
 
-def find_doubt(names: Collection[str], request: str, usage: Usage) -> Doubt | None:
+def find_mismatch(
+    names: Collection[str], request: str, usage: Usage
+) -> AnswerMismatch | None:
     """Find why an answer may not be the request's own, by the names that it bears."""
     if len(names) > 1:
-        return Doubt.SEVERAL
+        return AnswerMismatch.SEVERAL
     if names and request not in names:
-        return Doubt.FOREIGN
+        return AnswerMismatch.FOREIGN
     # The first answer on a connection can belong to no earlier request.
-    return Doubt.UNNAMED if usage.carried and not names else None
+    return AnswerMismatch.UNNAMED if usage.carried and not names else None
 
 
 def describe(error: BaseException) -> str:
     """Say how an exchange failed, for logs."""
     # Texts of the library's errors hold parts of answers.
-    if isinstance(error, ForeignAnswerError | FlawedAnswerError):
+    if isinstance(error, MismatchedAnswerError | IncompleteAnswerError):
         return str(error)
     return type(error).__name__
--- a/radishtally/direct/answers.py
+++ b/radishtally/direct/answers.py
@@ -8,15 +8,15 @@
 from eliot import log_message
 
 from radishtally.connector import Usage
+from radishtally.direct.answer_checks import (
+    AnswerMismatch,
+    IncompleteAnswerError,
+    IncompleteReason,
+    MismatchedAnswerError,
+    find_mismatch,
+)
 from radishtally.direct.const import MAX_ANSWER_BYTES, OK, READ_BYTES
 from radishtally.direct.core import NO_NOTICE, Dialect, Head, Instance, Notice
-from radishtally.direct.doubts import (
-    Doubt,
-    Flaw,
-    FlawedAnswerError,
-    ForeignAnswerError,
-    find_doubt,
-)
 from radishtally.direct.ends import Ends
 from radishtally.direct.pool import WatchedResponse
 from radishtally.direct.stream import EventCutter, is_next
@@ -65,7 +65,7 @@
         self._receive = receive
         self._ends = ends
         self._is_leaving = is_leaving
-        self.on_doubt: Callable[[Doubt], None] = lambda doubt: None
+        self.on_mismatch: Callable[[AnswerMismatch], None] = lambda doubt: None
         self.on_notice: Callable[[Instance, Notice], None] = lambda host, notice: None
 
     async def read(
@@ -77,12 +77,12 @@
         head = self._dialect.read_head(
             response.status, decode_headers(response.raw_headers)
         )
-        doubt = find_doubt(head.names, offer.work.request, response.usage)
+        doubt = find_mismatch(head.names, offer.work.request, response.usage)
         if doubt is not None:
             # Whatever follows on the connection can't be told apart either.
             response.abort()
             self._note_doubt(doubt, head, response.usage, instance, offer)
-            raise ForeignAnswerError(doubt)
+            raise MismatchedAnswerError(doubt)
         self.take_notice(response, instance)
         if head.not_run:
             reason = REPLACED if head.is_replaced else f"status {head.status}"
@@ -107,9 +107,14 @@
             self.on_notice(instance, notice)
 
     def _note_doubt(
-        self, doubt: Doubt, head: Head, usage: Usage, instance: Instance, offer: Offer
+        self,
+        doubt: AnswerMismatch,
+        head: Head,
+        usage: Usage,
+        instance: Instance,
+        offer: Offer,
     ) -> None:
-        self.on_doubt(doubt)
+        self.on_mismatch(doubt)
         log_message(
             "upstream:answer_doubted",
             request=offer.work.request,
@@ -142,11 +147,11 @@
             has_ended=has_ended,
         )
         if rest:
-            raise FlawedAnswerError(Flaw.CUT_EVENT)
+            raise IncompleteAnswerError(IncompleteReason.CUT_EVENT)
         if is_empty:
-            raise FlawedAnswerError(Flaw.NO_EVENT)
+            raise IncompleteAnswerError(IncompleteReason.NO_EVENT)
         if has_ended:
-            raise FlawedAnswerError(Flaw.HOST_ENDED)
+            raise IncompleteAnswerError(IncompleteReason.HOST_ENDED)
 
     async def _read_handle(
         self, response: WatchedResponse, instance: Instance, offer: Offer
@@ -203,7 +208,7 @@
                 continue
             is_first = progress.offset == len(offer.done)
             if is_first and not _begins_as_asked(found.first, offer, terms):
-                raise FlawedAnswerError(Flaw.OTHER_EVENT)
+                raise IncompleteAnswerError(IncompleteReason.OTHER_EVENT)
             progress.tokens = max(progress.tokens, found.last)
             self._pass_on(host, name, progress, found.data)
         response.check_end()
--- a/radishtally/direct/ends.py
+++ b/radishtally/direct/ends.py
@@ -5,8 +5,8 @@
 import aiohttp
 from eliot import log_message
 
+from radishtally.direct.answer_checks import MismatchedAnswerError
 from radishtally.direct.core import Instance
-from radishtally.direct.doubts import ForeignAnswerError
 from radishtally.direct.pool import is_refused
 
 
@@ -22,7 +22,7 @@
         A reset, a cut link and a spoiled answer look alike on the connection, and say
         nothing of the request. Answers that break off together are looked into once.
         """
-        is_foreign = isinstance(error, ForeignAnswerError)
+        is_foreign = isinstance(error, MismatchedAnswerError)
         if is_foreign or not isinstance(error, aiohttp.ClientError):
             return False
         return await self.look(instance)
--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -7,6 +7,7 @@
 from eliot import log_message
 from yarl import URL
 
+from radishtally.direct.answer_checks import AnswerMismatch, describe
 from radishtally.direct.answers import AnswerReader, Receive
 from radishtally.direct.const import DROP_SECONDS, OK, ORDER_SECONDS
 from radishtally.direct.core import (
@@ -17,7 +18,6 @@
     OrderOutcome,
     UpstreamCall,
 )
-from radishtally.direct.doubts import Doubt, describe
 from radishtally.direct.ends import Ends
 from radishtally.direct.pool import open_session
 from radishtally.exchange import BROKEN, SendOnce
@@ -177,7 +177,7 @@
         )
 
     def _note_unasked(self) -> None:
-        self.answers.on_doubt(Doubt.UNASKED)
+        self.answers.on_mismatch(AnswerMismatch.UNASKED)
 
     def _is_leaving(self, host: str) -> bool:
         """Tell whether a host ends soon, and regularly."""
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -93,7 +93,7 @@
             prefill_counts_as_run=False,
         )
         self.hosts = DirectHosts(upstreams, self.runtime.guard_call(self._receive))
-        self.hosts.answers.on_doubt = self.metrics.doubted
+        self.hosts.answers.on_mismatch = self.metrics.doubted
         self.hosts.answers.on_notice = self.runtime.guard_call(self.take_notice)
         self.front = Front(self, callers)
         self._stop_begun: float | None = None
--- a/radishtally/gateway/metrics.py
+++ b/radishtally/gateway/metrics.py
@@ -11,8 +11,8 @@
     generate_latest,
 )
 
+from radishtally.direct.answer_checks import AnswerMismatch
 from radishtally.direct.core import Notice
-from radishtally.direct.doubts import Doubt
 from radishtally.gateway.endings import Ending
 from radishtally.gateway.requests import Routed
 from radishtally.stalls import Stall
@@ -189,7 +189,7 @@
         """Count an offer."""
         self._offers.labels(stage).inc()
 
-    def doubted(self, doubt: Doubt) -> None:
+    def doubted(self, doubt: AnswerMismatch) -> None:
         """Count an answer that may belong to another request."""
         self._doubts.labels(doubt.name.lower()).inc()
 
--- /dev/null
+++ b/tests/direct/test_answer_checks.py
@@ -0,0 +1,28 @@
+"""Tests of telling whether an answer is the request's own."""
+
+import pytest
+
+from radishtally.connector import Usage
+from radishtally.direct.answer_checks import AnswerMismatch, find_mismatch
+
+KEPT = Usage(age=1.0, carried=3)
+
+
+@pytest.mark.parametrize(
+    ("names", "usage", "doubt"),
+    [
+        (("r1",), Usage(), None),
+        (("r1",), KEPT, None),
+        ((), Usage(), None),
+        ((), KEPT, AnswerMismatch.UNNAMED),
+        (("r0",), Usage(), AnswerMismatch.FOREIGN),
+        (("r0",), KEPT, AnswerMismatch.FOREIGN),
+        (("",), KEPT, AnswerMismatch.FOREIGN),
+        (("r1", "r0"), Usage(), AnswerMismatch.SEVERAL),
+        (("r1", "r1"), KEPT, AnswerMismatch.SEVERAL),
+    ],
+)
+def test_answer_is_doubted(
+    names: tuple[str, ...], usage: Usage, doubt: AnswerMismatch | None
+) -> None:
+    assert find_mismatch(names, "r1", usage) == doubt
