--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from radishtally.claims.core import ClaimCore, ClaimTerms
+from radishtally.claims.core import ClaimCore, ClaimLimits
 from radishtally.claims.events import (
     Answer,
     CallFinished,
@@ -38,7 +38,7 @@
 from radishtally.store.ids import WriteIds
 from tests.common import MemoryTable, Rows, run
 
-TERMS = ClaimTerms()
+LIMITS = ClaimLimits()
 ENTRIES = ("e1", "e2", "e3")
 KEYS = ("k1", "k2")
 SECONDS = 2.0
@@ -64,7 +64,7 @@
     """Run one claim core against shared rows."""
 
     def __init__(self, holder: str, rows: Rows) -> None:
-        self.core = ClaimCore(holder, WriteIds(holder), TERMS)
+        self.core = ClaimCore(holder, WriteIds(holder), LIMITS)
         self.rows = rows
         self.calls: list[SendGroup | ReadRow] = []
         self.late: list[SendGroup] = []
@@ -425,7 +425,7 @@
 
 def test_waiting_claims_are_bounded() -> None:
     entry = Entry("e1-0", Rows())
-    entry.core = ClaimCore("e1-0", WriteIds("e1-0"), ClaimTerms(waiting=3))
+    entry.core = ClaimCore("e1-0", WriteIds("e1-0"), ClaimLimits(waiting=3))
     for number in range(4):
         ask(entry, number, make_claim(f"r{number}", f"k{number}"))
     assert entry.answers == {3: StoreAway()}
@@ -447,7 +447,7 @@
     assert entry.answers[1] == StoreAway()
     ask(entry, 2, make_claim("r2", "k2"), now)
     assert entry.answers[2] == StoreAway()
-    now += TERMS.longest_retry_seconds
+    now += LIMITS.longest_retry_seconds
     ask(entry, 3, make_claim("r3", "k2"), now)
     assert 3 not in entry.answers
     entry.run(now, 1.0)
