--- a/radishtally/direct/answers.py
+++ b/radishtally/direct/answers.py
@@ -17,8 +17,8 @@
 )
 from radishtally.direct.const import MAX_ANSWER_BYTES, OK, READ_BYTES
 from radishtally.direct.core import NO_NOTICE, Dialect, Head, Instance, Notice
-from radishtally.direct.ends import Ends
 from radishtally.direct.pool import WatchedResponse
+from radishtally.direct.probes import HostProbes
 from radishtally.direct.stream import EventCutter, is_next
 from radishtally.exchange import decode_headers
 from radishtally.links.messages import (
@@ -58,12 +58,12 @@
         self,
         dialect: Dialect,
         receive: Receive,
-        ends: Ends,
+        probes: HostProbes,
         is_leaving: Callable[[str], bool],
     ) -> None:
         self._dialect = dialect
         self._receive = receive
-        self._ends = ends
+        self._probes = probes
         self._is_leaving = is_leaving
         self.on_mismatch: Callable[[AnswerMismatch], None] = lambda doubt: None
         self.on_notice: Callable[[Instance, Notice], None] = lambda host, notice: None
@@ -137,7 +137,7 @@
         """
         # What leaves ends soon after its last answer.
         is_leaving = self._is_leaving(instance.host)
-        has_ended = not is_leaving and await self._ends.look(instance)
+        has_ended = not is_leaving and await self._probes.probe(instance)
         log_message(
             "upstream:answer_unframed",
             request=offer.work.request,
--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -18,8 +18,8 @@
     OrderOutcome,
     UpstreamCall,
 )
-from radishtally.direct.ends import Ends
 from radishtally.direct.pool import open_session
+from radishtally.direct.probes import HostProbes
 from radishtally.exchange import BROKEN, SendOnce
 from radishtally.links.messages import (
     ENDED,
@@ -50,8 +50,8 @@
         self._receive = receive
         self._tasks = AttemptTasks()
         self._instances: dict[str, Instance] = {}
-        self._ends = Ends()
-        self.answers = AnswerReader(dialect, receive, self._ends, self._is_leaving)
+        self._probes = HostProbes()
+        self.answers = AnswerReader(dialect, receive, self._probes, self._is_leaving)
 
     async def start(self) -> None:
         """Open the pools of connections."""
@@ -159,7 +159,7 @@
         except BROKEN as error:
             # A prompt that was to be computed has not run: no token was made of it.
             ran = Ran.NO if offer.stage == PREFILL else Ran.UNKNOWN
-            has_ended = await self._ends.has_ended(instance, error)
+            has_ended = await self._probes.has_ended(instance, error)
             reason = ENDED if has_ended else describe(error)
             self._receive(host, Lost(*name, ran, reason, 0))
 
--- a/radishtally/direct/ends.py
+++ b/radishtally/direct/probes.py
@@ -10,11 +10,11 @@
 from radishtally.direct.pool import is_refused
 
 
-class Ends:
+class HostProbes:
     """Look whether hosts have ended, once for all that ask together."""
 
     def __init__(self) -> None:
-        self._looks: dict[Instance, asyncio.Task[bool]] = {}
+        self._running: dict[Instance, asyncio.Task[bool]] = {}
 
     async def has_ended(self, instance: Instance, error: BaseException) -> bool:
         """Tell whether an answer broke off because its host has ended.
@@ -25,19 +25,19 @@
         is_foreign = isinstance(error, MismatchedAnswerError)
         if is_foreign or not isinstance(error, aiohttp.ClientError):
             return False
-        return await self.look(instance)
+        return await self.probe(instance)
 
-    async def look(self, instance: Instance) -> bool:
+    async def probe(self, instance: Instance) -> bool:
         """Tell whether nothing listens at a host any more."""
-        look = self._looks.get(instance)
-        if look is None:
-            look = asyncio.create_task(_look(instance))
-            self._looks[instance] = look
-            look.add_done_callback(lambda _: self._looks.pop(instance))
-        return await asyncio.shield(look)
+        probe = self._running.get(instance)
+        if probe is None:
+            probe = asyncio.create_task(_probe(instance))
+            self._running[instance] = probe
+            probe.add_done_callback(lambda _: self._running.pop(instance))
+        return await asyncio.shield(probe)
 
 
-async def _look(instance: Instance) -> bool:
+async def _probe(instance: Instance) -> bool:
     has_ended = await is_refused(instance.address)
     if has_ended:
         log_message("upstream:ended", upstream_host=instance.host)
