--- a/radishtally/direct/answers.py
+++ b/radishtally/direct/answers.py
@@ -19,7 +19,7 @@
 from radishtally.direct.core import NO_NOTICE, Dialect, Head, Instance, Notice
 from radishtally.direct.pool import WatchedResponse
 from radishtally.direct.probes import HostProbes
-from radishtally.direct.stream import EventCutter, is_next
+from radishtally.direct.stream import EventSplitter, continues_stream
 from radishtally.exchange import decode_headers
 from radishtally.links.messages import (
     CALL,
@@ -83,7 +83,7 @@
             response.abort()
             self._note_doubt(doubt, head, response.usage, instance, offer)
             raise MismatchedAnswerError(doubt)
-        self.take_notice(response, instance)
+        self.report_notice(response, instance)
         if head.not_run:
             reason = REPLACED if head.is_replaced else f"status {head.status}"
             self._receive(host, Refused(*name, reason, 0.0))
@@ -99,7 +99,7 @@
             return
         await self._follow(response, instance, offer, terms, head)
 
-    def take_notice(self, response: WatchedResponse, instance: Instance) -> None:
+    def report_notice(self, response: WatchedResponse, instance: Instance) -> None:
         """Take what the head of any answer says of its host."""
         headers = decode_headers(response.raw_headers)
         notice = self._dialect.read_notice(response.status, headers)
@@ -200,10 +200,10 @@
         host = instance.host
         name = offer.work.request, offer.attempt
         progress = _begin(offer)
-        cutter = EventCutter()
+        splitter = EventSplitter()
         self._receive(host, Begun(*name, head.status, head.headers))
         async for data in response.content.iter_any():
-            found = cutter.feed(data)
+            found = splitter.feed(data)
             if found is None:
                 continue
             is_first = progress.offset == len(offer.done)
@@ -214,9 +214,9 @@
         response.check_end()
         if not response.is_framed:
             is_empty = progress.offset == len(offer.done)
-            await self._check_close(instance, offer, len(cutter.rest), is_empty)
-        if cutter.rest:
-            self._pass_on(host, name, progress, cutter.rest)
+            await self._check_close(instance, offer, len(splitter.rest), is_empty)
+        if splitter.rest:
+            self._pass_on(host, name, progress, splitter.rest)
         length, checksum = progress.offset, progress.checksum.intdigest()
         end = Finished(
             *name, length, checksum, head.status, "", 0, progress.tokens, head.headers
@@ -233,7 +233,7 @@
 def _begins_as_asked(first: int, offer: Offer, terms: Terms) -> bool:
     """Tell whether a run begins behind what its caller has, by its first event's id."""
     if offer.done:
-        return is_next(first, offer.done)
+        return continues_stream(first, offer.done)
     return not first or first > terms.resumed_after
 
 
--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -116,7 +116,7 @@
                 asyncio.timeout(ORDER_SECONDS),
                 self._send(instance.address, call, False) as response,
             ):
-                self.answers.take_notice(response, instance)
+                self.answers.report_notice(response, instance)
                 if response.status != OK:
                     return Error(f"status {response.status}")
                 return Ok(await response.read())
@@ -133,7 +133,7 @@
                 asyncio.timeout(ORDER_SECONDS),
                 self._send(instance.address, call, False) as response,
             ):
-                self.answers.take_notice(response, instance)
+                self.answers.report_notice(response, instance)
                 return self._dialect.read_order(response.status)
         except NOT_CONNECTED:
             return OrderOutcome.UNREACHED
@@ -193,7 +193,7 @@
             ):
                 instance = self._instances.get(kv.host)
                 if instance is not None and instance.address == kv.url:
-                    self.answers.take_notice(response, instance)
+                    self.answers.report_notice(response, instance)
                 await response.read()
         except BROKEN as error:
             log_message(
--- a/radishtally/direct/pool.py
+++ b/radishtally/direct/pool.py
@@ -39,7 +39,7 @@
             self._watched.abort()
 
 
-async def is_refused(address: str) -> bool:
+async def is_connection_refused(address: str) -> bool:
     """Tell whether nothing listens at an IP and port that can be reached."""
     ip, port = address.rsplit(":", 1)
     try:
--- a/radishtally/direct/probes.py
+++ b/radishtally/direct/probes.py
@@ -7,7 +7,7 @@
 
 from radishtally.direct.answer_checks import MismatchedAnswerError
 from radishtally.direct.core import Instance
-from radishtally.direct.pool import is_refused
+from radishtally.direct.pool import is_connection_refused
 
 
 class HostProbes:
@@ -38,7 +38,7 @@
 
 
 async def _probe(instance: Instance) -> bool:
-    has_ended = await is_refused(instance.address)
+    has_ended = await is_connection_refused(instance.address)
     if has_ended:
         log_message("upstream:ended", upstream_host=instance.host)
     return has_ended
--- a/radishtally/direct/stream.py
+++ b/radishtally/direct/stream.py
@@ -8,7 +8,7 @@
 ID: Final = re.compile(rb"^id:[ ]?(\d+)\r?$", re.MULTILINE)
 
 
-class Events(NamedTuple):
+class EventBatch(NamedTuple):
     """Hold whole events in a row."""
 
     data: bytes
@@ -18,7 +18,7 @@
     """Id of the last of them that has one, else 0."""
 
 
-def is_next(first: int, done: bytes) -> bool:
+def continues_stream(first: int, done: bytes) -> bool:
     """Tell whether a run that begins with an event's id goes on behind other events.
 
     Ids grow. Those of a stream that have grown one by one so far number its events, so
@@ -31,7 +31,7 @@
     return first == ids[-1] + 1 or not is_counting
 
 
-class EventCutter:
+class EventSplitter:
     """Hold back an event that has not come whole.
 
     A host that breaks off may do so within an event. Passed on, its beginning would
@@ -46,7 +46,7 @@
         """Give what has come of an event that is not whole."""
         return self._rest
 
-    def feed(self, data: bytes) -> Events | None:
+    def feed(self, data: bytes) -> EventBatch | None:
         """Take what has come; give the events that are whole now, if there are any."""
         data = self._rest + data
         end = max((found.end() for found in BOUNDARY.finditer(data)), default=0)
@@ -56,4 +56,4 @@
         whole = data[:end]
         ids = ID.findall(whole)
         first, last = (int(ids[0]), int(ids[-1])) if ids else (0, 0)
-        return Events(whole, first, last)
+        return EventBatch(whole, first, last)
--- a/tests/direct/test_stream.py
+++ b/tests/direct/test_stream.py
@@ -4,30 +4,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from radishtally.direct.stream import EventCutter, is_next
+from radishtally.direct.stream import EventSplitter, continues_stream
 
 STREAM = b"id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\r\ndata: d\r\n\r\n"
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
 def test_events_come_whole_however_they_are_cut(cuts: list[int]) -> None:
-    cutter = EventCutter()
+    splitter = EventSplitter()
     places = [0, *sorted(cuts), len(STREAM)]
     parts = []
     for begin, end in zip(places, places[1:], strict=False):
-        found = cutter.feed(STREAM[begin:end])
+        found = splitter.feed(STREAM[begin:end])
         if found is not None:
             parts.append(found)
             assert found.data.endswith((b"\n\n", b"\r\n\r\n"))
     assert b"".join(part.data for part in parts) == STREAM
     assert parts[-1].last == 3
-    assert not cutter.rest
+    assert not splitter.rest
 
 
 def test_half_event_is_held_back() -> None:
-    cutter = EventCutter()
-    assert cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda").data == b"id: 1\ndata: a\n\n"
-    assert cutter.rest == b"id: 2\nda"
+    splitter = EventSplitter()
+    assert splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda").data == b"id: 1\ndata: a\n\n"
+    assert splitter.rest == b"id: 2\nda"
 
 
 def make(*ids: int) -> bytes:
@@ -52,4 +52,4 @@
 def test_rest_begins_behind_the_last_event(
     first: int, done: bytes, is_rest: bool
 ) -> None:
-    assert is_next(first, done) == is_rest
+    assert continues_stream(first, done) == is_rest
