--- a/radishtally/agent/daemon.py
+++ b/radishtally/agent/daemon.py
@@ -14,7 +14,7 @@
 from radishtally.agent.orders import DrainFollower, OrderDriver
 from radishtally.agent.service import Service
 from radishtally.authority.plan import DRAIN, PLAN
-from radishtally.authority.plans import Plans
+from radishtally.authority.plan_store import PlanStore
 from radishtally.configuration.config import Service as ServiceConfig
 from radishtally.links.hub import Callbacks
 from radishtally.links.messages import Hello, Hint, Message, Offer
@@ -70,7 +70,7 @@
 
     def _start_orders(self) -> None:
         settings, process = self.settings, self.process
-        plans = Plans(process.table, settings.host, process.write_ids)
+        plans = PlanStore(process.table, settings.host, process.write_ids)
         self.orders = OrderDriver(
             settings.host, settings.place, plans, self.upstream, process.audit, self
         )
--- a/radishtally/agent/orders.py
+++ b/radishtally/agent/orders.py
@@ -14,7 +14,7 @@
 from radishtally.authority.order_events import OrderTerms
 from radishtally.authority.orders import OrderCore
 from radishtally.authority.plan import name_drain, read_drain_row
-from radishtally.authority.plans import Plans
+from radishtally.authority.plan_store import PlanStore
 from radishtally.driver import CoreDriver
 from radishtally.store.core import Table
 
@@ -82,7 +82,7 @@
         self,
         host: str,
         place: str,
-        plans: Plans,
+        plans: PlanStore,
         engine: Engine,
         audit: AuditLog,
         agent: Work,
--- a/radishtally/authority/plans.py
+++ b/radishtally/authority/plan_store.py
@@ -68,7 +68,7 @@
     return time.time_ns() // 1_000_000
 
 
-class Plans:
+class PlanStore:
     """Read and write plans and drains for one process."""
 
     def __init__(
--- a/radishtally/entry/core.py
+++ b/radishtally/entry/core.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from radishtally.authority.plans import Plans
+from radishtally.authority.plan_store import PlanStore
 from radishtally.configuration.store import ConfigurationStore
 from radishtally.entry.callers import Directory
 from radishtally.entry.explain import Steps
@@ -28,7 +28,7 @@
     members: Members
     core: EntryCore
     configurations: ConfigurationStore
-    plans: Plans
+    plans: PlanStore
     planning: PlanningBoard
     steps: Steps
     watcher: HeadReader
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -12,7 +12,7 @@
 from sanic import HTTPResponse, Request
 from sanic.server.async_server import AsyncioServer
 
-from radishtally.authority.plans import Plans
+from radishtally.authority.plan_store import PlanStore
 from radishtally.claims.events import (
     ClaimOutcome,
     Granted,
@@ -69,7 +69,9 @@
         )
         holder = f"{settings.host}:{self.process.incarnation}"
         self.claims = ClaimStore(self.process.table, holder, self.process.write_ids)
-        self.plans = Plans(self.process.table, settings.host, self.process.write_ids)
+        self.plans = PlanStore(
+            self.process.table, settings.host, self.process.write_ids
+        )
         self.planning = PlanningBoard(
             Parts(
                 settings.host,
--- a/radishtally/entry/planning.py
+++ b/radishtally/entry/planning.py
@@ -10,7 +10,7 @@
 from radishtally.audit.store import AuditLog
 from radishtally.authority.holder import LeaseHolder
 from radishtally.authority.plan import PLAN
-from radishtally.authority.plans import Plans
+from radishtally.authority.plan_store import PlanStore
 from radishtally.configuration.config import Configuration, Engines
 from radishtally.links.hub import LinkHub
 from radishtally.links.messages import Hint, Load
@@ -32,7 +32,7 @@
     host: str
     write_ids: WriteIds
     table: Table
-    plans: Plans
+    plans: PlanStore
     audit: AuditLog
     hub: LinkHub
     start_task: StartTask
--- a/tests/authority/test_plans.py
+++ b/tests/authority/test_plan_store.py
@@ -9,7 +9,7 @@
 from radishtally.authority.holder import LeaseHolder
 from radishtally.authority.lease_events import LeaseTerms
 from radishtally.authority.plan import Drain, Wanted
-from radishtally.authority.plans import NotHeld, Plans, Superseded
+from radishtally.authority.plan_store import NotHeld, PlanStore, Superseded
 from radishtally.store.core import Check, Key, Put, Unavailable
 from radishtally.store.ids import WriteIds
 from tests.common import MemoryTable, run
@@ -45,8 +45,8 @@
 
 
 @pytest.fixture
-def plans(table: MemoryTable) -> Plans:
-    return Plans(table, "e1", WriteIds("e1-0"), clock_ms=lambda: 1000)
+def plans(table: MemoryTable) -> PlanStore:
+    return PlanStore(table, "e1", WriteIds("e1-0"), clock_ms=lambda: 1000)
 
 
 @pytest.fixture
@@ -124,7 +124,7 @@
 
 
 def test_plan_is_written_with_its_audit_entry(
-    table: MemoryTable, plans: Plans, lease: FixedLease
+    table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
     async def play() -> None:
         first = (await plans.write_plan(PLACE, None, WANTED, "mix", lease)).ok
@@ -141,7 +141,7 @@
 
 
 def test_plan_of_a_paused_holder_has_no_effect(
-    table: MemoryTable, plans: Plans, lease: FixedLease
+    table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
     # A planner decides, is paused, and its lease goes to another one. It wakes, still
     # believes it holds the lease, and writes its plan: the lease row has moved on, so
@@ -157,7 +157,7 @@
 
 
 def test_plan_meets_a_renewal_of_its_own_lease(
-    table: MemoryTable, plans: Plans, lease: FixedLease
+    table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
     # The lease is renewed between the check and the write. That is no loss of
     # authority: the plan goes again under the renewed revision.
@@ -175,7 +175,9 @@
     run(play())
 
 
-def test_plan_built_on_an_older_one_is_refused(plans: Plans, lease: FixedLease) -> None:
+def test_plan_built_on_an_older_one_is_refused(
+    plans: PlanStore, lease: FixedLease
+) -> None:
     async def play() -> None:
         first = (await plans.write_plan(PLACE, None, WANTED, "mix", lease)).ok
         result = await plans.write_plan(PLACE, None, OTHER, "mix", lease)
@@ -185,14 +187,16 @@
     run(play())
 
 
-def test_plan_without_the_lease_is_not_written(plans: Plans, lease: FixedLease) -> None:
+def test_plan_without_the_lease_is_not_written(
+    plans: PlanStore, lease: FixedLease
+) -> None:
     lease.fencing = None
     result = run(plans.write_plan(PLACE, None, WANTED, "mix", lease))
     assert isinstance(result.error, NotHeld)
 
 
 def test_plan_is_refused_while_the_store_is_away(
-    table: MemoryTable, plans: Plans, lease: FixedLease
+    table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
     table.down = True
     result = run(plans.write_plan(PLACE, None, WANTED, "mix", lease))
@@ -201,7 +205,7 @@
 
 @pytest.mark.parametrize("lost", [0, 1])
 def test_drain_is_kept_with_its_audit_entry(
-    table: MemoryTable, plans: Plans, lost: int
+    table: MemoryTable, plans: PlanStore, lost: int
 ) -> None:
     async def play() -> None:
         table.lose_replies = lost
@@ -219,7 +223,7 @@
 # The audit trail misses a plan: one process plans for two places in one millisecond,
 # and both plans have the same number.
 def test_plans_of_two_places_in_one_millisecond_are_both_recorded(
-    table: MemoryTable, plans: Plans, lease: FixedLease
+    table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
     async def play() -> None:
         assert (await plans.write_plan(PLACE, None, WANTED, "mix", lease)).is_ok()
--- a/tests/integration/common.py
+++ b/tests/integration/common.py
@@ -10,7 +10,7 @@
 from bench.fleet import Fleet, get_json, post_json, read_sample
 from bench.network import Network
 from radishtally.authority.plan import Plan
-from radishtally.authority.plans import Plans
+from radishtally.authority.plan_store import PlanStore
 from radishtally.store.ids import WriteIds
 from radishtally.store.table import HttpTable
 from tests.integration.callers import Stream
@@ -158,7 +158,7 @@
 
     async def read() -> Plan | None:
         table = HttpTable(fleet.standins["table"].url, "radishtally")
-        plan = await Plans(table, "test", WriteIds("test")).read_plan(place)
+        plan = await PlanStore(table, "test", WriteIds("test")).read_plan(place)
         await table.close()
         assert plan.is_ok(), str(plan)
         return plan.ok
--- a/tests/integration/test_lease.py
+++ b/tests/integration/test_lease.py
@@ -12,7 +12,7 @@
 from radishtally.authority.holder import LeaseHolder
 from radishtally.authority.lease_events import LeaseTerms
 from radishtally.authority.plan import Plan, Wanted, follow_plan, make_plan_writes
-from radishtally.authority.plans import NotHeld, Plans
+from radishtally.authority.plan_store import NotHeld, PlanStore
 from radishtally.store.core import ABSENT, Key, Put
 from radishtally.store.ids import WriteIds
 from radishtally.store.table import HttpTable
@@ -34,7 +34,7 @@
     def __init__(self, name: str, network: Network, address: str) -> None:
         url = f"http://{network.add(name, 'table', address)}"
         self.table = HttpTable(url, TABLE)
-        self.plans = Plans(self.table, name, WriteIds(name))
+        self.plans = PlanStore(self.table, name, WriteIds(name))
         self.lease = LeaseHolder(
             self.table,
             PLACE,
