--- a/radishtally/agent/orders.py
+++ b/radishtally/agent/orders.py
@@ -13,7 +13,7 @@
 from radishtally.authority import order_events as orders
 from radishtally.authority.order_events import OrderTerms
 from radishtally.authority.orders import OrderCore
-from radishtally.authority.plan import name_drain, read_drain_row
+from radishtally.authority.plan import make_drain_key, read_drain_row
 from radishtally.authority.plan_store import PlanStore
 from radishtally.driver import CoreDriver
 from radishtally.store.core import Table
@@ -54,7 +54,7 @@
         """Read the row from time to time; with the store away, keep its last word."""
         while True:
             self._hinted.clear()
-            read = await self._table.get(name_drain(self._host))
+            read = await self._table.get(make_drain_key(self._host))
             if read.is_ok():
                 drain = read_drain_row(read.ok) if read.ok is not None else None
                 self._take(drain is not None and drain.drained)
--- a/radishtally/authority/plan.py
+++ b/radishtally/authority/plan.py
@@ -39,17 +39,17 @@
     cause: str
 
 
-def name_plan(place: str) -> Key:
+def make_plan_key(place: str) -> Key:
     """Name the row of a place's plan."""
     return Key(PLAN, place)
 
 
-def name_drain(host: str) -> Key:
+def make_drain_key(host: str) -> Key:
     """Name the row of a host's drain."""
     return Key(DRAIN, host)
 
 
-def follow_plan(
+def make_next_plan(
     place: str,
     previous: Plan | None,
     fencing: int,
@@ -69,14 +69,14 @@
     A planner that was paused while its lease went to another one still believes in its
     plan; the check on the lease row's revision makes the whole transaction void then.
     """
-    put = Put(name_plan(plan.place), encode_record(plan), previous_rev)
+    put = Put(make_plan_key(plan.place), encode_record(plan), previous_rev)
     return [lease, put, audit]
 
 
 def make_drain_writes(drain: Drain, previous: Row | None, audit: Put) -> list[Write]:
     """Form the transaction that drains a host or takes the drain back."""
     expect = ABSENT if previous is None else previous.rev
-    return [Put(name_drain(drain.host), encode_record(drain), expect), audit]
+    return [Put(make_drain_key(drain.host), encode_record(drain), expect), audit]
 
 
 def encode_record(record: Plan | Drain) -> dict[str, Any]:
--- a/radishtally/authority/plan_store.py
+++ b/radishtally/authority/plan_store.py
@@ -11,11 +11,11 @@
     Plan,
     Wanted,
     encode_record,
-    follow_plan,
+    make_drain_key,
     make_drain_writes,
+    make_next_plan,
+    make_plan_key,
     make_plan_writes,
-    name_drain,
-    name_plan,
     read_drain_row,
     read_plan_row,
 )
@@ -88,7 +88,7 @@
 
     async def read_plan(self, place: str) -> Result[Plan | None, ReadError]:
         """Read the plan in force."""
-        result = await self._table.get(name_plan(place))
+        result = await self._table.get(make_plan_key(place))
         return result.map(_read_plan)
 
     async def write_plan(
@@ -135,7 +135,7 @@
         cause: str,
         lease: Lease,
     ) -> Result[Plan, PlanError]:
-        read = await self._table.get(name_plan(place))
+        read = await self._table.get(make_plan_key(place))
         if read.is_error():
             return read
         current = _read_plan(read.ok)
@@ -145,14 +145,14 @@
         check, fencing = lease.make_check(), lease.fencing
         if check is None or fencing is None:
             return Error(NotHeld())
-        plan = follow_plan(place, previous, fencing, cause, wanted)
+        plan = make_next_plan(place, previous, fencing, cause, wanted)
         rev = ABSENT if read.ok is None else read.ok.rev
         audit = self._audit_plan(previous, plan)
         result = await self._transact(make_plan_writes(plan, rev, check, audit))
         return result.map(lambda _: plan)
 
     async def _try_drain(self, drain: Drain) -> Result[Drain, TableError | ReadError]:
-        read = await self._table.get(name_drain(drain.host))
+        read = await self._table.get(make_drain_key(drain.host))
         if read.is_error():
             return read
         audit = self._audit_drain(read.ok, drain)
--- a/tests/authority/test_lease.py
+++ b/tests/authority/test_lease.py
@@ -32,7 +32,7 @@
     WriteLease,
     WriteSettled,
 )
-from radishtally.authority.plan import follow_plan, make_plan_writes, name_plan
+from radishtally.authority.plan import make_next_plan, make_plan_key, make_plan_writes
 from radishtally.outcome import Error
 from radishtally.store.core import ABSENT, Check, Unavailable, Unclear
 from radishtally.store.ids import WriteIds
@@ -219,9 +219,9 @@
     def write_plan(self, last: bool) -> None:
         """Send a plan, however long ago it was decided on."""
         fencing, check = self.plans.pop(-1 if last else 0)
-        row = self.rows.read(name_plan(PLACE))
+        row = self.rows.read(make_plan_key(PLACE))
         rev = ABSENT if row is None else row.rev
-        plan = follow_plan(PLACE, None, fencing, "mix", {})
+        plan = make_next_plan(PLACE, None, fencing, "mix", {})
         audit = make_audit_put(0, "a", "plan", PLACE, "mix", {}, {}, str(self.written))
         self.written += 1
         write_id = f"plan-{self.written}"
--- a/tests/authority/test_lease_model.py
+++ b/tests/authority/test_lease_model.py
@@ -23,7 +23,7 @@
     Tick,
     WriteLease,
 )
-from radishtally.authority.plan import follow_plan, make_plan_writes, name_plan
+from radishtally.authority.plan import make_next_plan, make_plan_key, make_plan_writes
 from radishtally.store.core import ABSENT, Check
 from radishtally.store.ids import WriteIds
 from tests.authority.test_lease import LATE, NAMES, REFUSED, REPLY_LOST, SERVED
@@ -201,8 +201,8 @@
     def write_plan(self, last: bool) -> None:
         """Send a plan, however long ago it was decided on."""
         place, fencing, check = self.plans.pop(-1 if last else 0)
-        row = self.rows.read(name_plan(place))
-        plan = follow_plan(place, None, fencing, "mix", {})
+        row = self.rows.read(make_plan_key(place))
+        plan = make_next_plan(place, None, fencing, "mix", {})
         self.written += 1
         number = str(self.written)
         audit = make_audit_put(0, "a", "plan", place, "mix", {}, {}, number)
--- a/tests/integration/test_lease.py
+++ b/tests/integration/test_lease.py
@@ -11,7 +11,7 @@
 from bench.network import Network
 from radishtally.authority.holder import LeaseHolder
 from radishtally.authority.lease_events import LeaseTerms
-from radishtally.authority.plan import Plan, Wanted, follow_plan, make_plan_writes
+from radishtally.authority.plan import Plan, Wanted, make_next_plan, make_plan_writes
 from radishtally.authority.plan_store import NotHeld, PlanStore
 from radishtally.store.core import ABSENT, Key, Put
 from radishtally.store.ids import WriteIds
@@ -89,7 +89,7 @@
 
     async def live() -> None:
         async with contend(network, table) as (old, new):
-            plan = follow_plan(PLACE, None, old.lease.fencing, "late", WANTED)
+            plan = make_next_plan(PLACE, None, old.lease.fencing, "late", WANTED)
             writes = make_plan_writes(plan, ABSENT, old.lease.make_check(), AUDIT)
             network.delay("old", "table", LATE_SECONDS)
             arrives_at = time.monotonic() + LATE_SECONDS
--- a/tests/planner/test_core.py
+++ b/tests/planner/test_core.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from radishtally.authority.plan import Plan, Wanted, follow_plan
+from radishtally.authority.plan import Plan, Wanted, make_next_plan
 from radishtally.configuration.config import Policy
 from radishtally.links.messages import DECODE, MIXED, PREFILL
 from radishtally.planner.core import (
@@ -73,7 +73,9 @@
             handle(Reported(POOL, load, self.counts[host]), self.planner, self.now)
 
     def _write(self, command) -> None:
-        plan = follow_plan("howrah", command.previous, 7, command.cause, command.wanted)
+        plan = make_next_plan(
+            "howrah", command.previous, 7, command.cause, command.wanted
+        )
         handle(PlanWritten(plan), self.planner, self.now)
         for host, wanted in command.wanted.items():
             if wanted.role != self.roles[host] and host not in self.orders:
@@ -139,7 +141,7 @@
     """
     fleet.run(LONG_PROMPTS, 200, write=False)
     [command] = fleet.commands
-    plan = follow_plan("howrah", None, 7, command.cause, command.wanted)
+    plan = make_next_plan("howrah", None, 7, command.cause, command.wanted)
     handle(LostLease(), fleet.planner, fleet.now)
     handle(PlanWritten(plan), fleet.planner, fleet.now)
     assert fleet.planner.plan is None
