--- a/radishtally/authority/holder.py
+++ b/radishtally/authority/lease_driver.py
@@ -51,7 +51,7 @@
     """Age of that look, or of this process's own last write."""
 
 
-class LeaseHolder(CoreDriver):
+class LeaseDriver(CoreDriver):
     """Drive the lease of one place for this process."""
 
     def __init__(
--- a/radishtally/entry/planning.py
+++ b/radishtally/entry/planning.py
@@ -8,7 +8,7 @@
 from eliot import log_message
 
 from radishtally.audit.store import AuditLog
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.authority.plan import PLAN
 from radishtally.authority.plan_store import PlanStore
 from radishtally.configuration.config import Configuration, Engines
@@ -46,7 +46,7 @@
         self._parts = parts
         self._planner = Planner()
         self._tasks: set[asyncio.Task] = set()
-        self._lease = LeaseHolder(
+        self._lease = LeaseDriver(
             parts.table,
             place,
             parts.host,
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -9,7 +9,7 @@
 import msgspec
 from eliot import log_message
 
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.direct.core import Dialect, EngineReport, Instance, Notice
 from radishtally.direct.hosts import DirectHosts
 from radishtally.engines.placement import EnginePlacement
@@ -405,9 +405,9 @@
         self.handle(events.Received(host, message))
 
 
-def make_lease(gateway: Gateway) -> LeaseHolder:
+def make_lease(gateway: Gateway) -> LeaseDriver:
     """Make the lease under which one gateway gives engines their roles."""
-    return LeaseHolder(
+    return LeaseDriver(
         gateway.table,
         STAGES,
         gateway.settings.host,
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -9,7 +9,7 @@
 
 from eliot import log_message
 
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.absences import Absences
 from radishtally.gateway.const import (
@@ -48,7 +48,7 @@
     placement: EnginePlacement
     recall: Recall
     stages: StageKeeper
-    lease: LeaseHolder
+    lease: LeaseDriver
     core: EntryCore
     table: Table
 
--- a/tests/authority/test_holder.py
+++ b/tests/authority/test_lease_driver.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from radishtally.authority.holder import READERS, LeaseHolder
+from radishtally.authority.lease_driver import READERS, LeaseDriver
 from radishtally.authority.lease_events import LeaseTerms
 from radishtally.outcome import Error, Ok, Result
 from radishtally.store.core import Key, Row, TableError, Unavailable, Unclear, Write
@@ -22,7 +22,7 @@
 def test_contenders_share_the_looks_at_the_lease(
     contenders: int, seconds: float
 ) -> None:
-    holder = LeaseHolder(
+    holder = LeaseDriver(
         None, "stages", "a", WriteIds("a-1"), TERMS, on_gained=print, on_lost=print
     )
     holder.share_reads(contenders)
@@ -33,7 +33,7 @@
     """Tell of a new era with a call's answer, as the store's client does."""
 
     def __init__(self) -> None:
-        self.holder: LeaseHolder | None = None
+        self.holder: LeaseDriver | None = None
         self.era = 0
         """Era that the next answer is the first to tell of."""
         self.reads = 0
@@ -60,7 +60,7 @@
 def test_write_of_an_earlier_era_is_not_sent_again() -> None:
     async def play_on() -> None:
         table = RestoredTable()
-        holder = LeaseHolder(
+        holder = LeaseDriver(
             table, "stages", "a", WriteIds("a-1"), TERMS, on_gained=print, on_lost=print
         )
         holder.start()
@@ -84,7 +84,7 @@
 def test_call_that_tells_of_an_era_is_over_with_it() -> None:
     async def play_on() -> None:
         table = RestoredTable()
-        holder = LeaseHolder(
+        holder = LeaseDriver(
             table, "stages", "a", WriteIds("a-1"), TERMS, on_gained=print, on_lost=print
         )
         table.holder, table.era = holder, 2
--- a/tests/authority/test_plan_store.py
+++ b/tests/authority/test_plan_store.py
@@ -6,7 +6,7 @@
 import pytest
 
 from radishtally.audit.core import AUDIT, read_entry
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.authority.lease_events import LeaseTerms
 from radishtally.authority.plan import Drain, Wanted
 from radishtally.authority.plan_store import NotHeld, PlanStore, Superseded
@@ -62,8 +62,8 @@
 
 def make_holder(
     table: MemoryTable, name: str, seen: list[str], terms: LeaseTerms = LONG
-) -> LeaseHolder:
-    return LeaseHolder(
+) -> LeaseDriver:
+    return LeaseDriver(
         table,
         PLACE,
         name,
--- a/tests/integration/test_lease.py
+++ b/tests/integration/test_lease.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bench.network import Network
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.authority.lease_events import LeaseTerms
 from radishtally.authority.plan import Plan, Wanted, make_next_plan, make_plan_writes
 from radishtally.authority.plan_store import NotHeld, PlanStore
@@ -35,7 +35,7 @@
         url = f"http://{network.add(name, 'table', address)}"
         self.table = HttpTable(url, TABLE)
         self.plans = PlanStore(self.table, name, WriteIds(name))
-        self.lease = LeaseHolder(
+        self.lease = LeaseDriver(
             self.table,
             PLACE,
             name,
--- a/tests/stages/test_keeper.py
+++ b/tests/stages/test_keeper.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.authority.lease_row import ERA_SHIFT
 from radishtally.direct.core import EngineReport, Instance, OrderOutcome
 from radishtally.engines.state import START_RATE
@@ -231,7 +231,7 @@
     async def play_on() -> list[tuple]:
         engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
         orders, clock = FencedOrders("e3", seen=9), Clock()
-        lease = LeaseHolder(
+        lease = LeaseDriver(
             MemoryTable(),
             "stages",
             "g",
@@ -258,7 +258,7 @@
 def test_no_order_is_given_between_a_restore_and_the_new_lease() -> None:
     async def play_on() -> list[int]:
         orders, clock, table = FakeOrders(OrderOutcome.TAKEN), Clock(), MemoryTable()
-        lease = LeaseHolder(
+        lease = LeaseDriver(
             table,
             "stages",
             "g",
