--- a/radishtally/authority/lease_driver.py
+++ b/radishtally/authority/lease_driver.py
@@ -84,7 +84,7 @@
         """Tell whether an order may be given now; ask before each one."""
         return self._core.holds(self._clock())
 
-    def share_reads(self, contenders: int) -> None:
+    def set_contender_count(self, contenders: int) -> None:
         """Look more seldom the more contend: the first look after a lapse takes over.
 
         Looks stay less than the lease's time apart. A row that was renewed in between
@@ -116,7 +116,7 @@
     def set_terms(self, terms: LeaseTerms) -> None:
         """Go by other times from the next write on; rows that stand name their own."""
         self._terms = self._core.terms = terms
-        self.share_reads(self._contenders)
+        self.set_contender_count(self._contenders)
 
     def make_check(self) -> Check | None:
         """Form the check that binds a transaction to the lease as held now."""
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -205,7 +205,7 @@
     def count_gateways(self, count: int) -> None:
         """Take how many gateways share the retries, and the looks at the lease."""
         self._gateways = count
-        self.lease.share_reads(count)
+        self.lease.set_contender_count(count)
         self._share_retries()
 
     def find_gathering(self) -> float:
--- a/tests/authority/test_lease_driver.py
+++ b/tests/authority/test_lease_driver.py
@@ -25,7 +25,7 @@
     holder = LeaseDriver(
         None, "stages", "a", WriteIds("a-1"), TERMS, on_gained=print, on_lost=print
     )
-    holder.share_reads(contenders)
+    holder.set_contender_count(contenders)
     assert holder._core.read_every == seconds
 
 
