--- a/radishtally/agent/orders.py
+++ b/radishtally/agent/orders.py
@@ -11,7 +11,7 @@
 from radishtally.agent.engine import Engine, EngineState
 from radishtally.audit.store import AuditLog
 from radishtally.authority import order_events as orders
-from radishtally.authority.order_events import OrderTerms
+from radishtally.authority.order_events import OrderTimings
 from radishtally.authority.orders import OrderCore
 from radishtally.authority.plan import make_drain_key, read_drain_row
 from radishtally.authority.plan_store import PlanStore
@@ -93,7 +93,7 @@
         self._engine = engine
         self._audit = audit
         self._agent = agent
-        super().__init__(OrderCore(host, OrderTerms()), orders.Tick())
+        super().__init__(OrderCore(host, OrderTimings()), orders.Tick())
         self._waits_for_drain = False
 
     @property
@@ -143,7 +143,7 @@
         self._call(self._send_order(command))
 
     @_execute.register
-    def _(self, command: orders.Record) -> None:
+    def _(self, command: orders.RecordAudit) -> None:
         self._audit.record(
             self._host,
             command.what,
@@ -197,7 +197,7 @@
             return orders.UNCLEAR, 0
         status, said = answer.ok
         if status in TAKEN_STATUSES:
-            return orders.TAKEN, 0
+            return orders.ACCEPTED, 0
         if status == STALE_STATUS:
             return orders.STALE, int(said.get("highest", 0))
         if status == BUSY_STATUS:
@@ -205,8 +205,8 @@
         return orders.REJECTED, 0
 
 
-def _describe(state: EngineState) -> orders.Engine:
-    return orders.Engine(
+def _describe(state: EngineState) -> orders.EngineStatus:
+    return orders.EngineStatus(
         state.role,
         state.model,
         state.version,
--- a/radishtally/authority/order_events.py
+++ b/radishtally/authority/order_events.py
@@ -8,7 +8,7 @@
 ROLE: Final = "role"
 ADAPTER: Final = "adapter"
 
-TAKEN: Final = "taken"
+ACCEPTED: Final = "taken"
 """The engine took the order, or had carried it out already."""
 STALE: Final = "stale"
 """The engine has seen a higher fencing number."""
@@ -24,7 +24,7 @@
 MAX_BACKOFF_DOUBLINGS: Final = 6
 
 
-class OrderTerms(NamedTuple):
+class OrderTimings(NamedTuple):
     """Set the times of the agent's orders, in seconds."""
 
     settle: float = 2.0
@@ -41,7 +41,7 @@
     """Before an order that failed is given again; doubles with each failure."""
 
 
-class Engine(NamedTuple):
+class EngineStatus(NamedTuple):
     """Hold what an engine says it is."""
 
     role: str
@@ -68,7 +68,7 @@
 class EngineRead(NamedTuple):
     """Give the engine's state."""
 
-    engine: Engine
+    engine: EngineStatus
     asked_at: float
 
 
@@ -141,7 +141,7 @@
     """Monotonic time at which the order must have left, or is NOT_SENT."""
 
 
-class Record(NamedTuple):
+class RecordAudit(NamedTuple):
     """Record in the audit trail what was done."""
 
     what: str
@@ -156,4 +156,6 @@
     time: float
 
 
-Command = ReadPlan | ReadEngine | StartDrain | EndDrain | SendOrder | Record | WakeAt
+Command = (
+    ReadPlan | ReadEngine | StartDrain | EndDrain | SendOrder | RecordAudit | WakeAt
+)
--- a/radishtally/authority/orders.py
+++ b/radishtally/authority/orders.py
@@ -10,6 +10,7 @@
 from typing import Any, NamedTuple
 
 from radishtally.authority.order_events import (
+    ACCEPTED,
     ADAPTER,
     MAX_BACKOFF_DOUBLINGS,
     MODEL,
@@ -17,23 +18,22 @@
     REJECTED,
     ROLE,
     STALE,
-    TAKEN,
     UNCLEAR,
     Command,
     Drained,
     EndDrain,
-    Engine,
     EngineRead,
+    EngineStatus,
     EngineUnreachable,
     Event,
     HintReceived,
     OrderAnswered,
-    OrderTerms,
+    OrderTimings,
     PlanRead,
     PlanUnreadable,
     ReadEngine,
     ReadPlan,
-    Record,
+    RecordAudit,
     SendOrder,
     StartDrain,
     Tick,
@@ -49,14 +49,14 @@
 
 class _Sent(NamedTuple):
     order: SendOrder
-    before: Engine
+    before: EngineStatus
     taken_at: float = float("inf")
 
 
 class OrderCore:
     """Bring one engine to what the plan wants, one order at a time."""
 
-    def __init__(self, host: str, terms: OrderTerms) -> None:
+    def __init__(self, host: str, terms: OrderTimings) -> None:
         self._host = host
         self._terms = terms
         self._plan: Plan | None = None
@@ -66,7 +66,7 @@
         self._hinted = True
         self._hinted_at = float("-inf")
         self._highest = (0, 0)
-        self._engine: Engine | None = None
+        self._engine: EngineStatus | None = None
         self._engine_asked_at = float("-inf")
         self._engine_read_at = float("-inf")
         self._reading_engine = False
@@ -175,7 +175,7 @@
             return []
         self._sent = None
         self._engine_asked_at = float("-inf")
-        if event.outcome == TAKEN:
+        if event.outcome == ACCEPTED:
             self._taken = sent._replace(taken_at=now)
             return []
         if event.outcome == UNCLEAR:
@@ -191,7 +191,7 @@
         return []
 
     def _watch_quiet(
-        self, engine: Engine, asked_at: float, now: float, restarted: bool
+        self, engine: EngineStatus, asked_at: float, now: float, restarted: bool
     ) -> None:
         """Find out whether an order of unknown fate may still take effect.
 
@@ -210,7 +210,9 @@
             return
         self._settled = asked_at - self._quiet_since >= self._terms.settle
 
-    def _conclude(self, engine: Engine, asked_at: float, now: float) -> list[Command]:
+    def _conclude(
+        self, engine: EngineStatus, asked_at: float, now: float
+    ) -> list[Command]:
         """Compare the engine with the order that it took."""
         taken = self._taken
         if taken is None or engine.changing or asked_at < taken.taken_at:
@@ -224,14 +226,16 @@
         self._forget_failures()
         cause = self._plan.cause if self._plan else ""
         before, after = _describe(taken.before), _describe(engine)
-        return [Record(f"engine:{order.kind}", cause, before, after)]
+        return [RecordAudit(f"engine:{order.kind}", cause, before, after)]
 
     def _fail(self, sent: _Sent, cause: str, now: float) -> list[Command]:
         doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
         self._retry_at = now + self._terms.backoff * 2**doublings
         self._failures += 1
         after = {"order": sent.order.order_id, "failures": self._failures}
-        record = Record("engine:order-failed", cause, _describe(sent.before), after)
+        record = RecordAudit(
+            "engine:order-failed", cause, _describe(sent.before), after
+        )
         return [record, *self._end_drain()]
 
     def _hint(self, now: float) -> None:
@@ -289,7 +293,7 @@
         return min(self._plan_asked_at, self._engine_asked_at) >= self._drained_at
 
     def _order(
-        self, step: _Step, wanted: Wanted, engine: Engine, now: float
+        self, step: _Step, wanted: Wanted, engine: EngineStatus, now: float
     ) -> SendOrder:
         order = SendOrder(
             self._name_order(step, wanted, engine),
@@ -302,7 +306,7 @@
         self._sent = _Sent(order, engine)
         return order
 
-    def _name_order(self, step: _Step, wanted: Wanted, engine: Engine) -> str:
+    def _name_order(self, step: _Step, wanted: Wanted, engine: EngineStatus) -> str:
         """Name an order so that its repeat has the same name and a new one has not."""
         what = repr((step, wanted, engine.incarnation, self._round))
         digest = hashlib.sha256(what.encode()).hexdigest()[:12]
@@ -345,14 +349,14 @@
         return max(now, min(times))
 
 
-def _find_step(wanted: Wanted, engine: Engine) -> _Step | None:
+def _find_step(wanted: Wanted, engine: EngineStatus) -> _Step | None:
     """Find the first order that brings the engine nearer to what is wanted."""
     steps = [_Step(MODEL), _Step(ROLE)]
     steps += [_Step(ADAPTER, adapter) for adapter in wanted.adapters]
     return next((step for step in steps if not _is_done(step, wanted, engine)), None)
 
 
-def _is_done(step: _Step, wanted: Wanted, engine: Engine) -> bool:
+def _is_done(step: _Step, wanted: Wanted, engine: EngineStatus) -> bool:
     if step.kind == MODEL:
         return (engine.model, engine.version) == (wanted.model, wanted.version)
     if step.kind == ROLE:
@@ -360,5 +364,5 @@
     return step.adapter in engine.adapters
 
 
-def _describe(engine: Engine) -> dict[str, Any]:
+def _describe(engine: EngineStatus) -> dict[str, Any]:
     return engine._asdict()
--- a/tests/authority/test_orders.py
+++ b/tests/authority/test_orders.py
@@ -8,29 +8,29 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from radishtally.authority.order_events import (
+    ACCEPTED,
     BUSY,
     MODEL,
     NOT_SENT,
     REJECTED,
     ROLE,
     STALE,
-    TAKEN,
     UNCLEAR,
     Command,
     Drained,
     EndDrain,
-    Engine,
     EngineRead,
+    EngineStatus,
     EngineUnreachable,
     Event,
     HintReceived,
     OrderAnswered,
-    OrderTerms,
+    OrderTimings,
     PlanRead,
     PlanUnreadable,
     ReadEngine,
     ReadPlan,
-    Record,
+    RecordAudit,
     SendOrder,
     StartDrain,
     Tick,
@@ -41,7 +41,7 @@
 
 HOST = "h1"
 PLACE = "salt-lake"
-TERMS = OrderTerms()
+TERMS = OrderTimings()
 CHANGE_SECONDS = 0.5
 """Shorter than the settle time, so that a late order can meet an engine at rest."""
 MIXED = Wanted("mixed", "gown", "1")
@@ -65,9 +65,9 @@
 
     def __init__(self, checks_fencing: bool) -> None:
         self.checks_fencing = checks_fencing
-        self.state = Engine("mixed", "gown", "1", (), False, "e-0", 0)
+        self.state = EngineStatus("mixed", "gown", "1", (), False, "e-0", 0)
         self.ends_at = 0.0
-        self.next: Engine | None = None
+        self.next: EngineStatus | None = None
         self.known: set[str] = set()
         self.accepted: list[SendOrder] = []
         self.up = True
@@ -77,14 +77,14 @@
             self.state = self.next._replace(fencing=self.state.fencing)
             self.next = None
 
-    def read(self, now: float) -> Engine:
+    def read(self, now: float) -> EngineStatus:
         self.settle(now)
         return self.state._replace(changing=self.next is not None)
 
     def take(self, order: SendOrder, now: float) -> OrderAnswered:
         self.settle(now)
         if order.order_id in self.known:
-            return OrderAnswered(order.order_id, TAKEN)
+            return OrderAnswered(order.order_id, ACCEPTED)
         if self.next is not None:
             return OrderAnswered(order.order_id, BUSY)
         if self.checks_fencing and order.fencing < self.state.fencing:
@@ -94,9 +94,9 @@
         self.known.add(order.order_id)
         self.next = self._change(order)
         self.ends_at = now + CHANGE_SECONDS
-        return OrderAnswered(order.order_id, TAKEN)
+        return OrderAnswered(order.order_id, ACCEPTED)
 
-    def _change(self, order: SendOrder) -> Engine:
+    def _change(self, order: SendOrder) -> EngineStatus:
         if order.kind == MODEL:
             model, version = order.wanted.model, order.wanted.version
             return self.state._replace(model=model, version=version, adapters=())
@@ -108,7 +108,7 @@
     def crash(self) -> None:
         """Come back as started at first, with no memory of orders."""
         number = int(self.state.incarnation[2:]) + 1
-        self.state = Engine("mixed", "gown", "1", (), False, f"e-{number}", 0)
+        self.state = EngineStatus("mixed", "gown", "1", (), False, f"e-{number}", 0)
         self.next = None
         self.known = set()
 
@@ -389,7 +389,7 @@
     world.run(20.0)
     kinds = [type(c) for c in world.log if not isinstance(c, ReadPlan | ReadEngine)]
     kinds = [kind for kind in kinds if kind is not WakeAt]
-    assert kinds == [StartDrain, SendOrder, Record, EndDrain]
+    assert kinds == [StartDrain, SendOrder, RecordAudit, EndDrain]
 
 
 def test_first_order_waits_for_orders_of_a_dead_predecessor(world: World) -> None:
@@ -530,7 +530,7 @@
         world.plan = world.plan._replace(number=1)
         world.answer(OrderAnswered(order.order_id, REJECTED))
         assert world.drain == ""
-    failed = [c for c in world.log if isinstance(c, Record)]
+    failed = [c for c in world.log if isinstance(c, RecordAudit)]
     assert [c.what for c in failed] == ["engine:order-failed"] * failures
 
 
