--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -8,12 +8,12 @@
 from bench.capacity.figures import Figure, time_calls
 from radishtally.membership.core import Membership, handle
 from radishtally.membership.events import (
-    Configured,
-    Heard,
+    ConfigurationApplied,
+    ConfiguredHost,
+    HostListRead,
     LinkUp,
-    Listed,
-    Server,
     Tick,
+    TrafficReceived,
 )
 from radishtally.store.client import Reply
 from radishtally.store.core import LIVE, ListedHost
@@ -36,9 +36,11 @@
     """Make a membership in which every host is linked and live."""
     membership = Membership()
     listed = make_listed(count)
-    handle(Listed(listed), membership, 0.0)
-    servers = tuple(Server(item.host, item.place, item.upstream) for item in listed)
-    handle(Configured(servers), membership, 0.0)
+    handle(HostListRead(listed), membership, 0.0)
+    servers = tuple(
+        ConfiguredHost(item.host, item.place, item.upstream) for item in listed
+    )
+    handle(ConfigurationApplied(servers), membership, 0.0)
     for item in listed:
         handle(LinkUp(item.host, "one"), membership, 0.0)
     return membership
@@ -66,19 +68,21 @@
     for count in HOSTS:
         at = {"hosts": count}
         membership = make_membership(count)
-        listed = Listed(make_listed(count))
+        listed = HostListRead(make_listed(count))
         hosts = itertools.cycle(list(membership.members))
 
         def tick(membership: Membership = membership) -> None:
             handle(Tick(), membership, 1.0)
 
-        def read(membership: Membership = membership, listed: Listed = listed) -> None:
+        def read(
+            membership: Membership = membership, listed: HostListRead = listed
+        ) -> None:
             handle(listed, membership, 1.0)
 
         def hear(
             membership: Membership = membership, hosts: Iterator[str] = hosts
         ) -> None:
-            handle(Heard(next(hosts)), membership, 1.0)
+            handle(TrafficReceived(next(hosts)), membership, 1.0)
 
         def find(membership: Membership = membership) -> None:
             membership.usable(1.0, "pool-0")
--- a/radishtally/entry/members.py
+++ b/radishtally/entry/members.py
@@ -30,16 +30,16 @@
     def configure(self, configuration: Configuration) -> None:
         """Take the hosts that a configuration names."""
         servers = tuple(
-            membership.Server(host, server.place, name)
+            membership.ConfiguredHost(host, server.place, name)
             for name, upstream in configuration.upstreams.items()
             for host, server in upstream.servers.items()
         )
-        self._take(membership.Configured(servers))
+        self._take(membership.ConfigurationApplied(servers))
         self._refresh_all()
 
     def listed(self, hosts: list[ListedHost]) -> None:
         """Take the platform's list."""
-        self._take(membership.Listed(tuple(hosts)))
+        self._take(membership.HostListRead(tuple(hosts)))
         self._refresh_all()
 
     def link_up(self, hello: Hello) -> None:
@@ -53,11 +53,11 @@
 
     def heard(self, host: str) -> None:
         """Take a sign of life."""
-        self._take(membership.Heard(host))
+        self._take(membership.TrafficReceived(host))
 
     def left(self, host: str, reason: str) -> None:
         """Take a host's own word that it leaves."""
-        self._take(membership.Left(host, reason))
+        self._take(membership.LeaveAnnounced(host, reason))
 
     def tick(self) -> None:
         """Let time pass."""
--- a/radishtally/membership/core.py
+++ b/radishtally/membership/core.py
@@ -5,19 +5,19 @@
 from typing import Final
 
 from radishtally.membership.events import (
+    AddressChanged,
     Change,
-    Configured,
-    Heard,
-    Joined,
-    Left,
+    ConfigurationApplied,
+    ConfiguredHost,
+    HostAdded,
+    HostListRead,
+    LeaveAnnounced,
     LinkDown,
     LinkUp,
-    Listed,
-    Moved,
-    PeerWord,
-    Server,
+    PeerReport,
     StateChanged,
     Tick,
+    TrafficReceived,
 )
 from radishtally.store.core import ENTRY, ListedHost
 from radishtally.store.core import LEAVING as LISTED_LEAVING
@@ -144,7 +144,7 @@
             return Verdict.THEIRS
         return Verdict.UNCLEAR
 
-    def note_word(self, word: PeerWord, now: float) -> None:
+    def note_word(self, word: PeerReport, now: float) -> None:
         """Remember a peer's word."""
         self._words[word.peer] = (now, frozenset(word.unreachable))
         for peer, (at, _) in list(self._words.items()):
@@ -178,7 +178,7 @@
 
 
 @handle.register
-def _(event: Listed, membership: Membership, now: float) -> list[Change]:
+def _(event: HostListRead, membership: Membership, now: float) -> list[Change]:
     # A list that can't be read or is empty says nothing about the hosts. Taken at its
     # word it would empty every pool at once; kept, the links still show who is there.
     if not event.hosts:
@@ -221,7 +221,7 @@
 
 
 @handle.register
-def _(event: Heard, membership: Membership, now: float) -> list[Change]:
+def _(event: TrafficReceived, membership: Membership, now: float) -> list[Change]:
     member = membership.members.get(event.host)
     if member is None:
         return []
@@ -230,7 +230,7 @@
 
 
 @handle.register
-def _(event: Left, membership: Membership, now: float) -> list[Change]:
+def _(event: LeaveAnnounced, membership: Membership, now: float) -> list[Change]:
     member = membership.members.get(event.host)
     if member is None:
         return []
@@ -245,14 +245,14 @@
 
 
 @handle.register
-def _(event: Configured, membership: Membership, now: float) -> list[Change]:
+def _(event: ConfigurationApplied, membership: Membership, now: float) -> list[Change]:
     membership.configured = {item.host: item.upstream for item in event.servers}
     fill_in({item.host: item for item in event.servers}, membership)
     return []
 
 
 @handle.register
-def _(event: PeerWord, membership: Membership, now: float) -> list[Change]:
+def _(event: PeerReport, membership: Membership, now: float) -> list[Change]:
     # A peer may be cut off itself: its word never takes a host out of use here.
     membership.note_word(event, now)
     return []
@@ -270,9 +270,9 @@
     if member is None:
         member = Member(item.place, item.upstream, item.address)
         membership.members[item.host] = member
-        changes.append(Joined(item.host))
+        changes.append(HostAdded(item.host))
     if item.address != member.address:
-        changes.append(Moved(item.host, item.address))
+        changes.append(AddressChanged(item.host, item.address))
     member.place = item.place
     member.upstream = item.upstream
     member.address = item.address
@@ -280,14 +280,14 @@
     return changes
 
 
-def add_unlisted(host: str, membership: Membership, now: float) -> Joined:
+def add_unlisted(host: str, membership: Membership, now: float) -> HostAdded:
     """Add a host that is not on the list yet."""
     member = Member("", "", "")
     member.unlisted_since = now
     membership.members[host] = member
     if membership.configured is not None and host in membership.configured:
         member.upstream = membership.configured[host]
-    return Joined(host)
+    return HostAdded(host)
 
 
 def start_incarnation(member: Member, incarnation: str, now: float) -> None:
@@ -301,7 +301,7 @@
         member.trusted_until = now + LIST_LAG_SECONDS
 
 
-def fill_in(servers: Mapping[str, Server], membership: Membership) -> None:
+def fill_in(servers: Mapping[str, ConfiguredHost], membership: Membership) -> None:
     """Give place and upstream to hosts that no list has described yet."""
     for host, member in membership.members.items():
         server = servers.get(host)
--- a/radishtally/membership/events.py
+++ b/radishtally/membership/events.py
@@ -5,7 +5,7 @@
 from radishtally.store.core import ListedHost
 
 
-class Listed(NamedTuple):
+class HostListRead(NamedTuple):
     """Bring the platform's list; empty where it could not be read."""
 
     hosts: tuple[ListedHost, ...]
@@ -24,13 +24,13 @@
     host: str
 
 
-class Heard(NamedTuple):
+class TrafficReceived(NamedTuple):
     """Say that something came in over a link of the host."""
 
     host: str
 
 
-class Left(NamedTuple):
+class LeaveAnnounced(NamedTuple):
     """Bring the host's own word that it takes no new work."""
 
     host: str
@@ -39,7 +39,7 @@
     """Process that said so; empty if that is not known."""
 
 
-class Server(NamedTuple):
+class ConfiguredHost(NamedTuple):
     """Describe an upstream's host as configured."""
 
     host: str
@@ -47,13 +47,13 @@
     upstream: str
 
 
-class Configured(NamedTuple):
+class ConfigurationApplied(NamedTuple):
     """Say that a configuration is in force."""
 
-    servers: tuple[Server, ...]
+    servers: tuple[ConfiguredHost, ...]
 
 
-class PeerWord(NamedTuple):
+class PeerReport(NamedTuple):
     """Bring a peer's word on which hosts it can't reach."""
 
     peer: str
@@ -64,7 +64,7 @@
     """Say that time has passed."""
 
 
-class Joined(NamedTuple):
+class HostAdded(NamedTuple):
     """Say that a host became known."""
 
     host: str
@@ -79,11 +79,11 @@
     cause: str
 
 
-class Moved(NamedTuple):
+class AddressChanged(NamedTuple):
     """Say that a host is listed under a new address."""
 
     host: str
     address: str
 
 
-Change = Joined | StateChanged | Moved
+Change = HostAdded | StateChanged | AddressChanged
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -15,24 +15,24 @@
     handle,
 )
 from radishtally.membership.events import (
-    Configured,
-    Heard,
-    Joined,
-    Left,
+    AddressChanged,
+    ConfigurationApplied,
+    ConfiguredHost,
+    HostAdded,
+    HostListRead,
+    LeaveAnnounced,
     LinkDown,
     LinkUp,
-    Listed,
-    Moved,
-    PeerWord,
-    Server,
+    PeerReport,
     StateChanged,
     Tick,
+    TrafficReceived,
 )
 from radishtally.store.core import ListedHost
 
 
 def make_listed(*hosts, state="live", address="127.0.0.1:9"):
-    return Listed(
+    return HostListRead(
         tuple(ListedHost(host, "howrah", "gown-llm", address, state) for host in hosts)
     )
 
@@ -62,7 +62,7 @@
             id="link",
         ),
         pytest.param(
-            [(LIST, 0), (UP, 1), (Tick(), SILENT), (Heard("a"), 20)],
+            [(LIST, 0), (UP, 1), (Tick(), SILENT), (TrafficReceived("a"), 20)],
             [UNREACHABLE, LIVE, UNREACHABLE, LIVE],
             id="silent link",
         ),
@@ -72,12 +72,17 @@
             id="new link before the old one goes",
         ),
         pytest.param(
-            [(LIST, 0), (UP, 1), (Left("a", "stop"), 2), (LIST, 3), (UP, 4)],
+            [(LIST, 0), (UP, 1), (LeaveAnnounced("a", "stop"), 2), (LIST, 3), (UP, 4)],
             [UNREACHABLE, LIVE, LEAVING, LEAVING, LEAVING],
             id="leaving beats the lagging list",
         ),
         pytest.param(
-            [(LIST, 0), (UP, 1), (Left("a", "stop"), 2), (LinkUp("a", "two"), 3)],
+            [
+                (LIST, 0),
+                (UP, 1),
+                (LeaveAnnounced("a", "stop"), 2),
+                (LinkUp("a", "two"), 3),
+            ],
             [UNREACHABLE, LIVE, LEAVING, LIVE],
             id="a successor takes the word back",
         ),
@@ -86,7 +91,7 @@
                 (LIST, 0),
                 (UP, 1),
                 (LinkUp("a", "two"), 2),
-                (Left("a", "stop", "one"), 2.1),
+                (LeaveAnnounced("a", "stop", "one"), 2.1),
             ],
             [UNREACHABLE, LIVE, LIVE, LIVE],
             id="late word of the predecessor",
@@ -102,14 +107,14 @@
                 (UP, 1),
                 (make_listed("a", state="leaving"), 2),
                 (LinkUp("a", "two"), 3),
-                (Heard("a"), 17),
-                (Heard("a"), 18.1),
+                (TrafficReceived("a"), 17),
+                (TrafficReceived("a"), 18.1),
             ],
             [UNREACHABLE, LIVE, LEAVING, LIVE, LIVE, LEAVING],
             id="a successor beats the list for as long as it can lag",
         ),
         pytest.param(
-            [(LIST, 0), (UP, 1), (make_listed("b"), 2), (Heard("a"), 90)],
+            [(LIST, 0), (UP, 1), (make_listed("b"), 2), (TrafficReceived("a"), 90)],
             [UNREACHABLE, LIVE, LIVE, LIVE],
             id="unlisted with a live link",
         ),
@@ -127,7 +132,7 @@
             [
                 (LIST, 0),
                 (UP, 1),
-                (Left("a", "stop"), 2),
+                (LeaveAnnounced("a", "stop"), 2),
                 (LinkDown("a"), 3),
                 (make_listed("b"), 4),
             ],
@@ -138,8 +143,8 @@
             [
                 (LIST, 0),
                 (UP, 1),
-                (Listed(()), 2),
-                (Heard("a"), 90),
+                (HostListRead(()), 2),
+                (TrafficReceived("a"), 90),
                 (LinkDown("a"), 91),
             ],
             [UNREACHABLE, LIVE, LIVE, LIVE, UNREACHABLE],
@@ -151,7 +156,11 @@
             id="linked before listed",
         ),
         pytest.param(
-            [(LinkDown("a"), 0), (Heard("a"), 1), (Left("a", "stop"), 2)],
+            [
+                (LinkDown("a"), 0),
+                (TrafficReceived("a"), 1),
+                (LeaveAnnounced("a", "stop"), 2),
+            ],
             [GONE, GONE, GONE],
             id="words about a stranger",
         ),
@@ -163,12 +172,12 @@
 
 def test_changes_are_returned_once():
     membership = Membership()
-    assert handle(LIST, membership, 0.0) == [Joined("a")]
+    assert handle(LIST, membership, 0.0) == [HostAdded("a")]
     assert handle(LIST, membership, 1.0) == []
     changed = StateChanged("a", UNREACHABLE, LIVE, "link up")
     assert handle(UP, membership, 1.0) == [changed]
     moved = make_listed("a", address="127.0.0.2:9")
-    assert handle(moved, membership, 2.0) == [Moved("a", "127.0.0.2:9")]
+    assert handle(moved, membership, 2.0) == [AddressChanged("a", "127.0.0.2:9")]
 
 
 def test_a_silent_host_is_not_usable_even_before_a_tick():
@@ -183,16 +192,28 @@
 def test_a_host_that_is_not_configured_gets_no_work():
     membership = Membership()
     play((LIST, 0), (UP, 1), membership=membership)
-    handle(Configured((Server("b", "howrah", "gown-llm"),)), membership, 1.0)
+    handle(
+        ConfigurationApplied((ConfiguredHost("b", "howrah", "gown-llm"),)),
+        membership,
+        1.0,
+    )
     assert membership.usable(2.0) == set()
-    handle(Configured((Server("a", "howrah", "gown-llm"),)), membership, 1.0)
+    handle(
+        ConfigurationApplied((ConfiguredHost("a", "howrah", "gown-llm"),)),
+        membership,
+        1.0,
+    )
     assert membership.usable(2.0) == {"a"}
 
 
 def test_configuration_describes_a_host_that_is_not_listed_yet():
     membership = Membership()
     play((UP, 0), membership=membership)
-    handle(Configured((Server("a", "howrah", "gown-llm"),)), membership, 1.0)
+    handle(
+        ConfigurationApplied((ConfiguredHost("a", "howrah", "gown-llm"),)),
+        membership,
+        1.0,
+    )
     assert membership.usable(1.0, "gown-llm") == {"a"}
     assert membership.members["a"].place == "howrah"
 
@@ -210,7 +231,7 @@
     membership = Membership()
     play((LIST, 0), membership=membership)
     for number, word in enumerate(words):
-        handle(PeerWord(f"entry-{number}", word), membership, 0.0)
+        handle(PeerReport(f"entry-{number}", word), membership, 0.0)
     assert membership.judge("a", 1.0) == verdict
     assert membership.judge("a", 100.0) == Verdict.UNCLEAR
     assert membership.list_unreachable(1.0) == ("a",)
@@ -225,7 +246,7 @@
     membership = Membership()
     play((LIST, 0), (UP, 1), membership=membership)
     for peer in peers:
-        handle(PeerWord(peer, ("a",)), membership, 1.0)
+        handle(PeerReport(peer, ("a",)), membership, 1.0)
     assert membership.usable(1.0) == {"a"}
 
 
@@ -233,9 +254,9 @@
 EVENTS = st.one_of(
     st.builds(LinkUp, HOSTS, st.sampled_from(["one", "two"])),
     st.builds(LinkDown, HOSTS),
-    st.builds(Heard, HOSTS),
-    st.builds(Left, HOSTS, st.just("stop"), st.just("")),
-    st.builds(PeerWord, st.just("e"), st.tuples(HOSTS)),
+    st.builds(TrafficReceived, HOSTS),
+    st.builds(LeaveAnnounced, HOSTS, st.just("stop"), st.just("")),
+    st.builds(PeerReport, st.just("e"), st.tuples(HOSTS)),
     st.builds(
         lambda hosts, state: make_listed(*hosts, state=state),
         st.sets(HOSTS),
@@ -252,7 +273,11 @@
     for event, passed in steps:
         now += passed
         changes = handle(event, membership, now)
-        member = membership.members.get(event.host) if isinstance(event, Left) else None
+        member = (
+            membership.members.get(event.host)
+            if isinstance(event, LeaveAnnounced)
+            else None
+        )
         if member is not None:
             left[event.host] = member.incarnation
         for change in changes:
