--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -85,7 +85,7 @@
             handle(TrafficReceived(next(hosts)), membership, 1.0)
 
         def find(membership: Membership = membership) -> None:
-            membership.usable(1.0, "pool-0")
+            membership.find_usable(1.0, "pool-0")
 
         yield Figure("membership, tick", time_calls(tick), "us", at)
         yield Figure("membership, list taken", time_calls(read), "us", at)
--- a/radishtally/entry/operators.py
+++ b/radishtally/entry/operators.py
@@ -277,7 +277,7 @@
     now = time.monotonic()
     known = entry.core.hosts.get(host)
     state = find_state(entry, host, now)
-    judged = entry.members.membership.judge(host, now)
+    judged = entry.members.membership.locate_fault(host, now)
     return respond_json(
         {
             "host": host,
--- a/radishtally/membership/core.py
+++ b/radishtally/membership/core.py
@@ -39,11 +39,11 @@
 """Age up to which a peer's word counts."""
 
 
-class Verdict:
+class FaultLocation:
     """Tell whose fault it is that a host is out of reach."""
 
-    OURS: Final = "ours"
-    THEIRS: Final = "theirs"
+    LOCAL: Final = "ours"
+    REMOTE: Final = "theirs"
     UNCLEAR: Final = "unclear"
 
 
@@ -116,7 +116,7 @@
         """Upstream by host, once a configuration is known."""
         self._words: dict[str, tuple[float, frozenset[str]]] = {}
 
-    def usable(self, now: float, upstream: str | None = None) -> set[str]:
+    def find_usable(self, now: float, upstream: str | None = None) -> set[str]:
         """Find the hosts that may be offered work, of one upstream or of all."""
         return {
             host
@@ -134,15 +134,15 @@
             if member.find_state(now) == UNREACHABLE
         )
 
-    def judge(self, host: str, now: float) -> str:
+    def locate_fault(self, host: str, now: float) -> str:
         """Tell by the peers' words whether it is our link or the host that is down."""
         words = [said for at, said in self._words.values() if now - at < WORD_SECONDS]
         cut_off = sum(host in said for said in words)
         if 2 * cut_off < len(words):
-            return Verdict.OURS
+            return FaultLocation.LOCAL
         if 2 * cut_off > len(words):
-            return Verdict.THEIRS
-        return Verdict.UNCLEAR
+            return FaultLocation.REMOTE
+        return FaultLocation.UNCLEAR
 
     def note_word(self, word: PeerReport, now: float) -> None:
         """Remember a peer's word."""
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -10,8 +10,8 @@
     LIVE,
     SILENT_SECONDS,
     UNREACHABLE,
+    FaultLocation,
     Membership,
-    Verdict,
     handle,
 )
 from radishtally.membership.events import (
@@ -183,10 +183,10 @@
 def test_a_silent_host_is_not_usable_even_before_a_tick():
     membership = Membership()
     play((LIST, 0), (UP, 1), membership=membership)
-    assert membership.usable(2.0) == {"a"}
-    assert membership.usable(2.0, "gown-llm") == {"a"}
-    assert membership.usable(2.0, "booking-app") == set()
-    assert membership.usable(SILENT) == set()
+    assert membership.find_usable(2.0) == {"a"}
+    assert membership.find_usable(2.0, "gown-llm") == {"a"}
+    assert membership.find_usable(2.0, "booking-app") == set()
+    assert membership.find_usable(SILENT) == set()
 
 
 def test_a_host_that_is_not_configured_gets_no_work():
@@ -197,13 +197,13 @@
         membership,
         1.0,
     )
-    assert membership.usable(2.0) == set()
+    assert membership.find_usable(2.0) == set()
     handle(
         ConfigurationApplied((ConfiguredHost("a", "howrah", "gown-llm"),)),
         membership,
         1.0,
     )
-    assert membership.usable(2.0) == {"a"}
+    assert membership.find_usable(2.0) == {"a"}
 
 
 def test_configuration_describes_a_host_that_is_not_listed_yet():
@@ -214,17 +214,17 @@
         membership,
         1.0,
     )
-    assert membership.usable(1.0, "gown-llm") == {"a"}
+    assert membership.find_usable(1.0, "gown-llm") == {"a"}
     assert membership.members["a"].place == "howrah"
 
 
 @pytest.mark.parametrize(
     ("words", "verdict"),
     [
-        ([(), (), ("a",)], Verdict.OURS),
-        ([("a",), ("a",), ()], Verdict.THEIRS),
-        ([("a",), ()], Verdict.UNCLEAR),
-        ([], Verdict.UNCLEAR),
+        ([(), (), ("a",)], FaultLocation.LOCAL),
+        ([("a",), ("a",), ()], FaultLocation.REMOTE),
+        ([("a",), ()], FaultLocation.UNCLEAR),
+        ([], FaultLocation.UNCLEAR),
     ],
 )
 def test_peers_tell_whose_fault_it_is(words, verdict):
@@ -232,8 +232,8 @@
     play((LIST, 0), membership=membership)
     for number, word in enumerate(words):
         handle(PeerReport(f"entry-{number}", word), membership, 0.0)
-    assert membership.judge("a", 1.0) == verdict
-    assert membership.judge("a", 100.0) == Verdict.UNCLEAR
+    assert membership.locate_fault("a", 1.0) == verdict
+    assert membership.locate_fault("a", 100.0) == FaultLocation.UNCLEAR
     assert membership.list_unreachable(1.0) == ("a",)
 
 
@@ -247,7 +247,7 @@
     play((LIST, 0), (UP, 1), membership=membership)
     for peer in peers:
         handle(PeerReport(peer, ("a",)), membership, 1.0)
-    assert membership.usable(1.0) == {"a"}
+    assert membership.find_usable(1.0) == {"a"}
 
 
 HOSTS = st.sampled_from("abc")
@@ -285,6 +285,6 @@
                 left.pop(change.host, None)
         if isinstance(event, LinkUp) and left.get(event.host) != event.incarnation:
             left.pop(event.host, None)
-        usable = membership.usable(now)
+        usable = membership.find_usable(now)
         assert not usable & set(left)
         assert all(membership.members[host].links for host in usable)
