--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -22,11 +22,11 @@
 from tests.common import run
 from tests.configuration.common import BASE, build_team, write_teams
 from tests.store.memory import (
-    KEPT,
-    LAST,
-    LATE,
-    LOST,
+    DELAYED,
+    DELAYED_TO_END,
     PASS,
+    REPLY_LOST,
+    REQUEST_LOST,
     THROTTLED,
     FaultyTable,
     MemoryObjects,
@@ -99,7 +99,7 @@
 def test_lost_reply_of_apply_may_be_repeated(table, objects):
     # The change took effect, but its reply and those of the next attempts are lost,
     # so the operator hears "unclear". The same apply again finds it in force.
-    table.faults = [KEPT] + [THROTTLED] * 500
+    table.faults = [REPLY_LOST] + [THROTTLED] * 500
     assert isinstance(apply(table, objects, {"10.json": BASE}, 0).error, Unclear)
     table.faults = []
     assert apply(table, objects, {"10.json": BASE}, 0).ok.revision == 1
@@ -132,7 +132,10 @@
 
 
 faults = st.lists(
-    st.sampled_from([PASS, LOST, KEPT, LATE, LAST, THROTTLED]), max_size=4
+    st.sampled_from(
+        [PASS, REQUEST_LOST, REPLY_LOST, DELAYED, DELAYED_TO_END, THROTTLED]
+    ),
+    max_size=4,
 )
 names = st.sampled_from(NAMES)
 numbers = st.none() | st.integers(0, 3)
--- a/tests/store/memory.py
+++ b/tests/store/memory.py
@@ -18,18 +18,18 @@
 from tests.common import Rows
 
 PASS: Final = "pass"
-LOST: Final = "lost"
+REQUEST_LOST: Final = "lost"
 """The write never arrives, and the writer learns nothing."""
-KEPT: Final = "kept"
+REPLY_LOST: Final = "kept"
 """The write takes effect, and its reply is lost."""
-LATE: Final = "late"
+DELAYED: Final = "late"
 """The write arrives before the next one, and its reply is lost."""
-LAST: Final = "last"
+DELAYED_TO_END: Final = "last"
 """The write arrives when all others are done, and its reply is lost."""
 THROTTLED: Final = "throttled"
-OTHER: Final = "other"
+OVERTAKEN: Final = "other"
 """Somebody else writes all rows first; then the write passes."""
-UNREAD: Final = "unread"
+READ_FAILS: Final = "unread"
 """The write passes, and the next read fails."""
 
 
@@ -73,19 +73,19 @@
         await asyncio.sleep(0)
         self._deliver(self._late)
         fault = self.faults.pop(0) if self.faults else PASS
-        if fault in (LATE, LAST):
-            waiting = self._late if fault == LATE else self._last
+        if fault in (DELAYED, DELAYED_TO_END):
+            waiting = self._late if fault == DELAYED else self._last
             waiting.append((writes, write_id))
-        if fault in (LOST, LATE, LAST):
+        if fault in (REQUEST_LOST, DELAYED, DELAYED_TO_END):
             return Error(Unclear(fault))
         if fault == THROTTLED:
             return Error(Unavailable(fault))
-        if fault == OTHER:
+        if fault == OVERTAKEN:
             self.write_as_other(writes)
-        if fault == UNREAD:
+        if fault == READ_FAILS:
             self._unreadable = 1
         result = self._carry_out(writes, write_id)
-        return Error(Unclear(fault)) if fault == KEPT else result
+        return Error(Unclear(fault)) if fault == REPLY_LOST else result
 
     def deliver_all(self) -> None:
         """Let all writes that are still under way arrive."""
--- a/tests/store/test_settle.py
+++ b/tests/store/test_settle.py
@@ -15,14 +15,14 @@
 from tests.common import run
 from tests.store.common import name_outcome
 from tests.store.memory import (
-    KEPT,
-    LAST,
-    LATE,
-    LOST,
-    OTHER,
+    DELAYED,
+    DELAYED_TO_END,
+    OVERTAKEN,
     PASS,
+    READ_FAILS,
+    REPLY_LOST,
+    REQUEST_LOST,
     THROTTLED,
-    UNREAD,
     FaultyTable,
 )
 
@@ -49,22 +49,22 @@
     ("faults", "outcome", "times_applied"),
     [
         ([PASS], "Ok", 1),
-        ([LOST, PASS], "Ok", 1),
-        ([KEPT, PASS], "Ok", 1),
-        ([LATE, PASS], "Ok", 1),
-        ([LAST, PASS], "Ok", 1),
-        ([LOST, LOST, KEPT, PASS], "Ok", 1),
-        ([KEPT, THROTTLED, PASS], "Ok", 1),
-        ([KEPT, UNREAD, PASS], "Ok", 1),
+        ([REQUEST_LOST, PASS], "Ok", 1),
+        ([REPLY_LOST, PASS], "Ok", 1),
+        ([DELAYED, PASS], "Ok", 1),
+        ([DELAYED_TO_END, PASS], "Ok", 1),
+        ([REQUEST_LOST, REQUEST_LOST, REPLY_LOST, PASS], "Ok", 1),
+        ([REPLY_LOST, THROTTLED, PASS], "Ok", 1),
+        ([REPLY_LOST, READ_FAILS, PASS], "Ok", 1),
         ([THROTTLED], "Unavailable", 0),
-        ([OTHER], "Conflict", 0),
-        ([LOST, OTHER], "Conflict", 0),
-        ([LAST, OTHER], "Conflict", 0),
-        ([LOST, THROTTLED, OTHER], "Conflict", 0),
-        ([KEPT, OTHER], "Unclear", 1),
-        ([LATE, OTHER], "Unclear", 1),
-        ([LOST] + [THROTTLED] * ATTEMPTS, "Unclear", 0),
-        ([KEPT] + [THROTTLED] * ATTEMPTS, "Unclear", 1),
+        ([OVERTAKEN], "Conflict", 0),
+        ([REQUEST_LOST, OVERTAKEN], "Conflict", 0),
+        ([DELAYED_TO_END, OVERTAKEN], "Conflict", 0),
+        ([REQUEST_LOST, THROTTLED, OVERTAKEN], "Conflict", 0),
+        ([REPLY_LOST, OVERTAKEN], "Unclear", 1),
+        ([DELAYED, OVERTAKEN], "Unclear", 1),
+        ([REQUEST_LOST] + [THROTTLED] * ATTEMPTS, "Unclear", 0),
+        ([REPLY_LOST] + [THROTTLED] * ATTEMPTS, "Unclear", 1),
     ],
 )
 def test_faults(faults, outcome, times_applied):
@@ -79,7 +79,18 @@
 # write under way has arrived: Ok means once, Conflict and Unavailable mean never.
 @given(
     faults=st.lists(
-        st.sampled_from([PASS, LOST, KEPT, LATE, LAST, THROTTLED, OTHER, UNREAD]),
+        st.sampled_from(
+            [
+                PASS,
+                REQUEST_LOST,
+                REPLY_LOST,
+                DELAYED,
+                DELAYED_TO_END,
+                THROTTLED,
+                OVERTAKEN,
+                READ_FAILS,
+            ]
+        ),
         max_size=6,
     ),
     expect=st.sampled_from([ABSENT, 1, 2]),
@@ -99,7 +110,7 @@
 
 
 def test_unmoved_row_tells_that_nothing_passed_without_a_read():
-    table = FaultyTable([LOST])
+    table = FaultyTable([REQUEST_LOST])
     table.write_as_other([Put(HEAD, {}, ABSENT)])
     writes = [Put(HEAD, {}, 1), Put(Key("new", "row"), {}, ABSENT), Check(LEASE, 3)]
     assert write(table, writes) == Error(Conflict((2,)))
@@ -172,13 +183,13 @@
 @pytest.mark.parametrize(
     ("fault", "is_restored", "outcome"),
     [
-        (LOST, False, "Conflict"),
-        (LATE, False, "Conflict"),
-        (LAST, False, "Conflict"),
-        (LOST, True, "Unclear"),
-        (KEPT, True, "Unclear"),
-        (LATE, True, "Unclear"),
-        (LAST, True, "Unclear"),
+        (REQUEST_LOST, False, "Conflict"),
+        (DELAYED, False, "Conflict"),
+        (DELAYED_TO_END, False, "Conflict"),
+        (REQUEST_LOST, True, "Unclear"),
+        (REPLY_LOST, True, "Unclear"),
+        (DELAYED, True, "Unclear"),
+        (DELAYED_TO_END, True, "Unclear"),
     ],
 )
 def test_restore_between_sending_and_judging(fault, is_restored, outcome, rows):
@@ -192,7 +203,7 @@
 # What stands under the write's id has passed, also where the store was restored from a
 # copy made behind the write.
 def test_write_id_decides_after_a_restore():
-    table = RestoredTable([KEPT], is_restored=True)
+    table = RestoredTable([REPLY_LOST], is_restored=True)
     puts = [Put(Key("p", str(n)), {}, ABSENT) for n in range(2)]
     table.copy = {puts[1].key: Row(puts[1].key, 1, "mine", {})}
     assert name_outcome(write(table, puts)) == "Ok"
