--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -15,9 +15,9 @@
     place_prompt,
 )
 from radishtally.engines.core import Observer
-from radishtally.engines.news import UnseenWork
 from radishtally.engines.order import ReadingOrder
 from radishtally.engines.prospects import count_uncached
+from radishtally.engines.staleness import UnseenRequests
 from radishtally.engines.state import (
     CACHE_SHARE,
     START_RATE,
@@ -58,7 +58,7 @@
         self._clock = clock
         self._random = random or Random()
         self.observer = Observer()
-        self.unseen = UnseenWork()
+        self.unseen_requests = UnseenRequests()
         self._engines: dict[str, EngineState] = {}
         self._changed: set[str] = set()
         self._early: dict[str, dict[str, EngineShare]] = {}
@@ -229,7 +229,7 @@
     def _make_field(
         self, place: str, engines: Sequence[EngineState], now: float
     ) -> Field:
-        few = self.unseen.count_candidates(len(engines), now)
+        few = self.unseen_requests.count_candidates(len(engines), now)
         return Field(place, few, self._random)
 
     def _follow_outage(self, upstream: str, is_answered: bool, now: float) -> float:
@@ -267,7 +267,7 @@
             self._read.append(PartsRead(engine.host, engine.start, tuple(new)))
         if request.kv is not None:
             return
-        self.unseen.note(now)
+        self.unseen_requests.note(now)
         engine.begin_reading(name, tokens, request.terms.priority, now)
         # Both at once, as it comes: counted when they end, answers that engines are
         # too slow for would not count, and still fewer engines would be left to them.
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -7,8 +7,8 @@
 
 from eliot import log_message
 
-from radishtally.engines.news import Others
 from radishtally.engines.placement import EnginePlacement
+from radishtally.engines.staleness import PeerStaleness
 from radishtally.gateway.const import BACKLOG_SECONDS
 from radishtally.gateway.topology import (
     Circle,
@@ -98,7 +98,7 @@
         self._sites = sites
         self._linked = None
         self._interval = self._find_interval()
-        self._placement.unseen.others = self._describe_others()
+        self._placement.unseen_requests.peers = self._describe_others()
 
     async def run(self) -> None:
         """Tell for good."""
@@ -178,13 +178,13 @@
         others = len(list_data_centres(self._sites)) - 1
         return max(BACKLOG_SECONDS, (len(ours) + others) * COLLECT_SECONDS)
 
-    def _describe_others(self) -> Others:
+    def _describe_others(self) -> PeerStaleness:
         """Say how many others there are, and how old news of them is at most."""
         # Each, then who collects; and who collects in the other data centre.
         tellers = 1 if is_mesh(self._sites) else 2
         if tellers > 1 and len(list_data_centres(self._sites)) > 1:
             tellers += 1
-        return Others(len(self._sites) - 1, tellers * self._interval)
+        return PeerStaleness(len(self._sites) - 1, tellers * self._interval)
 
     def _follow_links(self) -> None:
         """Take whom to tell and to believe by the links that are up."""
--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 from radishtally.direct.core import Instance
-from radishtally.engines.news import Others
 from radishtally.engines.placement import EnginePlacement
+from radishtally.engines.staleness import PeerStaleness
 from radishtally.links.messages import (
     DECODE,
     PREFILL,
@@ -96,7 +96,9 @@
             placement.set_instance(
                 Instance(host, "llm", f"{host}:1", place, False, SLOTS, role)
             )
-        placement.unseen.others = Others(self.fleet.gateways - 1, 1.5 * self.fleet.age)
+        placement.unseen_requests.peers = PeerStaleness(
+            self.fleet.gateways - 1, 1.5 * self.fleet.age
+        )
         return placement
 
     def play(self) -> Report:
--- a/tests/engines/test_many_gateways.py
+++ b/tests/engines/test_many_gateways.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from radishtally.engines.news import FEWEST, Others, UnseenWork
 from radishtally.engines.placement import EnginePlacement
+from radishtally.engines.staleness import MIN_CANDIDATES, PeerStaleness, UnseenRequests
 from radishtally.gateway.loads import LoadExchange
 from radishtally.gateway.topology import Site
 from tests.engines.model import SLOTS, Fleet, Model, Report
@@ -65,18 +65,18 @@
 # All gateways begin with the first callers of a morning, and none has heard of any
 # other's work: the first prompts of all of them went to the same engine.
 def test_first_request_of_many_is_not_compared_with_all_engines() -> None:
-    unseen = UnseenWork()
-    unseen.others = Others(MANY - 1, 0.1)
-    assert unseen.count_candidates(ENGINES, 0.0) == FEWEST
+    unseen = UnseenRequests()
+    unseen.peers = PeerStaleness(MANY - 1, 0.1)
+    assert unseen.count_candidates(ENGINES, 0.0) == MIN_CANDIDATES
 
 
 def test_all_engines_are_compared_where_news_is_fresh() -> None:
-    unseen = UnseenWork()
-    unseen.others = Others(FEW - 1, 0.02)
+    unseen = UnseenRequests()
+    unseen.peers = PeerStaleness(FEW - 1, 0.02)
     for number in range(20):
         unseen.note(number * 0.2)
     assert unseen.count_candidates(ENGINES, 4.0) == ENGINES
 
 
 def test_one_that_decides_alone_compares_all_engines() -> None:
-    assert UnseenWork().count_candidates(ENGINES, 0.0) == ENGINES
+    assert UnseenRequests().count_candidates(ENGINES, 0.0) == ENGINES
