--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -20,7 +20,7 @@
 from radishtally.engines.staleness import UnseenRequests
 from radishtally.engines.state import (
     CACHE_SHARE,
-    START_RATE,
+    INITIAL_PREFILL_RATE,
     EngineState,
     PeerShare,
     mark_start,
@@ -106,7 +106,7 @@
         for peer, share in self._early.pop(instance.host, {}).items():
             self._take_share(peer, share, self._clock())
 
-    def restart(self, host: str) -> None:
+    def reset_engine(self, host: str) -> None:
         """Forget the earlier start of an engine; what it is now is told next."""
         self._engines.pop(host, None)
 
@@ -122,7 +122,7 @@
         for shares in self._early.values():
             shares.pop(peer, None)
 
-    def take_backlog(self, peer: str, backlog: Backlog, now: float) -> None:
+    def record_backlog(self, peer: str, backlog: Backlog, now: float) -> None:
         """Take what another entry has open."""
         for share in backlog.shares:
             self._take_share(peer, share, now)
@@ -159,7 +159,7 @@
         ]
         return Backlog(tuple(shares))
 
-    def take_parts(self, told: PartsRead) -> None:
+    def record_parts(self, told: PartsRead) -> None:
         """Take which parts another entry has given to an engine."""
         engine = self._engines.get(told.host)
         if engine is None or not is_same_start(told.start, engine.start):
@@ -167,7 +167,7 @@
             return
         engine.cache.take(told.parts)
 
-    def recall(self, host: str, kept: Iterable[KeptPart]) -> int:
+    def record_kept_parts(self, host: str, kept: Iterable[KeptPart]) -> int:
         """Take which parts an engine says that it keeps; give how many they are."""
         engine = self._engines.get(host)
         if engine is None:
@@ -177,7 +177,7 @@
         self._read.append(PartsRead(host, engine.start, parts))
         return len(parts)
 
-    def take_read(self) -> list[PartsRead]:
+    def pop_parts_read(self) -> list[PartsRead]:
         """Take what this entry has given to engines since the last call."""
         read, self._read = self._read, []
         return read
@@ -190,7 +190,7 @@
             if (parts := engine.cache.list_shared())
         ]
 
-    def take_changed(self) -> set[str]:
+    def pop_changed_hosts(self) -> set[str]:
         """Take the engines at which something began or ended since the last call."""
         changed, self._changed = self._changed, set()
         return changed
@@ -198,7 +198,7 @@
     def measure_rate(self, host: str) -> float:
         """Give the prompt tokens that an engine reads in a second."""
         engine = self._engines.get(host)
-        return START_RATE if engine is None else engine.rate
+        return INITIAL_PREFILL_RATE if engine is None else engine.rate
 
     def place(
         self, request: OpenRequest, hosts: Sequence[KnownHost], place: str, now: float
@@ -268,7 +268,7 @@
         if request.kv is not None:
             return
         self.unseen_requests.note(now)
-        engine.begin_reading(name, tokens, request.terms.priority, now)
+        engine.begin_prefill(name, tokens, request.terms.priority, now)
         # Both at once, as it comes: counted when they end, answers that engines are
         # too slow for would not count, and still fewer engines would be left to them.
         expected = request.terms.output_tokens
@@ -280,10 +280,10 @@
         if engine is None:
             return
         self._time_events(engine, request, now)
-        if request.work.request not in engine.readings:
+        if request.work.request not in engine.prefills:
             return
         self._changed.add(host.host)
-        engine.end_reading(request.work.request, now, False)
+        engine.end_prefill(request.work.request, now, False)
 
     def _time_events(
         self, engine: EngineState, request: OpenRequest, now: float
@@ -322,7 +322,7 @@
         self._changed.add(host.host)
         name, now = request.work.request, self._clock()
         engine.answers.discard(name)
-        engine.end_reading(name, now, request.kv is not None)
+        engine.end_prefill(name, now, request.kv is not None)
 
     def _find_rate(self, upstream: str) -> float:
         """Find the rate of a new engine: what those beside it were seen to read."""
@@ -331,7 +331,7 @@
             for engine in self._engines.values()
             if engine.upstream == upstream and engine.timed_tokens
         ]
-        return mean(rates) if rates else START_RATE
+        return mean(rates) if rates else INITIAL_PREFILL_RATE
 
     def _find_cache_size(self, upstream: str) -> int:
         """Find how many tokens of prompts an engine of an upstream keeps."""
--- a/radishtally/engines/staleness.py
+++ b/radishtally/engines/staleness.py
@@ -13,7 +13,7 @@
 nearly as good as the best of all, and takes at most twice its share of what comes
 unseen. Of 36 engines, compared by 70 entries with news of 0.05 s, two, three and four
 gave the same waits, and all of them waits of seconds (worked out in simulated time)."""
-MAX_UNSEEN_REQUESTS: Final = 1.0
+MAX_UNSEEN: Final = 1.0
 """Requests that may have come unseen where all engines are compared: with more, two of
 them meet at the same engine."""
 
@@ -61,7 +61,5 @@
     def count_candidates(self, engines: int, now: float) -> int:
         """Count the engines to compare: all only where little can have come unseen."""
         return (
-            engines
-            if self.count(now) <= MAX_UNSEEN_REQUESTS
-            else min(MIN_CANDIDATES, engines)
+            engines if self.count(now) <= MAX_UNSEEN else min(MIN_CANDIDATES, engines)
         )
--- a/radishtally/engines/state.py
+++ b/radishtally/engines/state.py
@@ -11,7 +11,7 @@
 from radishtally.engines.order import ReadingOrder, Wait
 from radishtally.links.messages import PREFILL, WaitingTokens
 
-START_RATE: Final = 50_000.0
+INITIAL_PREFILL_RATE: Final = 50_000.0
 """Prompt tokens that an engine reads in a second until one of its upstream was timed:
 assumed, the first prompts tell."""
 START_TOKENS: Final = 5_000.0
@@ -56,7 +56,7 @@
         return sum(item.tokens for item in self.waiting)
 
 
-class Reading(NamedTuple):
+class PendingPrefill(NamedTuple):
     """Hold a prompt that an engine was given to read."""
 
     tokens: int
@@ -113,12 +113,12 @@
     """Mark of its start; 0 if it was never told."""
     order: ReadingOrder = field(default_factory=ReadingOrder)
     """What the engines of its upstream were seen to do with what waits."""
-    start_rate: float = START_RATE
+    start_rate: float = INITIAL_PREFILL_RATE
     """Prompt tokens a second, until it was timed itself."""
     timed_tokens: float = 0.0
     """Tokens of timed stretches of work, older ones forgotten, as is the next."""
     timed_seconds: float = 0.0
-    readings: dict[str, Reading] = field(default_factory=dict)
+    prefills: dict[str, PendingPrefill] = field(default_factory=dict)
     """What it has to read for requests of this entry."""
     answers: set[str] = field(default_factory=set)
     """Requests of this entry that it is answering."""
@@ -144,17 +144,17 @@
         seconds = START_TOKENS / self.start_rate + self.timed_seconds
         return (START_TOKENS + self.timed_tokens) / seconds
 
-    def begin_reading(
+    def begin_prefill(
         self, request: str, tokens: int, priority: int, now: float
     ) -> None:
         """Note that a prompt was given to it."""
         wait = self.measure_wait(priority, now)
         self._begin_work(now)
-        self.readings[request] = Reading(tokens, priority, now, wait)
+        self.prefills[request] = PendingPrefill(tokens, priority, now, wait)
 
-    def end_reading(self, request: str, now: float, was_read: bool) -> None:
+    def end_prefill(self, request: str, now: float, was_read: bool) -> None:
         """Note that a prompt is read, or is given up."""
-        reading = self.readings.pop(request, None)
+        reading = self.prefills.pop(request, None)
         if reading is None:
             return
         self.moved_at = now
@@ -204,7 +204,7 @@
 
     def _make_own_share(self) -> PeerShare:
         waiting = Counter[int]()
-        for reading in self.readings.values():
+        for reading in self.prefills.values():
             waiting[reading.priority] += reading.tokens
         return PeerShare(_order(waiting), len(self.answers))
 
@@ -214,11 +214,11 @@
         That is what is as urgent or more so; all of them where no priority is given.
         """
         if priority == LEAST_URGENT:
-            ours = sum(reading.tokens for reading in self.readings.values())
+            ours = sum(reading.tokens for reading in self.prefills.values())
             return ours + self.their_tokens
         ours = sum(
             reading.tokens
-            for reading in self.readings.values()
+            for reading in self.prefills.values()
             if reading.priority <= priority
         )
         theirs = sum(
@@ -253,7 +253,7 @@
         by_arrival = max(least, tokens / self.rate - worked)
         return Wait(by_arrival, max(least, ahead / self.rate - worked))
 
-    def _learn_order(self, reading: Reading, now: float) -> None:
+    def _learn_order(self, reading: PendingPrefill, now: float) -> None:
         # What is put behind all else waits for what comes later too.
         if self.role == PREFILL and reading.priority < LATE_PRIORITY:
             took = reading.tokens / self.rate + FIXED_SECONDS
--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -90,7 +90,7 @@
         after=change.after,
         source=change.source.value,
     )
-    parts.placement.restart(host)
+    parts.placement.reset_engine(host)
     parts.stages.forget(host)
     parts.core.restart_host(host)
     parts.core.links.pop(host, None)
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -141,12 +141,12 @@
             return
         now = time.monotonic()
         if isinstance(message, Backlog):
-            self._placement.take_backlog(peer, message, now)
+            self._placement.record_backlog(peer, message, now)
             self._heard.update(share.host for share in message.shares)
         elif isinstance(message, DemandReport):
             self._stages.take_report(peer, message, now)
         elif isinstance(message, PartsRead):
-            self._placement.take_parts(message)
+            self._placement.record_parts(message)
             if self._collects:
                 self._heard_parts.append((peer, message))
         elif isinstance(message, Suspicions):
@@ -241,7 +241,7 @@
         return frozenset((peer,))
 
     def _tell_backlog(self, now: float) -> None:
-        hosts: set[str] | None = self._placement.take_changed()
+        hosts: set[str] | None = self._placement.pop_changed_hosts()
         if self._collects:
             hosts |= self._heard
         self._heard.clear()
@@ -255,7 +255,7 @@
 
     def _tell_parts(self) -> None:
         """Tell what engines were first given: nothing is told of what they keep."""
-        told = [(self._own, parts) for parts in self._placement.take_read()]
+        told = [(self._own, parts) for parts in self._placement.pop_parts_read()]
         told += self._heard_parts
         self._heard_parts = []
         for peer in self._circle.audience:
--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -175,7 +175,7 @@
 
     def tell(self) -> None:
         """Tell each gateway what the others have open; it hears that later."""
-        read = [gateway.take_read() for gateway in self.gateways]
+        read = [gateway.pop_parts_read() for gateway in self.gateways]
         for number, backlog in enumerate(self.list_backlogs()):
             parts = [told for n, told in enumerate(read) if n != number]
             parts = [item for told in parts for item in told]
@@ -184,9 +184,9 @@
             self.plan(self.fleet.age, self.tell)
 
     def hear(self, number: int, backlog: Backlog, parts: list[PartsRead]) -> None:
-        self.gateways[number].take_backlog("collector", backlog, self.now)
+        self.gateways[number].record_backlog("collector", backlog, self.now)
         for told in parts:
-            self.gateways[number].take_parts(told)
+            self.gateways[number].record_parts(told)
 
     def list_backlogs(self) -> Iterator[Backlog]:
         """List what all gateways but each one have open."""
@@ -210,8 +210,8 @@
     def count_own(self, gateway: EnginePlacement) -> tuple[dict, dict]:
         engines = gateway._engines.values()
         waiting = {
-            e.host: sum(r.tokens for r in e.readings.values())
+            e.host: sum(r.tokens for r in e.prefills.values())
             for e in engines
-            if e.readings
+            if e.prefills
         }
         return waiting, {e.host: len(e.answers) for e in engines if e.answers}
--- a/tests/engines/test_placement.py
+++ b/tests/engines/test_placement.py
@@ -15,7 +15,7 @@
     START_TERMS,
     EnginePlacement,
 )
-from radishtally.engines.state import START_RATE, PeerShare
+from radishtally.engines.state import INITIAL_PREFILL_RATE, PeerShare
 from radishtally.links.messages import (
     CALL,
     DECODE,
@@ -63,11 +63,11 @@
     def keep(self, host: str) -> None:
         """Let an engine keep the shared parts of the requests."""
         chain = hash_parts("m", PARTS)[:-1]
-        self.placement.take_parts(PartsRead(host, 0, tuple(chain)))
+        self.placement.record_parts(PartsRead(host, 0, tuple(chain)))
 
     def load(self, host: str, seconds: float, answers: int = 0) -> None:
         """Let another gateway have prompts of so many seconds at an engine."""
-        waiting = WaitingTokens(0, int(seconds * START_RATE))
+        waiting = WaitingTokens(0, int(seconds * INITIAL_PREFILL_RATE))
         share = PeerShare((waiting,), answers)
         self.placement._engines[host].take_share("peer", share, 0.0)
 
@@ -118,7 +118,7 @@
     world = World()
     parts = (PromptPart("b", 13_000), PromptPart("c", 500))
     chain = hash_parts("m", parts)[:-1]
-    world.placement.take_parts(PartsRead(HOME, 0, tuple(chain)))
+    world.placement.record_parts(PartsRead(HOME, 0, tuple(chain)))
     world.load(HOME, 0.34)
     request = make_request()
     request.work = request.work._replace(prompt_tokens=13_500)
--- a/tests/engines/test_state.py
+++ b/tests/engines/test_state.py
@@ -7,8 +7,8 @@
 from radishtally.engines.cache import PromptCache
 from radishtally.engines.state import (
     FIXED_SECONDS,
+    INITIAL_PREFILL_RATE,
     PIECE_TOKENS,
-    START_RATE,
     EngineState,
     PeerShare,
     mark_start,
@@ -27,10 +27,10 @@
 
 def test_wait_counts_what_came_before() -> None:
     engine = make_engine()
-    engine.begin_reading("long", int(START_RATE), 1, 10.0)
+    engine.begin_prefill("long", int(INITIAL_PREFILL_RATE), 1, 10.0)
     assert engine.predict_wait(1, 10.0) == pytest.approx(1.0)
     assert engine.predict_wait(1, 10.4) == pytest.approx(0.6)
-    engine.end_reading("long", 11.1, True)
+    engine.end_prefill("long", 11.1, True)
     assert engine.predict_wait(1, 11.1) == 0.0
 
 
@@ -40,16 +40,16 @@
 @pytest.mark.parametrize("takes_urgent_first", [True, False])
 def test_wait_follows_the_order_that_is_seen(takes_urgent_first: bool) -> None:
     engine = make_engine()
-    piece = PIECE_TOKENS / START_RATE
+    piece = PIECE_TOKENS / INITIAL_PREFILL_RATE
     for number in range(100):
         begin = 10.0 * number
-        engine.begin_reading("long", int(START_RATE), 2, begin)
-        engine.begin_reading("urgent", 100, 0, begin)
+        engine.begin_prefill("long", int(INITIAL_PREFILL_RATE), 2, begin)
+        engine.begin_prefill("urgent", 100, 0, begin)
         seen = piece if takes_urgent_first else 1.0
-        engine.end_reading("urgent", begin + seen + FIXED_SECONDS, True)
-        engine.end_reading("long", begin + 1.0 + FIXED_SECONDS, True)
+        engine.end_prefill("urgent", begin + seen + FIXED_SECONDS, True)
+        engine.end_prefill("long", begin + 1.0 + FIXED_SECONDS, True)
     now = 2_000.0
-    engine.begin_reading("long", int(engine.rate), 2, now)
+    engine.begin_prefill("long", int(engine.rate), 2, now)
     expected = piece if takes_urgent_first else 1.0
     assert engine.predict_wait(0, now) == pytest.approx(expected, abs=0.1)
     assert engine.predict_wait(2, now) == pytest.approx(1.0, abs=0.01)
@@ -59,17 +59,17 @@
 # look as if nothing was read by priority.
 def test_late_prompts_teach_no_order() -> None:
     engine = make_engine()
-    engine.begin_reading("long", int(START_RATE), 8, 0.0)
-    engine.begin_reading("late", 100, 7, 0.0)
+    engine.begin_prefill("long", int(INITIAL_PREFILL_RATE), 8, 0.0)
+    engine.begin_prefill("late", 100, 7, 0.0)
     before = engine.order.part
-    engine.end_reading("late", 9.0, True)
+    engine.end_prefill("late", 9.0, True)
     assert engine.order.part == before
 
 
 def test_share_tells_waiting_tokens_by_priority() -> None:
     engine = make_engine()
-    engine.begin_reading("a", 100, 2, 0.0)
-    engine.begin_reading("b", 50, 0, 0.0)
+    engine.begin_prefill("a", 100, 2, 0.0)
+    engine.begin_prefill("b", 50, 0, 0.0)
     engine.take_share("peer", PeerShare((WaitingTokens(2, 7),), 1), 0.0)
     engine.take_share("other", PeerShare((WaitingTokens(2, 1_000),), 1), 0.0)
     assert engine.make_share() == (((0, 50), (2, 100)), 0)
@@ -78,7 +78,9 @@
 
 def test_wait_counts_what_other_gateways_sent() -> None:
     engine = make_engine()
-    engine.take_share("peer", PeerShare((WaitingTokens(2, int(START_RATE)),), 2), 10.0)
+    engine.take_share(
+        "peer", PeerShare((WaitingTokens(2, int(INITIAL_PREFILL_RATE)),), 2), 10.0
+    )
     assert engine.predict_wait(2, 10.5) == pytest.approx(0.5)
     assert engine.count_answers() == 2
     engine.take_share("peer", PeerShare((), 0), 11.0)
@@ -89,10 +91,10 @@
     engine = make_engine()
     for spell in range(60):
         begin = 10.0 * spell
-        engine.begin_reading("a", 20_000, 1, begin)
-        engine.begin_reading("b", 20_000, 1, begin + 0.1)
-        engine.end_reading("a", begin + 0.5 + FIXED_SECONDS, True)
-        engine.end_reading("b", begin + 1.0 + FIXED_SECONDS, True)
+        engine.begin_prefill("a", 20_000, 1, begin)
+        engine.begin_prefill("b", 20_000, 1, begin + 0.1)
+        engine.end_prefill("a", begin + 0.5 + FIXED_SECONDS, True)
+        engine.end_prefill("b", begin + 1.0 + FIXED_SECONDS, True)
     assert engine.rate == pytest.approx(40_000, rel=0.01)
 
 
@@ -100,18 +102,18 @@
 # idle under the load, and its rate was learned when it was.
 def test_rate_is_learned_while_the_engine_is_at_work() -> None:
     engine = make_engine()
-    engine.begin_reading("always", 1_000_000, 1, 0.0)
+    engine.begin_prefill("always", 1_000_000, 1, 0.0)
     for number in range(200):
-        engine.begin_reading("a", 10_000, 1, 0.4 * number)
-        engine.end_reading("a", 0.4 * (number + 1), True)
+        engine.begin_prefill("a", 10_000, 1, 0.4 * number)
+        engine.end_prefill("a", 0.4 * (number + 1), True)
     assert engine.rate == pytest.approx(25_000, rel=0.05)
 
 
 def test_given_up_prompts_teach_nothing() -> None:
     engine = make_engine()
-    engine.begin_reading("a", 20_000, 1, 0.0)
-    engine.end_reading("a", 5.0, False)
-    assert engine.rate == START_RATE
+    engine.begin_prefill("a", 20_000, 1, 0.0)
+    engine.end_prefill("a", 5.0, False)
+    assert engine.rate == INITIAL_PREFILL_RATE
 
 
 def test_part_counts_only_behind_kept_parts() -> None:
@@ -152,7 +154,7 @@
 )
 def test_sums_of_others_are_what_they_told_last(told: list[tuple]) -> None:
     engine = make_engine()
-    engine.begin_reading("own", 7, 1, 0.0)
+    engine.begin_prefill("own", 7, 1, 0.0)
     last: dict[str, tuple[int, int, int]] = {}
     for peer, waiting, answers in told:
         if waiting is None:
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -142,7 +142,7 @@
 
     def restart_engine(self, started_ms: int) -> None:
         """Learn that the engine has started again."""
-        self.placement.restart(ENGINE.host)
+        self.placement.reset_engine(ENGINE.host)
         self.placement.set_instance(ENGINE._replace(started_ms=started_ms))
 
     def count(self) -> int:
@@ -325,7 +325,7 @@
     net.play(0.0)
     part = HashedPart(7, 5_000)
     for gateway in net.gateways.values():
-        gateway.placement.take_parts(PartsRead(ENGINE.host, 0, (part,)))
+        gateway.placement.record_parts(PartsRead(ENGINE.host, 0, (part,)))
     net.add("late")
     for name in net.find_linked("late"):
         net.gateways[name].loads.greet("late")
--- a/tests/gateway/test_recall.py
+++ b/tests/gateway/test_recall.py
@@ -56,12 +56,12 @@
         placement = make_placement(instances)
         recall = Recall(name, engines, placement, lambda: instances)
         run(recall.run(NAMES))
-        told = placement.take_read()
+        told = placement.pop_parts_read()
         assert {parts.host for parts in told} <= set(engines.asked)
         # Who is told knows what the engine keeps, as does the one who asked.
         other = make_placement(instances)
         for parts in told:
-            other.take_parts(parts)
+            other.record_parts(parts)
             for each in (placement, other):
                 cache = each._engines[parts.host].cache
                 assert cache.count("m", PARTS) == 5_500
@@ -74,7 +74,7 @@
     engines.silent = {"e-0"}
     placement = make_placement(instances)
     run(Recall("g-0", engines, placement, lambda: instances).run(["g-0"]))
-    assert placement.take_read() == []
+    assert placement.pop_parts_read() == []
 
 
 def test_engines_are_asked_only_by_a_gateway_that_was_there_before() -> None:
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -166,7 +166,7 @@
             parts = (PromptPart("aa", 500),)
             state.cache.note("m", parts)
             state.timed_tokens, state.timed_seconds = 200_000.0, 2.0
-            state.begin_reading("r0", 5_000, 1, time.monotonic())
+            state.begin_prefill("r0", 5_000, 1, time.monotonic())
             await restart(made, engine)
             new = made.gateway.placement._engines["p-1"]
             assert new.cache.count("m", parts) == 0
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 
-from radishtally.engines.state import START_RATE, PeerShare
+from radishtally.engines.state import INITIAL_PREFILL_RATE, PeerShare
 from radishtally.limits.breaker import Breaker
 from radishtally.links.messages import WaitingTokens
 from radishtally.serving.const import UNREACHED_TO_MISS
@@ -105,7 +105,7 @@
         async with deployment() as made:
             prefill, first, second = await start_engines(made, decode=2)
             first.cut_after = second.cut_after = 2
-            busy = PeerShare((WaitingTokens(0, int(3.0 * START_RATE)),), 0)
+            busy = PeerShare((WaitingTokens(0, int(3.0 * INITIAL_PREFILL_RATE)),), 0)
             engine = made.gateway.placement._engines[prefill.instance]
             engine.take_share("peer", busy, time.monotonic())
             assert await stream(made, "/draft/a", "r1") == make_whole("r1")
--- a/tests/stages/test_keeper.py
+++ b/tests/stages/test_keeper.py
@@ -8,7 +8,7 @@
 from radishtally.authority.holder import LeaseHolder
 from radishtally.authority.lease_row import ERA_SHIFT
 from radishtally.direct.core import EngineReport, Instance, OrderOutcome
-from radishtally.engines.state import START_RATE
+from radishtally.engines.state import INITIAL_PREFILL_RATE
 from radishtally.links.messages import DECODE, PREFILL
 from radishtally.outcome import Error, Ok, Result
 from radishtally.stages.const import (
@@ -95,7 +95,7 @@
 
 
 def give_rate(host: str) -> float:
-    return START_RATE
+    return INITIAL_PREFILL_RATE
 
 
 def make_keeper(orders: FakeOrders, lease: FakeLease) -> StageKeeper:
