--- a/radishtally/engines/core.py
+++ b/radishtally/engines/core.py
@@ -4,17 +4,17 @@
 class Observer:
     """Learn from what engines are given and from how they do it; by itself nothing."""
 
-    def note_request(
+    def record_request(
         self, upstream: str, prompt_tokens: int, answer_tokens: int, now: float
     ) -> None:
         """Take in tokens that are to be read and those of the answer expected."""
 
-    def note_pace(
+    def record_pace(
         self, upstream: str, answers: int, events: int, seconds: float
     ) -> None:
         """Take in the time of an answer's next events, of some answers at a time."""
 
-    def note_answered(
+    def record_answer(
         self, upstream: str, events: int, expected: int, seconds: float, now: float
     ) -> None:
         """Take in a whole answer: events, tokens expected, seconds that it had."""
--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -272,7 +272,7 @@
         # Both at once, as it comes: counted when they end, answers that engines are
         # too slow for would not count, and still fewer engines would be left to them.
         expected = request.terms.output_tokens
-        self.observer.note_request(work.upstream, tokens, expected, now)
+        self.observer.record_request(work.upstream, tokens, expected, now)
 
     def note_answer(self, request: OpenRequest, host: KnownHost, now: float) -> None:
         """Note that a part of an answer has come: its prompt is read."""
@@ -296,7 +296,7 @@
             return
         at, events = last
         answers = engine.count_answers()
-        self.observer.note_pace(
+        self.observer.record_pace(
             engine.upstream, answers, request.tokens - events, now - at
         )
 
@@ -305,7 +305,7 @@
         if host.host not in self._engines:
             return
         terms = request.terms
-        self.observer.note_answered(
+        self.observer.record_answer(
             host.upstream,
             request.tokens,
             terms.output_tokens,
--- a/radishtally/stages/demand.py
+++ b/radishtally/stages/demand.py
@@ -52,7 +52,7 @@
         self._add(DemandSums(1.0, prompt_tokens, answer_tokens), now)
         self._begin(now)
 
-    def note_answered(
+    def record_answer(
         self, events: int, expected: int, seconds: float, now: float
     ) -> None:
         """Take in a whole answer, and the time that it had."""
--- a/radishtally/stages/keeper.py
+++ b/radishtally/stages/keeper.py
@@ -89,24 +89,24 @@
         self._passed_over: dict[str, float] = {}
         """Engines that could not be ordered, and until when others go before them."""
 
-    def note_request(
+    def record_request(
         self, upstream: str, prompt_tokens: int, answer_tokens: int, now: float
     ) -> None:
         """Take in tokens that are to be read and those of the answer expected."""
         self._find_demand(upstream).note(prompt_tokens, answer_tokens, now)
 
-    def note_pace(
+    def record_pace(
         self, upstream: str, answers: int, events: int, seconds: float
     ) -> None:
         """Take in the time of an answer's next events, of some answers at a time."""
         self._find_demand(upstream).pace.note(answers, events, seconds)
 
-    def note_answered(
+    def record_answer(
         self, upstream: str, events: int, expected: int, seconds: float, now: float
     ) -> None:
         """Take in a whole answer: events, tokens expected, seconds that it had."""
         demand = self._find_demand(upstream)
-        demand.note_answered(events, expected, seconds, now)
+        demand.record_answer(events, expected, seconds, now)
 
     def take_report(self, peer: str, report: DemandReport, now: float) -> None:
         """Take what has come to another gateway."""
--- a/tests/engines/test_placement.py
+++ b/tests/engines/test_placement.py
@@ -290,7 +290,7 @@
     def __init__(self) -> None:
         self.answered: list[str] = []
 
-    def note_answered(self, upstream: str, *more: float) -> None:
+    def record_answer(self, upstream: str, *more: float) -> None:
         self.answered.append(upstream)
 
 
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -237,7 +237,7 @@
     net = Net(MANY, data_centres)
     net.play(0.0)
     for gateway in net.gateways.values():
-        gateway.stages.note_request("llm", 750_000, 0, 0.0)
+        gateway.stages.record_request("llm", 750_000, 0, 0.0)
     net.play(2.0)
     totals = [
         gateway.stages._demands["llm"].collect(4.0, ("nobody",))
--- a/tests/stages/test_demand.py
+++ b/tests/stages/test_demand.py
@@ -19,7 +19,7 @@
         now = number / requests
         tokens = answer // requests
         demand.note(prompt // requests, tokens, now)
-        demand.note_answered(tokens // 10, tokens, 8.0, now)
+        demand.record_answer(tokens // 10, tokens, 8.0, now)
 
 
 def learn_pace(demand: Demand) -> None:
@@ -87,8 +87,8 @@
     for number in range(200):
         demand.note(1_000, 300, number / 50)
     for number in range(50):
-        demand.note_answered(5, 100, 8.0, 2.0 + number / 50)
+        demand.record_answer(5, 100, 8.0, 2.0 + number / 50)
     assert demand.measure(RATE, SLOTS, 4.0) is None
     for number in range(100):
-        demand.note_answered(30, 300, 8.0, 4.0 + number / 50)
+        demand.record_answer(30, 300, 8.0, 4.0 + number / 50)
     assert demand.measure(RATE, SLOTS, 6.0) is not None
