--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -21,7 +21,7 @@
 from radishtally.links.messages import Cancel, Hello
 from radishtally.serving import events
 from radishtally.serving.state import EntryCore
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.role_controller import RoleController
 
 
 class Parts(Protocol):
@@ -31,7 +31,7 @@
     hosts: DirectHosts
     placement: EnginePlacement
     core: EntryCore
-    stages: StageKeeper
+    stages: RoleController
 
     def handle(self, event: events.Event) -> None:
         """Give the core an event and carry out its commands."""
@@ -91,7 +91,7 @@
         source=change.source.value,
     )
     parts.placement.reset_engine(host)
-    parts.stages.forget(host)
+    parts.stages.reset_engine(host)
     parts.core.restart_host(host)
     parts.core.links.pop(host, None)
 
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -48,7 +48,7 @@
 from radishtally.serving import events
 from radishtally.serving.core import EntryCore, handle_event
 from radishtally.serving.replies import Replies, Reply
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.role_controller import RoleController
 from radishtally.store.core import Table
 from radishtally.store.ids import WriteIds
 
@@ -98,7 +98,7 @@
         self.front = Front(self, callers)
         self._stop_begun: float | None = None
         self.lease = make_lease(self)
-        self.stages = StageKeeper(
+        self.stages = RoleController(
             settings.host,
             self.hosts,
             self.list_served_hosts,
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -30,8 +30,8 @@
     Suspicions,
 )
 from radishtally.serving.suspects import Suspects, group_suspicions
-from radishtally.stages.const import TELL_SECONDS
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.const import REPORT_INTERVAL_SECONDS
+from radishtally.stages.role_controller import RoleController
 
 COLLECT_SECONDS: Final = 0.002
 """Time between two rounds for each gateway that a collector tells: whatever their
@@ -63,7 +63,7 @@
         own: str,
         hub: LinkHub,
         placement: EnginePlacement,
-        stages: StageKeeper,
+        stages: RoleController,
         contend: Callable[[bool], None] = lambda _: None,
         suspects: Suspects | None = None,
     ) -> None:
@@ -111,7 +111,7 @@
             self._tell_backlog(now)
             self._tell_parts()
             self._tell_suspicions(now)
-            if now >= told_demand + TELL_SECONDS:
+            if now >= told_demand + REPORT_INTERVAL_SECONDS:
                 told_demand = now
                 self._tell_demand(now)
 
@@ -144,7 +144,7 @@
             self._placement.record_backlog(peer, message, now)
             self._heard.update(share.host for share in message.shares)
         elif isinstance(message, DemandReport):
-            self._stages.take_report(peer, message, now)
+            self._stages.record_report(peer, message, now)
         elif isinstance(message, PartsRead):
             self._placement.record_parts(message)
             if self._collects:
@@ -284,5 +284,5 @@
 
     def _tell_demand(self, now: float) -> None:
         for peer in self._circle.audience:
-            for report in self._stages.make_reports(now, self._list_left_out(peer)):
+            for report in self._stages.build_reports(now, self._list_left_out(peer)):
                 self._hub.send(peer, report)
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -33,7 +33,7 @@
 from radishtally.links.messages import Hello, Message
 from radishtally.runtime import Runtime
 from radishtally.serving.state import EntryCore
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.role_controller import RoleController
 from radishtally.store.core import Row, Table
 
 GONE_SECONDS: Final = 600.0
@@ -47,7 +47,7 @@
     runtime: Runtime
     placement: EnginePlacement
     recall: Recall
-    stages: StageKeeper
+    stages: RoleController
     lease: LeaseHolder
     core: EntryCore
     table: Table
--- a/radishtally/stages/const.py
+++ b/radishtally/stages/const.py
@@ -38,7 +38,7 @@
 """Part of the expected tokens that came whose answers have ended, from which events are
 told from tokens. Told after 1.7 s where long answers take three, needs of 1.1 engines
 were measured in place of 2.2, and two engines too many were moved to prompts."""
-TELL_SECONDS: Final = 1.0
+REPORT_INTERVAL_SECONDS: Final = 1.0
 """Time between two reports of demand to the other gateways."""
 STALE_SECONDS: Final = 5.0
 """Age from which another gateway's report counts no more."""
--- a/radishtally/stages/core.py
+++ b/radishtally/stages/core.py
@@ -21,14 +21,14 @@
     """Whether requests reach it; one that crashed stays listed for seconds."""
 
 
-class Change(NamedTuple):
+class RoleChange(NamedTuple):
     """Ask an engine to take another role."""
 
     host: str
     role: str
 
 
-class StagePlan:
+class RolePlan:
     """Hold how the engines of one upstream are to be shared out."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         needs: Needs | None,
         has_begun: bool,
         now: float,
-    ) -> list[Change]:
+    ) -> list[RoleChange]:
         """Give the changes of role that are due now.
 
         Until the needs are known, roles are set before traffic has begun, or where one
@@ -121,7 +121,7 @@
     return engines if {engine.role for engine in reached} == roles else reached
 
 
-def choose_changes(engines: Sequence[Engine], wanted: int) -> list[Change]:
+def choose_changes(engines: Sequence[Engine], wanted: int) -> list[RoleChange]:
     """Choose the fewest changes that give the wanted number of prefill engines.
 
     Engines are taken from where their role is most common, so that each data centre
@@ -141,5 +141,5 @@
             break
         chosen = max(movable, key=lambda e: (counts[e.data_centre], e.host))
         roles[chosen.host] = new
-        changes.append(Change(chosen.host, new))
+        changes.append(RoleChange(chosen.host, new))
     return changes
--- a/radishtally/stages/demand.py
+++ b/radishtally/stages/demand.py
@@ -60,7 +60,7 @@
         self._add(ended, now)
         self.speed.note(events, seconds)
 
-    def take_report(self, peer: str, sums: DemandSums, now: float) -> None:
+    def record_report(self, peer: str, sums: DemandSums, now: float) -> None:
         """Take what has come to another gateway."""
         self._others[peer] = sums, now
         if sums.requests:
--- a/radishtally/stages/keeper.py
+++ b/radishtally/stages/role_controller.py
@@ -17,7 +17,7 @@
 from radishtally.links.messages import DemandReport
 from radishtally.outcome import Result
 from radishtally.stages import const
-from radishtally.stages.core import Change, Engine, StagePlan
+from radishtally.stages.core import Engine, RoleChange, RolePlan
 from radishtally.stages.demand import Demand, DemandSums
 from radishtally.stages.split import Needs
 
@@ -57,7 +57,7 @@
         """Order an engine to take a role."""
 
 
-class StageKeeper(Observer):
+class RoleController(Observer):
     """Watch the engines' roles and set them right."""
 
     def __init__(
@@ -80,7 +80,7 @@
         """Tell whether requests don't reach an engine."""
         self.on_report: Callable[[Instance, EngineReport], None] = lambda *_: None
         """Take what an engine said when asked."""
-        self._plans: dict[str, StagePlan] = {}
+        self._plans: dict[str, RolePlan] = {}
         self._demands: dict[str, Demand] = {}
         self._pending: dict[str, tuple[str, float]] = {}
         """Role that an engine was ordered to take, and until when that counts."""
@@ -108,10 +108,10 @@
         demand = self._find_demand(upstream)
         demand.record_answer(events, expected, seconds, now)
 
-    def take_report(self, peer: str, report: DemandReport, now: float) -> None:
+    def record_report(self, peer: str, report: DemandReport, now: float) -> None:
         """Take what has come to another gateway."""
         upstream, *sums = report
-        self._find_demand(upstream).take_report(peer, DemandSums(*sums), now)
+        self._find_demand(upstream).record_report(peer, DemandSums(*sums), now)
 
     def _find_demand(self, upstream: str) -> Demand:
         return self._demands.setdefault(upstream, Demand())
@@ -121,12 +121,12 @@
         for demand in self._demands.values():
             demand.forget_report(peer)
 
-    def forget(self, host: str) -> None:
+    def reset_engine(self, host: str) -> None:
         """Forget what an engine was ordered, as it has started again."""
         self._pending.pop(host, None)
         self._passed_over.pop(host, None)
 
-    def make_reports(
+    def build_reports(
         self, now: float, left_out: Container[str] | None = None
     ) -> list[DemandReport]:
         """Give what has come to this gateway, or to all but some others."""
@@ -146,7 +146,7 @@
         for instance, change in self._decide(self._clock()):
             await self._carry_out(instance, change)
 
-    def _decide(self, now: float) -> list[tuple[Instance, Change]]:
+    def _decide(self, now: float) -> list[tuple[Instance, RoleChange]]:
         """Give the changes that are due, the plan being followed lease or not."""
         # An engine that leaves takes no new work. Counted as one of its role it would
         # be missed only once it is gone, and the others of that role are overloaded
@@ -161,7 +161,7 @@
         for upstream in {item.upstream for item in instances}:
             ours = {i.host: i for i in instances if i.upstream == upstream}
             engines = [self._describe(i, now) for i in ours.values()]
-            plan = self._plans.setdefault(upstream, StagePlan())
+            plan = self._plans.setdefault(upstream, RolePlan())
             needs = self._measure_needs(upstream, list(ours.values()), now)
             has_begun = self._find_demand(upstream).has_begun
             changes = plan.decide(engines, needs, has_begun, now)
@@ -170,7 +170,7 @@
         return [] if self._lease.fencing is None else due
 
     def _log_wanted(
-        self, upstream: str, changes: list[Change], needs: Needs | None
+        self, upstream: str, changes: list[RoleChange], needs: Needs | None
     ) -> None:
         """Log what is wanted when it is another than at the last look."""
         wanted = [f"{change.host} {change.role}" for change in changes]
@@ -215,7 +215,7 @@
             instance.host, instance.data_centre, role, is_orderable, is_reachable
         )
 
-    async def _carry_out(self, instance: Instance, change: Change) -> None:
+    async def _carry_out(self, instance: Instance, change: RoleChange) -> None:
         """Give one order, as the engine and the lease stand now."""
         report = await self._orders.read_report(instance)
         if report.is_error():
@@ -261,7 +261,7 @@
             self._pass_over(instance)
 
     def _count_as_done(
-        self, instance: Instance, change: Change, seconds: float
+        self, instance: Instance, change: RoleChange, seconds: float
     ) -> None:
         # The engine may have started again while it was asked or ordered.
         if self._is_present(instance):
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -31,7 +31,7 @@
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.requests import OpenRequest
 from radishtally.serving.suspects import ENDS_TO_DENY, End, Suspects
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.role_controller import RoleController
 
 MANY = MESH_GATEWAYS + 8
 ENGINE = Instance("d-1", "llm", "d-1:1", "howrah", False, 64, DECODE)
@@ -110,7 +110,7 @@
         self.net = net
         self.placement = EnginePlacement(lambda: 0.0)
         self.placement.set_instance(ENGINE)
-        self.stages = StageKeeper(
+        self.stages = RoleController(
             name, None, lambda: [ENGINE], None, self.placement.measure_rate
         )
         self.contends = False
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -9,7 +9,7 @@
 from radishtally.gateway.daemon import Gateway
 from radishtally.serving.const import REFUSALS_TO_PASS_OVER
 from radishtally.serving.terms import PromptPart
-from radishtally.stages.core import Change
+from radishtally.stages.core import RoleChange
 from standins.staged import StagedEngine
 from tests.common import run
 from tests.gateway.common import Deployment, deployment, wait_until
@@ -213,7 +213,7 @@
             await wait_until(lambda: not core.hosts["d-1"].live)
             (asked,) = [i for i in made.gateway.members if i.host == "d-1"]
             engine.restart(LATE)
-            await stages._carry_out(asked, Change("d-1", "prefill"))
+            await stages._carry_out(asked, RoleChange("d-1", "prefill"))
             assert engine.orders == []
             assert core.hosts["d-1"].live
             # An entry that comes behind the earlier start's has been read, so has that.
--- a/tests/stages/test_core.py
+++ b/tests/stages/test_core.py
@@ -5,7 +5,7 @@
 
 from radishtally.links.messages import DECODE, PREFILL
 from radishtally.stages import const
-from radishtally.stages.core import Change, Engine, StagePlan, choose_changes
+from radishtally.stages.core import Engine, RoleChange, RolePlan, choose_changes
 from radishtally.stages.split import (
     ANSWERING_TARGET,
     READING_TARGET,
@@ -25,12 +25,12 @@
 
 
 def play(
-    plan: StagePlan,
+    plan: RolePlan,
     engines: list[Engine],
     needs: Needs | None,
     begin: float,
     end: float,
-) -> list[Change]:
+) -> list[RoleChange]:
     """Look at the engines as often as the keeper does; give all changes."""
     changes = []
     for tick in range(round((end - begin) / const.TICK_SECONDS)):
@@ -40,7 +40,7 @@
 
 
 def test_roles_are_set_before_traffic_once_the_list_has_settled() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     engines = make_engines(3, 6)
     assert plan.decide(engines, None, False, 0.0) == []
     changes = plan.decide(engines, None, False, const.SETTLE_SECONDS)
@@ -51,14 +51,14 @@
 # Prompts wait for seconds: a gateway starts again amid traffic, takes the lease and
 # brings back the shares that are assumed before traffic tells.
 def test_gateway_that_starts_amid_traffic_keeps_the_roles() -> None:
-    assert play(StagePlan(), make_engines(8, 1), None, 0.0, 20.0) == []
+    assert play(RolePlan(), make_engines(8, 1), None, 0.0, 20.0) == []
 
 
 # Prompts wait for seconds though engines idle: most engines have the wrong role as
 # traffic begins. Its first measure corrects that at once, nothing being learned later
 # that would be worth the wait.
 def test_first_measure_moves_engines_at_once() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     engines = make_engines(3, 3)
     play(plan, engines, None, 0.0, 2.0)
     changes = plan.decide(engines, Needs(2.8, 0.5), True, 2.0)
@@ -66,7 +66,7 @@
 
 
 def test_shift_of_demand_must_last() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     engines = make_engines(6, 3)
     fits, asks = Needs(3.0, 2.0), Needs(1.5, 4.5)
     play(plan, engines, fits, 0.0, 20.0)
@@ -83,7 +83,7 @@
 def test_engines_stay_while_both_roles_have_enough(
     reading: float, answering: float
 ) -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     engines = make_engines(4, 2)
     assert play(plan, engines, Needs(reading, answering), 0.0, 20.0) == []
 
@@ -91,13 +91,13 @@
 # Answers slow down until long ones miss their deadlines: an engine for prompts leaves,
 # and two of those for answers are moved over since the list is a new one.
 def test_roles_stay_when_an_engine_leaves_that_can_be_spared() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     play(plan, make_engines(5, 4), Needs(2.2, 2.8), 0.0, 2.0)
     assert play(plan, make_engines(4, 4), Needs(2.2, 2.8), 2.0, 20.0) == []
 
 
 def test_engine_is_moved_soon_when_one_leaves_that_is_missed() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     needs = Needs(2.4, 1.3)
     play(plan, make_engines(6, 2), needs, 0.0, 2.0)
     left = make_engines(6, 1)
@@ -110,7 +110,7 @@
 # Most engines have the wrong role as traffic begins: the list was short when roles were
 # first thought of, and the rounding of a share of two engines was kept for nine.
 def test_share_is_not_rounded_for_a_list_that_grows() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     plan.decide(make_engines(2, 0), None, False, 0.0)
     engines = make_engines(3, 6)
     plan.decide(engines, None, False, 0.1)
@@ -121,7 +121,7 @@
 # All answers stop: the only engine that makes answers crashes, and the others compute
 # prompts. One of them is moved over without waiting for demand to show it.
 def test_engine_is_moved_when_a_role_is_gone() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     needs = Needs(1.2, 1.1)
     plan.decide(make_engines(4, 2), needs, True, 0.0)
     changes = plan.decide(make_engines(4, 0), needs, True, 1.0)
@@ -131,7 +131,7 @@
 # All answers stop for eight seconds: the only engine that makes them crashes, stays
 # listed for three heartbeats, and another one takes three seconds to change its role.
 def test_engine_is_moved_at_once_when_no_other_of_a_role_is_reached() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     needs = Needs(2.4, 0.5)
     engines = make_engines(5, 1)
     play(plan, engines, needs, 0.0, 20.0)
@@ -143,7 +143,7 @@
 # Engines change their roles whenever one of them crashes for a moment, or the gateway
 # that orders them is cut off from one of them alone.
 def test_engine_out_of_reach_counts_while_its_role_has_others() -> None:
-    plan = StagePlan()
+    plan = RolePlan()
     needs = Needs(2.4, 1.3)
     engines = make_engines(4, 2)
     play(plan, engines, needs, 0.0, 20.0)
--- a/tests/stages/test_demand.py
+++ b/tests/stages/test_demand.py
@@ -71,7 +71,7 @@
     for each in (demand, other):
         bring(each, 50_000, 4_000, 10.0)
     alone = demand.measure(RATE, SLOTS, 10.0)
-    demand.take_report("peer", other.collect(10.0), 10.0)
+    demand.record_report("peer", other.collect(10.0), 10.0)
     both = demand.measure(RATE, SLOTS, 10.0)
     assert both.reading == pytest.approx(2 * alone.reading)
     assert both.answering == pytest.approx(2 * alone.answering)
--- a/tests/stages/test_keeper.py
+++ b/tests/stages/test_role_controller.py
@@ -17,8 +17,8 @@
     SETTLE_SECONDS,
     TICK_SECONDS,
 )
-from radishtally.stages.core import Change
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.core import RoleChange
+from radishtally.stages.role_controller import RoleController
 from radishtally.store.ids import WriteIds
 from tests.common import MemoryTable, run
 
@@ -28,7 +28,7 @@
 
 
 ENGINE = make_instance(1)
-CHANGE = Change(ENGINE.host, PREFILL)
+CHANGE = RoleChange(ENGINE.host, PREFILL)
 
 
 class Clock:
@@ -98,8 +98,8 @@
     return INITIAL_PREFILL_RATE
 
 
-def make_keeper(orders: FakeOrders, lease: FakeLease) -> StageKeeper:
-    return StageKeeper("gateway-1", orders, lambda: [ENGINE], lease, give_rate)
+def make_keeper(orders: FakeOrders, lease: FakeLease) -> RoleController:
+    return RoleController("gateway-1", orders, lambda: [ENGINE], lease, give_rate)
 
 
 def test_order_carries_fencing_number_and_count() -> None:
@@ -147,7 +147,9 @@
     engines = [make_instance(n, PREFILL) for n in range(3)]
     engines += [make_instance(n, DECODE) for n in range(3, 5)]
     orders = FakeOrders(OrderOutcome.TAKEN)
-    keeper = StageKeeper("gateway-1", orders, lambda: engines, FakeLease(4), give_rate)
+    keeper = RoleController(
+        "gateway-1", orders, lambda: engines, FakeLease(4), give_rate
+    )
     assert keeper._decide(0.0) == []
     engines[4] = engines[4]._replace(is_draining=True)
     keeper._decide(10.0)
@@ -169,7 +171,7 @@
     assert orders.given == []
 
 
-def play(keeper: StageKeeper, clock: Clock, seconds: float) -> None:
+def play(keeper: RoleController, clock: Clock, seconds: float) -> None:
     """Let the keeper look as often as it does within a time."""
     for _ in range(round(seconds / TICK_SECONDS)):
         clock.now += TICK_SECONDS
@@ -182,7 +184,9 @@
 def test_another_engine_is_ordered_where_one_is_silent() -> None:
     engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
     orders, clock = FakeOrders(OrderOutcome.TAKEN), Clock()
-    keeper = StageKeeper("g", orders, lambda: engines, FakeLease(4), give_rate, clock)
+    keeper = RoleController(
+        "g", orders, lambda: engines, FakeLease(4), give_rate, clock
+    )
     orders.silent = {"e3"}
     play(keeper, clock, LACK_SECONDS + 2 * TICK_SECONDS)
     assert orders.asked[0] == "e3"
@@ -194,7 +198,9 @@
 def test_silent_engine_is_left_alone_for_a_while() -> None:
     engines = [make_instance(number) for number in range(3)]
     orders, clock = FakeOrders(OrderOutcome.TAKEN), Clock()
-    keeper = StageKeeper("g", orders, lambda: engines, FakeLease(4), give_rate, clock)
+    keeper = RoleController(
+        "g", orders, lambda: engines, FakeLease(4), give_rate, clock
+    )
     orders.silent = {engine.host for engine in engines}
     play(keeper, clock, SETTLE_SECONDS + 10 * RETRY_SECONDS)
     assert 1 <= orders.asked.count("e2") <= 11
@@ -208,7 +214,9 @@
 ) -> None:
     engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
     orders, clock = FakeOrders(outcome), Clock()
-    keeper = StageKeeper("g", orders, lambda: engines, FakeLease(4), give_rate, clock)
+    keeper = RoleController(
+        "g", orders, lambda: engines, FakeLease(4), give_rate, clock
+    )
     play(keeper, clock, LACK_SECONDS + RETRY_SECONDS + TICK_SECONDS)
     assert {host for host, *_ in orders.given} == {"e3"}
 
@@ -219,7 +227,9 @@
 ) -> None:
     engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
     orders, clock = FakeOrders(outcome), Clock()
-    keeper = StageKeeper("g", orders, lambda: engines, FakeLease(4), give_rate, clock)
+    keeper = RoleController(
+        "g", orders, lambda: engines, FakeLease(4), give_rate, clock
+    )
     play(keeper, clock, SETTLE_SECONDS + 2 * TICK_SECONDS)
     assert [host for host, *_ in orders.given] == ["e3", "e2"]
 
@@ -240,7 +250,7 @@
             on_lost=print,
         )
         lease.start()
-        keeper = StageKeeper("g", orders, lambda: engines, lease, give_rate, clock)
+        keeper = RoleController("g", orders, lambda: engines, lease, give_rate, clock)
         for _ in range(round((LACK_SECONDS + RETRY_SECONDS) / TICK_SECONDS) + 1):
             while lease.fencing is None:
                 await asyncio.sleep(0)
@@ -267,7 +277,7 @@
             on_lost=print,
             clock=clock,
         )
-        keeper = StageKeeper("g", orders, lambda: [ENGINE], lease, give_rate, clock)
+        keeper = RoleController("g", orders, lambda: [ENGINE], lease, give_rate, clock)
         lease.start()
         while lease.fencing is None:
             await asyncio.sleep(0)
@@ -312,7 +322,7 @@
     known: int, asked: int, said: int, is_given: bool
 ) -> None:
     orders = FakeOrders(OrderOutcome.TAKEN, Ok(EngineReport(DECODE, 0, False, said)))
-    keeper = StageKeeper(
+    keeper = RoleController(
         "gateway-1",
         orders,
         lambda: [ENGINE._replace(started_ms=known)],
@@ -333,11 +343,13 @@
     engines = [ENGINE._replace(started_ms=EARLY)]
     said = Ok(EngineReport(DECODE, 7, False, EARLY))
     orders = FakeOrders(outcome, said)
-    keeper = StageKeeper("gateway-1", orders, lambda: engines, FakeLease(4), give_rate)
+    keeper = RoleController(
+        "gateway-1", orders, lambda: engines, FakeLease(4), give_rate
+    )
 
     def restart() -> None:
         engines[0] = ENGINE._replace(started_ms=LATE)
-        keeper.forget(ENGINE.host)
+        keeper.reset_engine(ENGINE.host)
 
     orders.while_ordered = restart
     run(keeper._carry_out(engines[0], CHANGE))
@@ -349,7 +361,7 @@
 def test_pending_role_is_forgotten_with_its_start() -> None:
     keeper = make_keeper(FakeOrders(OrderOutcome.TAKEN), FakeLease(4))
     run(keeper._carry_out(ENGINE, CHANGE))
-    keeper.forget(ENGINE.host)
+    keeper.reset_engine(ENGINE.host)
     assert keeper._describe(ENGINE, 0.0).role == DECODE
 
 
@@ -358,13 +370,14 @@
 def test_what_is_wanted_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[str] = []
     monkeypatch.setattr(
-        "radishtally.stages.keeper.log_message", lambda kind, **_: lines.append(kind)
+        "radishtally.stages.role_controller.log_message",
+        lambda kind, **_: lines.append(kind),
     )
     engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
     clock = Clock()
     orders = FakeOrders(OrderOutcome.TAKEN)
     lease = FakeLease(None)
-    keeper = StageKeeper("g", orders, lambda: engines, lease, give_rate, clock)
+    keeper = RoleController("g", orders, lambda: engines, lease, give_rate, clock)
     play(keeper, clock, SETTLE_SECONDS + 20 * TICK_SECONDS)
     assert lines == ["stage:wanted"]
     engines[1] = make_instance(1, PREFILL)
