--- a/bench/capacity/routing.py
+++ b/bench/capacity/routing.py
@@ -16,7 +16,7 @@
     Hello,
     Work,
 )
-from radishtally.routing.core import Candidate, Wanted, choose
+from radishtally.routing.core import Candidate, WorkSpec, choose_host
 from radishtally.serving import events
 from radishtally.serving.core import EntryCore, handle_event
 
@@ -72,8 +72,10 @@
     numbers = itertools.count()
 
     def choose_once() -> None:
-        wanted = Wanted(WHOLE, next(numbers), "gown-llm", "", 900, 229, 30.0, "place-0")
-        choose(wanted, candidates, ())
+        wanted = WorkSpec(
+            WHOLE, next(numbers), "gown-llm", "", 900, 229, 30.0, "place-0"
+        )
+        choose_host(wanted, candidates, ())
 
     return time_calls(choose_once)
 
--- a/radishtally/routing/core.py
+++ b/radishtally/routing/core.py
@@ -52,7 +52,7 @@
     """Own requests in flight when the load was reported."""
 
 
-class Wanted(NamedTuple):
+class WorkSpec(NamedTuple):
     """Describe the work to be offered."""
 
     stage: str
@@ -68,7 +68,7 @@
     """Place of the entry."""
 
 
-class Prospect(NamedTuple):
+class Prediction(NamedTuple):
     """Predict how a request would fare at a candidate."""
 
     wait: float
@@ -92,11 +92,11 @@
     )
 
 
-def choose(
-    wanted: Wanted, candidates: Iterable[Candidate], tried: Collection[str]
+def choose_host(
+    wanted: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
 ) -> str | None:
     """Choose the host to offer the work to next; none if all were tried."""
-    able = [item for item in candidates if may_take(item, wanted)]
+    able = [item for item in candidates if may_serve(item, wanted)]
     left = [item for item in able if item.host not in tried]
     host = find_soonest_role(wanted, able, tried)
     if host is not None:
@@ -110,12 +110,12 @@
 
 
 def find_soonest_role(
-    wanted: Wanted, candidates: Sequence[Candidate], tried: Collection[str]
+    wanted: WorkSpec, candidates: Sequence[Candidate], tried: Collection[str]
 ) -> str | None:
     """Find a host that fits: of the preferred role, or of one that is far sooner."""
     best, soonest, least = None, 0.0, 0.0
     for role, cost in order_roles(wanted, candidates):
-        able = [item for item in candidates if may_be(item, role)]
+        able = [item for item in candidates if may_have_role(item, role)]
         host = find_fitting(wanted, able, tried)
         if host is None:
             continue
@@ -129,7 +129,7 @@
 
 
 def order_roles(
-    wanted: Wanted, candidates: Sequence[Candidate]
+    wanted: WorkSpec, candidates: Sequence[Candidate]
 ) -> list[tuple[str, float]]:
     """Order the roles by what the work costs there, then as its stage prefers."""
     costs = [
@@ -143,7 +143,7 @@
     return sorted(costs, key=lambda item: round(item[1] / least, 1) or inf)
 
 
-def find_cost(wanted: Wanted, candidates: Sequence[Candidate], role: str) -> float:
+def find_cost(wanted: WorkSpec, candidates: Sequence[Candidate], role: str) -> float:
     """Find the engine-seconds that the work takes in a role; 0 if that is not known."""
     loads = (item.load for item in candidates if item.load and item.load.role == role)
     load = next((load for load in loads if load.prefill_rate > 0), None)
@@ -154,7 +154,7 @@
 
 
 def find_fitting(
-    wanted: Wanted, candidates: Sequence[Candidate], tried: Collection[str]
+    wanted: WorkSpec, candidates: Sequence[Candidate], tried: Collection[str]
 ) -> str | None:
     """Find a host that fits the slack: the first few by rank, then by least wait."""
     left = {item.host: item for item in candidates if item.host not in tried}
@@ -193,7 +193,7 @@
 
 
 def choose_round_robin(
-    wanted: Wanted, candidates: Iterable[Candidate], tried: Collection[str]
+    wanted: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
 ) -> str | None:
     """Choose the host with the fewest own requests, whatever its load."""
     left = find_left(wanted, candidates, tried)
@@ -204,7 +204,7 @@
 
 
 def choose_least_reported(
-    wanted: Wanted, candidates: Iterable[Candidate], tried: Collection[str]
+    wanted: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
 ) -> str | None:
     """Choose the host that last reported the least wait."""
     left = find_left(wanted, candidates, tried)
@@ -212,20 +212,20 @@
     return min(sorted(waits), key=waits.__getitem__, default=None)
 
 
-Choice = Callable[[Wanted, Iterable[Candidate], Collection[str]], str | None]
+RoutingPolicy = Callable[[WorkSpec, Iterable[Candidate], Collection[str]], str | None]
 
-POLICIES: Final[dict[str, Choice]] = {
-    "rendezvous": choose,
+POLICIES: Final[dict[str, RoutingPolicy]] = {
+    "rendezvous": choose_host,
     "round_robin": choose_round_robin,
     "least_reported": choose_least_reported,
 }
 
 
-def needs_split(candidates: Iterable[Candidate], wanted: Wanted) -> bool:
+def needs_split(candidates: Iterable[Candidate], wanted: WorkSpec) -> bool:
     """Tell whether prefill and decode should go to hosts of their own."""
     if wanted.prompt_tokens < SPLIT_TOKENS or wanted.max_tokens < 2:
         return False
-    usable = [item for item in candidates if may_take(item, wanted)]
+    usable = [item for item in candidates if may_serve(item, wanted)]
     prefill = find_least_wait(usable, wanted, PREFILL)
     decode = find_least_wait(usable, wanted, DECODE)
     mixed = find_least_wait(usable, wanted, MIXED)
@@ -241,8 +241,8 @@
 
 
 def find_least_wait(
-    candidates: Sequence[Candidate], wanted: Wanted, role: str
-) -> Prospect | None:
+    candidates: Sequence[Candidate], wanted: WorkSpec, role: str
+) -> Prediction | None:
     """Find the best prospect of a prompt's prefill among the hosts of a role."""
     prompt = wanted._replace(max_tokens=1)
     prospects = [
@@ -254,24 +254,24 @@
 
 
 def find_left(
-    wanted: Wanted, candidates: Iterable[Candidate], tried: Collection[str]
+    wanted: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
 ) -> list[Candidate]:
     """Find the untried candidates of the most fitting role that is left."""
-    usable = [item for item in candidates if may_take(item, wanted)]
+    usable = [item for item in candidates if may_serve(item, wanted)]
     left = [item for item in usable if item.host not in tried]
     for role in PREFERRED_ROLES[wanted.stage]:
-        fitting = [item for item in left if may_be(item, role)]
+        fitting = [item for item in left if may_have_role(item, role)]
         if fitting:
             return fitting
     return left
 
 
-def may_be(candidate: Candidate, role: str) -> bool:
+def may_have_role(candidate: Candidate, role: str) -> bool:
     """Tell whether the host has the role, or may have it for all that is known."""
     return candidate.load is None or candidate.load.role == role
 
 
-def may_take(candidate: Candidate, wanted: Wanted) -> bool:
+def may_serve(candidate: Candidate, wanted: WorkSpec) -> bool:
     """Tell whether the host may take the work, for all that is known."""
     load = candidate.load
     if load is None:
@@ -283,7 +283,7 @@
     return not wanted.model or not load.model or load.model == wanted.model
 
 
-def hash_key(wanted: Wanted) -> int:
+def hash_key(wanted: WorkSpec) -> int:
     """Hash what the KV cache of the work depends on."""
     text = f"{wanted.model}\0{wanted.adapter}\0{wanted.prefix}"
     return xxh3_64_intdigest(text.encode(errors="surrogatepass"))
@@ -308,14 +308,14 @@
     return candidate.in_flight - candidate.reported_in_flight
 
 
-def predict(candidate: Candidate, wanted: Wanted) -> Prospect:
+def predict(candidate: Candidate, wanted: WorkSpec) -> Prediction:
     """Predict how the work would fare at a host."""
     load = candidate.load
     trip = 0.0 if candidate.place == wanted.place else TRIP_SECONDS
     requests = count_requests(candidate)
     if load is None:
         occupancy = requests / UNKNOWN_SLOTS
-        return Prospect(trip + occupancy, trip + occupancy, occupancy)
+        return Prediction(trip + occupancy, trip + occupancy, occupancy)
     prefill = wanted.prompt_tokens / load.prefill_rate if load.prefill_rate > 0 else 0.0
     fresh = candidate.load_age <= STALE_SECONDS
     pace = max(load.decode_seconds, load.token_seconds if fresh else 0.0)
@@ -328,4 +328,4 @@
     over = max(0, requests + 1 - slots)
     queued = load.queued if fresh else 0
     wait += max(0, over - queued) * (prefill + decode) / slots
-    return Prospect(trip + wait, trip + wait + prefill + decode, requests / slots)
+    return Prediction(trip + wait, trip + wait + prefill + decode, requests / slots)
--- a/radishtally/serving/placement.py
+++ b/radishtally/serving/placement.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple, Protocol
 
 from radishtally.links.messages import CALL, PREFILL, WHOLE
-from radishtally.routing.core import POLICIES, Choice, Wanted, needs_split
+from radishtally.routing.core import POLICIES, RoutingPolicy, WorkSpec, needs_split
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.requests import OpenRequest
 
@@ -57,7 +57,7 @@
 class RankedPlacement:
     """Choose by what agents report of their hosts."""
 
-    def __init__(self, choice: Choice = POLICIES["rendezvous"]) -> None:
+    def __init__(self, choice: RoutingPolicy = POLICIES["rendezvous"]) -> None:
         self.choice = choice
 
     def place(
@@ -94,9 +94,9 @@
         """Note that the request's present attempt at a host is over."""
 
 
-def _describe(request: OpenRequest, place: str, now: float) -> Wanted:
+def _describe(request: OpenRequest, place: str, now: float) -> WorkSpec:
     work = request.work
-    return Wanted(
+    return WorkSpec(
         request.next_stage,
         work.prefix,
         work.model,
--- a/tests/routing/test_core.py
+++ b/tests/routing/test_core.py
@@ -10,8 +10,8 @@
 from radishtally.routing.core import (
     POLICIES,
     Candidate,
-    Wanted,
-    choose,
+    WorkSpec,
+    choose_host,
     hash_key,
     hash_prefix,
     needs_split,
@@ -19,7 +19,7 @@
 )
 
 HOSTS = [f"gown-{number}" for number in range(9)]
-WANTED = Wanted(WHOLE, 7, "gown", "", 200, 50, 30.0, "howrah")
+WANTED = WorkSpec(WHOLE, 7, "gown", "", 200, 50, 30.0, "howrah")
 
 
 def make_load(**more) -> Load:
@@ -96,7 +96,7 @@
 )
 def test_roles_are_preferred_by_stage(stage, roles, expected):
     wanted = WANTED._replace(stage=stage)
-    assert choose_all(choose, wanted, make_pool(**roles)) == expected
+    assert choose_all(choose_host, wanted, make_pool(**roles)) == expected
 
 
 @pytest.mark.parametrize(
@@ -109,18 +109,20 @@
     ],
 )
 def test_hosts_that_cannot_serve_are_left_out(more, wanted, taken):
-    found = choose(wanted, [make_candidate("a", **more)], ())
+    found = choose_host(wanted, [make_candidate("a", **more)], ())
     assert found == ("a" if taken else None)
 
 
 def test_an_unknown_load_may_have_the_adapter():
     candidate = Candidate("a", "howrah", None, 0.0, 0, 0)
-    assert choose(WANTED._replace(adapter="silk"), [candidate], ()) == "a"
+    assert choose_host(WANTED._replace(adapter="silk"), [candidate], ()) == "a"
 
 
 def test_a_prefix_stays_with_its_host():
     pool = [make_candidate(host) for host in HOSTS]
-    chosen = {choose(WANTED, pool[number:] + pool[:number], ()) for number in range(9)}
+    chosen = {
+        choose_host(WANTED, pool[number:] + pool[:number], ()) for number in range(9)
+    }
     assert len(chosen) == 1
 
 
@@ -133,7 +135,7 @@
     counts = Counter()
     for _ in range(90):
         pool = [make_candidate(host, in_flight=counts[host]) for host in HOSTS]
-        counts[choose(WANTED, pool, ())] += 1
+        counts[choose_host(WANTED, pool, ())] += 1
     assert max(counts.values()) <= 20
 
 
@@ -176,7 +178,7 @@
             make_candidate(host, wait=0.1 * (host != HOSTS[0]), in_flight=counts[host])
             for host in HOSTS
         ]
-        counts[choose(WANTED._replace(slack=0.0), pool, ())] += 1
+        counts[choose_host(WANTED._replace(slack=0.0), pool, ())] += 1
     assert counts[HOSTS[0]] <= 8
 
 
@@ -185,18 +187,18 @@
         make_candidate(host, wait=float(number + 5))
         for number, host in enumerate(HOSTS)
     ]
-    assert choose(WANTED._replace(slack=1.0), pool, ()) == HOSTS[0]
+    assert choose_host(WANTED._replace(slack=1.0), pool, ()) == HOSTS[0]
 
 
 def test_an_overloaded_role_spills_to_another_that_fits():
     pool = [make_candidate("m", wait=60.0), make_candidate("d", role=DECODE)]
-    assert choose(WANTED, pool, ()) == "d"
+    assert choose_host(WANTED, pool, ()) == "d"
 
 
 def test_a_stale_report_says_nothing_about_the_wait():
     fresh = make_candidate("a", wait=60.0)
     stale = fresh._replace(host="b", load_age=60.0)
-    assert choose(WANTED, [fresh, stale], ()) == "b"
+    assert choose_host(WANTED, [fresh, stale], ()) == "b"
 
 
 @pytest.mark.parametrize(
@@ -229,18 +231,18 @@
     with the decode host left idle until then.
     """
     pool = [make_candidate("m", wait=5.0), make_candidate("d", role=DECODE)]
-    assert choose(WANTED, pool, ()) == "d"
+    assert choose_host(WANTED, pool, ()) == "d"
     pool = [make_candidate("m", wait=0.1), make_candidate("d", role=DECODE)]
-    assert choose(WANTED, pool, ()) == "m"
+    assert choose_host(WANTED, pool, ()) == "m"
 
 
 def test_the_present_pace_tells_which_role_is_sooner():
     """Both report no wait, but the mixed host decodes four times slower at present."""
     slow = make_candidate("m", token_seconds=0.08)
     pool = [slow, make_candidate("d", role=DECODE)]
-    assert choose(WANTED, pool, ()) == "d"
+    assert choose_host(WANTED, pool, ()) == "d"
     stale = slow._replace(load_age=60.0)
-    assert choose(WANTED, [stale, pool[1]], ()) == "m"
+    assert choose_host(WANTED, [stale, pool[1]], ()) == "m"
 
 
 @pytest.mark.parametrize(
@@ -255,7 +257,7 @@
     decode = {"role": DECODE, "prefill_rate": 3_900.0, "slots": 48}
     pool = [make_candidate("m"), make_candidate("d", **decode)]
     wanted = WANTED._replace(prompt_tokens=prompt, max_tokens=output)
-    assert choose(wanted, pool, ()) == expected
+    assert choose_host(wanted, pool, ()) == expected
 
 
 def test_what_spills_over_spreads():
@@ -276,7 +278,7 @@
             )
             for host in HOSTS
         ]
-        counts[choose(wanted, pool, ())] += 1
+        counts[choose_host(wanted, pool, ())] += 1
     assert max(counts.values()) <= 8
 
 
@@ -290,4 +292,4 @@
     wanted = WANTED._replace(prompt_tokens=prompt)
     first = rank(HOSTS, hash_key(wanted))[0]
     pool = [make_candidate(host, wait=0.3 * (host == first)) for host in HOSTS]
-    assert choose(wanted, pool, ()) == first
+    assert choose_host(wanted, pool, ()) == first
