--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 from radishtally.direct.core import Instance
-from radishtally.engines.news import Others
 from radishtally.engines.placement import EnginePlacement
+from radishtally.engines.staleness import PeerStaleness
 from radishtally.links.messages import (
     DECODE,
     PREFILL,
@@ -96,7 +96,9 @@
             placement.set_instance(
                 Instance(host, "llm", f"{host}:1", place, False, SLOTS, role)
             )
-        placement.unseen.others = Others(self.fleet.gateways - 1, 1.5 * self.fleet.age)
+        placement.unseen_requests.peers = PeerStaleness(
+            self.fleet.gateways - 1, 1.5 * self.fleet.age
+        )
         return placement
 
     def play(self) -> Report:
@@ -173,7 +175,7 @@
 
     def tell(self) -> None:
         """Tell each gateway what the others have open; it hears that later."""
-        read = [gateway.take_read() for gateway in self.gateways]
+        read = [gateway.pop_parts_read() for gateway in self.gateways]
         for number, backlog in enumerate(self.list_backlogs()):
             parts = [told for n, told in enumerate(read) if n != number]
             parts = [item for told in parts for item in told]
@@ -182,9 +184,9 @@
             self.plan(self.fleet.age, self.tell)
 
     def hear(self, number: int, backlog: Backlog, parts: list[PartsRead]) -> None:
-        self.gateways[number].take_backlog("collector", backlog, self.now)
+        self.gateways[number].record_backlog("collector", backlog, self.now)
         for told in parts:
-            self.gateways[number].take_parts(told)
+            self.gateways[number].record_parts(told)
 
     def list_backlogs(self) -> Iterator[Backlog]:
         """List what all gateways but each one have open."""
@@ -208,8 +210,8 @@
     def count_own(self, gateway: EnginePlacement) -> tuple[dict, dict]:
         engines = gateway._engines.values()
         waiting = {
-            e.host: sum(r.tokens for r in e.readings.values())
+            e.host: sum(r.tokens for r in e.prefills.values())
             for e in engines
-            if e.readings
+            if e.prefills
         }
         return waiting, {e.host: len(e.answers) for e in engines if e.answers}
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -9,7 +9,7 @@
 from radishtally.gateway.daemon import Gateway
 from radishtally.serving.const import REFUSALS_TO_TRIP_BREAKER
 from radishtally.serving.terms import PromptPart
-from radishtally.stages.core import Change
+from radishtally.stages.core import RoleChange
 from standins.staged import StagedEngine
 from tests.common import run
 from tests.gateway.common import Deployment, deployment, wait_until
@@ -166,7 +166,7 @@
             parts = (PromptPart("aa", 500),)
             state.cache.note("m", parts)
             state.timed_tokens, state.timed_seconds = 200_000.0, 2.0
-            state.begin_reading("r0", 5_000, 1, time.monotonic())
+            state.begin_prefill("r0", 5_000, 1, time.monotonic())
             await restart(made, engine)
             new = made.gateway.placement._engines["p-1"]
             assert new.cache.count("m", parts) == 0
@@ -213,7 +213,7 @@
             await wait_until(lambda: not core.hosts["d-1"].live)
             (asked,) = [i for i in made.gateway.members if i.host == "d-1"]
             engine.restart(LATE)
-            await stages._carry_out(asked, Change("d-1", "prefill"))
+            await stages._carry_out(asked, RoleChange("d-1", "prefill"))
             assert engine.orders == []
             assert core.hosts["d-1"].live
             # An entry that comes behind the earlier start's has been read, so has that.
