--- a/radishtally/gateway/bounds.py
+++ b/radishtally/gateway/bounds.py
@@ -15,7 +15,7 @@
     LEASE_TURNS,
     RETRY_PART,
 )
-from radishtally.gateway.members import LAPSE_SECONDS
+from radishtally.gateway.members import MISSING_GRACE_SECONDS
 
 
 def mark_bounds(bounds: Bounds) -> str:
@@ -33,9 +33,9 @@
     """Find how long one of some gateways may gather changes of the store.
 
     A host whose entry is gone gets no request once its time to drain is over, and may
-    be missed for LAPSE_SECONDS of that first.
+    be missed for MISSING_GRACE_SECONDS of that first.
     """
-    longest = max(0.0, bounds.drain_ms / 1000 - LAPSE_SECONDS - GATHER_MARGIN)
+    longest = max(0.0, bounds.drain_ms / 1000 - MISSING_GRACE_SECONDS - GATHER_MARGIN)
     return longest if gateways is None else min(longest, gateways * GATHER_SECONDS)
 
 
--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -9,7 +9,7 @@
 from radishtally.direct.hosts import DirectHosts
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.members import (
-    LAPSE_SECONDS,
+    MISSING_GRACE_SECONDS,
     Change,
     Forget,
     Members,
@@ -71,7 +71,7 @@
         "upstream:missing",
         upstream_host=change.host,
         reason=change.reason,
-        seconds=LAPSE_SECONDS,
+        seconds=MISSING_GRACE_SECONDS,
     )
 
 
--- a/radishtally/gateway/members.py
+++ b/radishtally/gateway/members.py
@@ -8,13 +8,13 @@
 from radishtally.direct.core import EngineReport, Instance, is_same_start
 from radishtally.gateway.starts import Restart, Source, Starts
 
-LAPSE_SECONDS: Final = 1.6
+MISSING_GRACE_SECONDS: Final = 1.6
 """Time for which an entry is kept that is missing just after the store's return. One
 that lapsed meanwhile is back within two seconds, most within a heartbeat of 1.2 s, the
 last of some hundreds after 1.54 s; one that was removed must be given up within two
 seconds, and was noticed a little late."""
-MASS_SHARE: Final = 0.25
-"""Share of an upstream's hosts above which removals within LAPSE_SECONDS are taken for
+MASS_REMOVAL_SHARE: Final = 0.25
+"""Share of an upstream's hosts above which removals within MISSING_GRACE_SECONDS are taken for
 entries that lapsed in an outage that went unseen: a question for changes that the store
 holds all the while tells of none. Planned work takes out fewer without a word; where it
 takes out more, they are kept no longer than a leaving host may get requests."""
@@ -103,7 +103,7 @@
         self._missing: dict[str, float] = {}
         """Times at which hosts that the list lacks count as gone."""
         self._removals: deque[_Removal] = deque()
-        """Removals of hosts in service, the last LAPSE_SECONDS' ones."""
+        """Removals of hosts in service, the last MISSING_GRACE_SECONDS' ones."""
         self._beats: dict[str, int] = {}
         """Counts of heartbeats in the entries that were taken last."""
         self._gone: OrderedDict[str, tuple[float, Instance]] = OrderedDict()
@@ -123,7 +123,7 @@
         """Take that the store was restored: the next list is that of an older copy."""
         self._entered_at = now
         # Hosts that are missing could not write anew before this.
-        until = now + LAPSE_SECONDS
+        until = now + MISSING_GRACE_SECONDS
         self._missing = dict.fromkeys(self._missing, until)
         self._doubts.clear()
         self._review_at = float("inf")
@@ -293,7 +293,7 @@
         return [self._forget(host, now)] if host in self._instances else []
 
     def _note_removals(self, removed: Iterable[Instance], now: float) -> None:
-        while self._removals and self._removals[0].at <= now - LAPSE_SECONDS:
+        while self._removals and self._removals[0].at <= now - MISSING_GRACE_SECONDS:
             self._removals.popleft()
         for instance in removed:
             # A host that says that it leaves has written, so its entry did not lapse.
@@ -313,7 +313,7 @@
         return frozenset(
             upstream
             for upstream, count in counts.items()
-            if count > MASS_SHARE * totals[upstream]
+            if count > MASS_REMOVAL_SHARE * totals[upstream]
             and (count >= MASS_HOSTS or count == totals[upstream])
         )
 
@@ -326,7 +326,7 @@
         return list(self._doubts)
 
     def _miss(self, host: str, now: float, reason: MissReason) -> Change:
-        self._missing[host] = now + LAPSE_SECONDS
+        self._missing[host] = now + MISSING_GRACE_SECONDS
         return Miss(host, reason)
 
     def _forget(self, host: str, now: float) -> Change:
--- a/tests/adapter/test_outages.py
+++ b/tests/adapter/test_outages.py
@@ -16,7 +16,7 @@
 
 from radishtally.gateway.bounds import find_gathering
 from radishtally.gateway.config import Bounds
-from radishtally.gateway.members import MASS_SHARE, Change, Members
+from radishtally.gateway.members import MASS_REMOVAL_SHARE, Change, Members
 from radishtally.outcome import Error, Ok, Result
 from radishtally.runtime import Runtime
 from radishtally.store.core import Unavailable
@@ -221,7 +221,7 @@
         for upstream in UPSTREAMS:
             dropped = (serving & upstream) - held
             # One entry that lapses looks like a host that leaves without a word.
-            assert len(dropped) <= max(1, MASS_SHARE * len(upstream))
+            assert len(dropped) <= max(1, MASS_REMOVAL_SHARE * len(upstream))
             assert not dropped or held & upstream
         last = max((o.end for o in self._outages if o.start <= now), default=0.0)
         if now < last + STABLE_SECONDS:
--- a/tests/adapter/test_watch.py
+++ b/tests/adapter/test_watch.py
@@ -221,7 +221,7 @@
 ) -> None:
     monkeypatch.setattr("adapter.watch.MIN_OUTAGE_SECONDS", 0.0)
     for module in ("adapter.watch", "radishtally.gateway.members"):
-        monkeypatch.setattr(f"{module}.LAPSE_SECONDS", 0.05)
+        monkeypatch.setattr(f"{module}.MISSING_GRACE_SECONDS", 0.05)
     listed, removed = StoredRow("a", DESK, 1), StoredRow("a", None, 5)
 
     async def play() -> None:
@@ -245,7 +245,7 @@
 ) -> None:
     monkeypatch.setattr("adapter.watch.MIN_OUTAGE_SECONDS", 0.0)
     for module in ("adapter.watch", "radishtally.gateway.members"):
-        monkeypatch.setattr(f"{module}.LAPSE_SECONDS", 0.05)
+        monkeypatch.setattr(f"{module}.MISSING_GRACE_SECONDS", 0.05)
     listed = tuple(StoredRow(host, DESK, 1) for host in "ab")
     removed = tuple(StoredRow(host, None, 5) for host in "ab")
 
--- a/tests/gateway/test_bounds.py
+++ b/tests/gateway/test_bounds.py
@@ -4,7 +4,7 @@
 
 from radishtally.gateway.bounds import find_gathering
 from radishtally.gateway.config import Bounds
-from radishtally.gateway.members import LAPSE_SECONDS
+from radishtally.gateway.members import MISSING_GRACE_SECONDS
 
 MANY = 10_000
 
@@ -27,5 +27,5 @@
 def test_host_that_left_is_known_in_time(drain_ms: float) -> None:
     bounds = make_bounds(drain_ms)
     for gateways in (1, MANY, None):
-        late = find_gathering(bounds, gateways) + LAPSE_SECONDS
-        assert late < max(drain_ms / 1000, LAPSE_SECONDS + 0.001)
+        late = find_gathering(bounds, gateways) + MISSING_GRACE_SECONDS
+        assert late < max(drain_ms / 1000, MISSING_GRACE_SECONDS + 0.001)
--- a/tests/gateway/test_members.py
+++ b/tests/gateway/test_members.py
@@ -4,7 +4,7 @@
 
 from radishtally.direct.core import EngineReport, Instance
 from radishtally.gateway.members import (
-    LAPSE_SECONDS,
+    MISSING_GRACE_SECONDS,
     MAX_REMEMBERED,
     REMEMBER_SECONDS,
     REVIEW_SECONDS,
@@ -51,8 +51,8 @@
     assert describe(missed) == ["Miss a", "Miss b"]
     assert members.count_missing() == 2
     assert describe(members.set(A)) == ["Return a"]
-    assert members.expire(10.0 + LAPSE_SECONDS - 0.1, False) == []
-    assert describe(members.expire(10.0 + LAPSE_SECONDS, False)) == ["Forget b"]
+    assert members.expire(10.0 + MISSING_GRACE_SECONDS - 0.1, False) == []
+    assert describe(members.expire(10.0 + MISSING_GRACE_SECONDS, False)) == ["Forget b"]
     assert list(members) == [A]
 
 
@@ -71,7 +71,7 @@
     members = Members()
     members.set(A)
     assert describe(members.remove(["a"], 5.0, True)) == ["Miss a"]
-    assert describe(members.expire(5.0 + LAPSE_SECONDS, False)) == ["Forget a"]
+    assert describe(members.expire(5.0 + MISSING_GRACE_SECONDS, False)) == ["Forget a"]
 
 
 # Callers of a small upstream are refused for a second: its only host's entry had
@@ -83,7 +83,7 @@
     members.replace([A, B], 0.0, False)
     assert describe(members.remove(["b"], 5.0, False)) == ["Forget b"]
     assert describe(members.remove(["a"], 20.0, False)) == ["Miss a"]
-    assert describe(members.expire(20.0 + LAPSE_SECONDS, False)) == ["Forget a"]
+    assert describe(members.expire(20.0 + MISSING_GRACE_SECONDS, False)) == ["Forget a"]
 
 
 DRAINING = make_instance("a", is_draining=True)
@@ -224,8 +224,8 @@
     members.remove(["b"], 19.0, True)
     members.enter_era(20.0)
     assert members.replace([A, B], 21.0, True, {"b": 5}) == []
-    assert members.expire(20.0 + LAPSE_SECONDS - 0.1, False) == []
-    assert describe(members.expire(20.0 + LAPSE_SECONDS, False)) == ["Forget b"]
+    assert members.expire(20.0 + MISSING_GRACE_SECONDS - 0.1, False) == []
+    assert describe(members.expire(20.0 + MISSING_GRACE_SECONDS, False)) == ["Forget b"]
     assert members.replace([A, B], 22.5, False, {"b": 6}) == [Set(B)]
 
 
@@ -237,8 +237,8 @@
     members.remove(["b"], 19.0, True)
     members.enter_era(20.0)
     assert describe(members.replace([], 21.0, True)) == ["Miss a"]
-    assert members.expire(20.0 + LAPSE_SECONDS - 0.1, False) == []
-    gone = members.expire(20.0 + LAPSE_SECONDS, False)
+    assert members.expire(20.0 + MISSING_GRACE_SECONDS - 0.1, False) == []
+    gone = members.expire(20.0 + MISSING_GRACE_SECONDS, False)
     assert describe(gone) == ["Forget a", "Forget b"]
 
 
@@ -248,7 +248,7 @@
     for instance in [A, *hosts]:
         members.set(instance)
         members.remove([instance.host], 5.0, False)
-        members.expire(5.0 + LAPSE_SECONDS, False)
+        members.expire(5.0 + MISSING_GRACE_SECONDS, False)
     members.enter_era(5.0 + REMEMBER_SECONDS / 2)
     members.replace([A, *hosts], 40.0, True)
     assert len(members.list_doubted()) == MAX_REMEMBERED
@@ -263,7 +263,7 @@
     members.set(DRAINING, 9)
     assert members.replace([A], 1.0, False, {"a": 3}) == [Set(A)]
     members.remove(["a"], 2.0, False)
-    members.expire(2.0 + LAPSE_SECONDS, False)
+    members.expire(2.0 + MISSING_GRACE_SECONDS, False)
     assert members.replace([A], 5.0, False, {"a": 3}) == [Set(A)]
 
 
--- a/tests/gateway/test_members_machine.py
+++ b/tests/gateway/test_members_machine.py
@@ -18,7 +18,7 @@
 
 from radishtally.direct.core import Instance
 from radishtally.gateway.members import (
-    LAPSE_SECONDS,
+    MISSING_GRACE_SECONDS,
     Change,
     Forget,
     Members,
@@ -79,7 +79,7 @@
     @property
     def after_outage(self) -> bool:
         """Tell whether the store has only just come back."""
-        return self.now < self.back_at + LAPSE_SECONDS
+        return self.now < self.back_at + MISSING_GRACE_SECONDS
 
     @initialize(hosts=SETS_OF_HOSTS)
     def start(self, hosts: frozenset[str]) -> None:
@@ -126,7 +126,7 @@
 
     @precondition(lambda self: self.now <= self.copied_at + MAX_COPY_SECONDS)
     @rule(
-        seconds=st.floats(0.0, LAPSE_SECONDS),
+        seconds=st.floats(0.0, MISSING_GRACE_SECONDS),
         written=st.dictionaries(HOSTS, st.booleans()),
     )
     def restore(self, seconds: float, written: dict[str, bool]) -> None:
@@ -173,7 +173,7 @@
             return
         self.remove(frozenset(h for h in self.apart if not self._has_written(h)))
 
-    @rule(seconds=st.floats(0.0, 2 * LAPSE_SECONDS))
+    @rule(seconds=st.floats(0.0, 2 * MISSING_GRACE_SECONDS))
     def wait(self, seconds: float) -> None:
         """Let time pass."""
         self.now += seconds
@@ -201,9 +201,9 @@
             assert changes == []
             return
         kept = self.present - self.listed.keys()
-        assert all(self.removed_at[host] + LAPSE_SECONDS > self.now for host in kept)
+        assert all(self.removed_at[host] + MISSING_GRACE_SECONDS > self.now for host in kept)
         assert not self.missed & self.apart.keys() or (
-            self.now < self.restored_at + LAPSE_SECONDS
+            self.now < self.restored_at + MISSING_GRACE_SECONDS
         )
 
     @invariant()
@@ -229,12 +229,12 @@
 
     def teardown(self) -> None:
         """Check that nothing is kept for good, and nothing left out."""
-        self.now += DROP_SECONDS + 2 * LAPSE_SECONDS
+        self.now += DROP_SECONDS + 2 * MISSING_GRACE_SECONDS
         self.look()
         while self.members.next_review() < float("inf"):
             self.review()
         self.look()
-        self.now += 2 * LAPSE_SECONDS
+        self.now += 2 * MISSING_GRACE_SECONDS
         self.look()
         assert self.present == self.listed.keys()
 
--- a/tests/gateway/test_starts.py
+++ b/tests/gateway/test_starts.py
@@ -2,7 +2,7 @@
 
 from radishtally.direct.core import EngineReport, Instance
 from radishtally.gateway import starts
-from radishtally.gateway.members import LAPSE_SECONDS, Change, Members
+from radishtally.gateway.members import MISSING_GRACE_SECONDS, Change, Members
 from radishtally.gateway.starts import ENDED_STARTS, Source, Starts
 from radishtally.links.messages import DECODE, PREFILL
 
@@ -84,7 +84,7 @@
     members.remove(["a"], 1.0, True)
     changes = members.set(make_instance(LATE, address="a:2"))
     assert describe(changes) == ["Return", "Restart", "Set"]
-    assert members.expire(1.0 + LAPSE_SECONDS, False) == []
+    assert members.expire(1.0 + MISSING_GRACE_SECONDS, False) == []
 
 
 def test_host_that_was_gone_is_back_as_the_same_start_or_another() -> None:
--- a/tests/gateway/test_starts_machine.py
+++ b/tests/gateway/test_starts_machine.py
@@ -17,7 +17,7 @@
 )
 
 from radishtally.direct.core import EngineReport, Instance, is_same_start
-from radishtally.gateway.members import LAPSE_SECONDS, Change, Members
+from radishtally.gateway.members import MISSING_GRACE_SECONDS, Change, Members
 from radishtally.gateway.starts import Restart
 from radishtally.links.messages import DECODE
 
@@ -137,7 +137,7 @@
         rows = [] if self.row is None else [self.row]
         self.take(self.members.replace(rows, self.now, after_outage))
 
-    @rule(seconds=st.sampled_from([0.5, LAPSE_SECONDS]))
+    @rule(seconds=st.sampled_from([0.5, MISSING_GRACE_SECONDS]))
     def expire(self, seconds: float) -> None:
         self.now += seconds
         self.take(self.members.expire(self.now, False))
