--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -10,14 +10,14 @@
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.members import (
     MISSING_GRACE_SECONDS,
-    Change,
-    Forget,
+    HostChange,
+    HostMissing,
+    HostRemoved,
+    HostReturned,
+    HostUpdated,
     Members,
-    Miss,
-    Return,
-    Set,
 )
-from radishtally.gateway.starts import Restart
+from radishtally.gateway.starts import HostRestarted
 from radishtally.links.messages import Cancel, Hello
 from radishtally.serving import events
 from radishtally.serving.state import EntryCore
@@ -38,13 +38,13 @@
 
 
 @singledispatch
-def carry_out(change: Change, parts: Parts) -> None:
+def carry_out(change: HostChange, parts: Parts) -> None:
     """Bring one change to all parts."""
     raise TypeError(f"no way to carry out {type(change)}")
 
 
 @carry_out.register
-def _(change: Set, parts: Parts) -> None:
+def _(change: HostUpdated, parts: Parts) -> None:
     instance = change.instance
     host = instance.host
     log_message(
@@ -66,7 +66,7 @@
 
 
 @carry_out.register
-def _(change: Miss, parts: Parts) -> None:
+def _(change: HostMissing, parts: Parts) -> None:
     log_message(
         "upstream:missing",
         upstream_host=change.host,
@@ -76,12 +76,12 @@
 
 
 @carry_out.register
-def _(change: Return, parts: Parts) -> None:
+def _(change: HostReturned, parts: Parts) -> None:
     log_message("upstream:returned", upstream_host=change.host)
 
 
 @carry_out.register
-def _(change: Restart, parts: Parts) -> None:
+def _(change: HostRestarted, parts: Parts) -> None:
     host = change.host
     log_message(
         "upstream:restarted",
@@ -97,7 +97,7 @@
 
 
 @carry_out.register
-def _(change: Forget, parts: Parts) -> None:
+def _(change: HostRemoved, parts: Parts) -> None:
     host = change.host
     log_message("upstream:gone", upstream_host=host)
     parts.hosts.forget(host)
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -34,7 +34,7 @@
 from radishtally.gateway.core import CallerDialect, CallerRequest
 from radishtally.gateway.endings import Given
 from radishtally.gateway.front import Front
-from radishtally.gateway.members import Change, Members
+from radishtally.gateway.members import HostChange, Members
 from radishtally.gateway.metrics import GatewayMetrics
 from radishtally.gateway.peers import Peers
 from radishtally.gateway.recall import Recall
@@ -292,7 +292,7 @@
         named = configuration.upstreams
         return [host for host in self.members if host.upstream in named]
 
-    def apply(self, changes: list[Change]) -> None:
+    def apply(self, changes: list[HostChange]) -> None:
         """Take what became of the upstreams' hosts."""
         for change in changes:
             carry_out(change, self)
--- a/radishtally/gateway/members.py
+++ b/radishtally/gateway/members.py
@@ -6,7 +6,7 @@
 from typing import Final, NamedTuple
 
 from radishtally.direct.core import EngineReport, Instance, is_same_start
-from radishtally.gateway.starts import Restart, Source, Starts
+from radishtally.gateway.starts import HostRestarted, Starts, StartSource
 
 MISSING_GRACE_SECONDS: Final = 1.6
 """Time for which an entry is kept that is missing just after the store's return. One
@@ -14,10 +14,10 @@
 last of some hundreds after 1.54 s; one that was removed must be given up within two
 seconds, and was noticed a little late."""
 MASS_REMOVAL_SHARE: Final = 0.25
-"""Share of an upstream's hosts above which removals within MISSING_GRACE_SECONDS are taken for
-entries that lapsed in an outage that went unseen: a question for changes that the store
-holds all the while tells of none. Planned work takes out fewer without a word; where it
-takes out more, they are kept no longer than a leaving host may get requests."""
+"""Share of an upstream's hosts above which removals within MISSING_GRACE_SECONDS count
+as entries that expired during an undetected store outage: a pending long poll does not
+show that the store was away. Planned maintenance removes fewer hosts without notice. If
+it removes more, they are kept no longer than a draining host may get requests."""
 MASS_HOSTS: Final = 2
 """Fewest such removals: that one host leaves a small upstream is ordinary. The last one
 is kept all the same, as there is no other that could serve meanwhile."""
@@ -35,13 +35,13 @@
 store drops it after three heartbeats, and needs some time to come to it."""
 
 
-class Set(NamedTuple):
+class HostUpdated(NamedTuple):
     """Say that a host is there, and as what."""
 
     instance: Instance
 
 
-class Forget(NamedTuple):
+class HostRemoved(NamedTuple):
     """Say that a host is gone."""
 
     host: str
@@ -54,20 +54,20 @@
     MANY_AT_ONCE = "many at once"
 
 
-class Miss(NamedTuple):
+class HostMissing(NamedTuple):
     """Say that the list lacks a host, which is kept until it may have written again."""
 
     host: str
     reason: MissReason
 
 
-class Return(NamedTuple):
+class HostReturned(NamedTuple):
     """Say that a host that was missing is on the list again."""
 
     host: str
 
 
-Change = Set | Forget | Miss | Return | Restart
+HostChange = HostUpdated | HostRemoved | HostMissing | HostReturned | HostRestarted
 
 
 class _Removal(NamedTuple):
@@ -135,7 +135,7 @@
         now: float,
         after_outage: bool,
         beats: Mapping[str, int] | None = None,
-    ) -> list[Change]:
+    ) -> list[HostChange]:
         """Take the whole list, with its hosts' counts of heartbeats."""
         beats = beats or {}
         listed = {instance.host: instance for instance in instances}
@@ -187,15 +187,15 @@
         shown = instance._replace(started_ms=known.started_ms)
         return shown != known and beats <= self._beats.get(host, 0)
 
-    def set(self, instance: Instance, beats: int = 0) -> list[Change]:
+    def set(self, instance: Instance, beats: int = 0) -> list[HostChange]:
         """Take one entry; one of a start that has ended says nothing."""
         host = instance.host
         if self.starts.is_ended(host, instance.started_ms):
             return []
-        changes: list[Change] = []
+        changes: list[HostChange] = []
         if self._missing.pop(host, None) is not None:
-            changes.append(Return(host))
-        changes += self._take(instance, Source.LISTED)
+            changes.append(HostReturned(host))
+        changes += self._take(instance, StartSource.LISTED)
         self._beats[host] = beats
         self._doubts.pop(host, None)
         self._gone.pop(host, None)
@@ -208,7 +208,7 @@
             return False
         return is_same_start(known.started_ms, asked.started_ms)
 
-    def take_leaving(self, asked: Instance) -> list[Change]:
+    def take_leaving(self, asked: Instance) -> list[HostChange]:
         """Take that a host has said in an answer that it leaves.
 
         Its entry may say otherwise for as long as the store is away, and an older copy
@@ -221,9 +221,9 @@
         self._leaving.move_to_end(asked.host)
         while len(self._leaving) > MAX_REMEMBERED:
             self._leaving.popitem(last=False)
-        return self._take(known, Source.ANSWERED)
+        return self._take(known, StartSource.ANSWERED)
 
-    def take_report(self, asked: Instance, report: EngineReport) -> list[Change]:
+    def take_report(self, asked: Instance, report: EngineReport) -> list[HostChange]:
         """Take what an engine said when asked, which may be newer than its entry.
 
         Where the list has shown another start since, the report tells nothing of that
@@ -240,12 +240,12 @@
         if known.started_ms:
             # That the earlier start was draining does not hold for this one.
             shown = shown._replace(role=report.role, is_draining=False)
-        return self._take(shown, Source.REPORTED)
+        return self._take(shown, StartSource.REPORTED)
 
-    def _take(self, instance: Instance, source: Source) -> list[Change]:
+    def _take(self, instance: Instance, source: StartSource) -> list[HostChange]:
         host = instance.host
         restart = self.starts.note(host, instance.started_ms, source)
-        changes: list[Change] = [] if restart is None else [restart]
+        changes: list[HostChange] = [] if restart is None else [restart]
         if restart is not None:
             self._beats.pop(host, None)
         instance = instance._replace(started_ms=self.starts.get(host))
@@ -255,11 +255,11 @@
         if self._instances.get(host) == instance:
             return changes
         self._instances[host] = instance
-        return [*changes, Set(instance)]
+        return [*changes, HostUpdated(instance)]
 
     def remove(
         self, hosts: Iterable[str], now: float, after_outage: bool
-    ) -> list[Change]:
+    ) -> list[HostChange]:
         """Take that entries are gone, all that are known to be at this time.
 
         While the store is away hosts can't renew their entries, and entries lapse:
@@ -277,7 +277,7 @@
         ]
         self._note_removals(removed, now)
         emptied = self._find_emptied()
-        changes: list[Change] = []
+        changes: list[HostChange] = []
         for instance in removed:
             if after_outage:
                 changes.append(self._miss(instance.host, now, MissReason.OUTAGE))
@@ -287,7 +287,7 @@
                 changes.append(self._forget(instance.host, now))
         return changes
 
-    def reject(self, host: str, now: float) -> list[Change]:
+    def reject(self, host: str, now: float) -> list[HostChange]:
         """Take that a host's entry is there and names no host any more."""
         self._doubts.pop(host, None)
         return [self._forget(host, now)] if host in self._instances else []
@@ -325,17 +325,17 @@
         """List the hosts whose entries of an older copy say nothing."""
         return list(self._doubts)
 
-    def _miss(self, host: str, now: float, reason: MissReason) -> Change:
+    def _miss(self, host: str, now: float, reason: MissReason) -> HostChange:
         self._missing[host] = now + MISSING_GRACE_SECONDS
-        return Miss(host, reason)
+        return HostMissing(host, reason)
 
-    def _forget(self, host: str, now: float) -> Change:
+    def _forget(self, host: str, now: float) -> HostChange:
         self._missing.pop(host, None)
         self._beats.pop(host, None)
         self._gone[host] = now, self._instances.pop(host)
         self._gone.move_to_end(host)
         self._forget_gone(now)
-        return Forget(host)
+        return HostRemoved(host)
 
     def _forget_gone(self, now: float) -> None:
         while self._gone:
@@ -352,7 +352,7 @@
         """Give the time at which the whole list is to be read for entries in doubt."""
         return self._review_at if self._doubts else float("inf")
 
-    def expire(self, now: float, after_outage: bool) -> list[Change]:
+    def expire(self, now: float, after_outage: bool) -> list[HostChange]:
         """Give up the hosts that have not come back, on an answer of the store.
 
         A timer of the gateway's own would give them up while the store is away again
--- a/radishtally/gateway/starts.py
+++ b/radishtally/gateway/starts.py
@@ -12,7 +12,7 @@
 planned for, so that all on the list are among them."""
 
 
-class Source(StrEnum):
+class StartSource(StrEnum):
     """Name what shows a start."""
 
     LISTED = "list"
@@ -20,14 +20,14 @@
     ANSWERED = "answer"
 
 
-class Restart(NamedTuple):
+class HostRestarted(NamedTuple):
     """Say that a host has started again, and knows nothing of before."""
 
     host: str
     before: int
     """Start that has ended, in Unix milliseconds of the host's clock."""
     after: int
-    source: Source
+    source: StartSource
 
 
 class _HostStarts(NamedTuple):
@@ -65,7 +65,9 @@
         known = self._hosts.get(host)
         return known is not None and started_ms in known.ended
 
-    def note(self, host: str, started_ms: int, source: Source) -> Restart | None:
+    def note(
+        self, host: str, started_ms: int, source: StartSource
+    ) -> HostRestarted | None:
         """Take a start that has not ended; give the restart that it shows.
 
         A host that tells its start for the first time has not started again for that.
@@ -82,7 +84,7 @@
             return None
         ended = (*known.ended, known.present)[-ENDED_STARTS:]
         self._hosts[host] = _HostStarts(started_ms, ended, known.restarts + 1)
-        return Restart(host, known.present, started_ms, source)
+        return HostRestarted(host, known.present, started_ms, source)
 
     def _forget_oldest(self) -> None:
         while len(self._hosts) > MAX_HOSTS:
--- a/tests/adapter/test_outages.py
+++ b/tests/adapter/test_outages.py
@@ -16,7 +16,7 @@
 
 from radishtally.gateway.bounds import find_gathering
 from radishtally.gateway.config import Bounds
-from radishtally.gateway.members import MASS_REMOVAL_SHARE, Change, Members
+from radishtally.gateway.members import MASS_REMOVAL_SHARE, HostChange, Members
 from radishtally.outcome import Error, Ok, Result
 from radishtally.runtime import Runtime
 from radishtally.store.core import Unavailable
@@ -156,7 +156,7 @@
     def count_unreadable(self, count: int) -> None:
         assert count == 0
 
-    def apply(self, changes: list[Change]) -> None:
+    def apply(self, changes: list[HostChange]) -> None:
         """Take changes; the members hold them already."""
 
 
--- a/tests/adapter/test_restored.py
+++ b/tests/adapter/test_restored.py
@@ -16,7 +16,7 @@
 from adapter.watch import TableWatch, Watcher
 
 from radishtally.gateway.bounds import find_gathering
-from radishtally.gateway.members import Change, Members
+from radishtally.gateway.members import HostChange, Members
 from radishtally.outcome import Error, Ok, Result
 from radishtally.routes.config import FleetConfiguration
 from radishtally.runtime import Runtime
@@ -170,7 +170,7 @@
         self.runtime = Runtime()
         self.gateways = gateways
         self.configured: list[tuple[int, bool]] = []
-        self.changes: list[Change] = []
+        self.changes: list[HostChange] = []
         self.client = EraClient(store)
         self.watcher = Watcher(self.client, self, self.loop.time)
         self.watcher.start()
@@ -186,7 +186,7 @@
     def count_unreadable(self, count: int) -> None:
         assert count == 0
 
-    def apply(self, changes: list[Change]) -> None:
+    def apply(self, changes: list[HostChange]) -> None:
         self.changes += changes
 
     def configure(self, configuration: Any, *, is_rewritten: bool = False) -> None:
--- a/tests/adapter/test_watch.py
+++ b/tests/adapter/test_watch.py
@@ -15,7 +15,14 @@
     Watcher,
 )
 
-from radishtally.gateway.members import Change, Forget, Members, Miss, Return, Set
+from radishtally.gateway.members import (
+    HostChange,
+    HostMissing,
+    HostRemoved,
+    HostReturned,
+    HostUpdated,
+    Members,
+)
 from radishtally.outcome import Error, Ok, Result
 from radishtally.runtime import Runtime
 from radishtally.store.core import Unavailable
@@ -198,7 +205,7 @@
     def __init__(self) -> None:
         self.members = Members()
         self.runtime = Runtime()
-        self.changes: list[Change] = []
+        self.changes: list[HostChange] = []
         self.unreadable = 0
 
     def count_unreadable(self, count: int) -> None:
@@ -207,7 +214,7 @@
     def find_gathering(self) -> float:
         return 0.0
 
-    def apply(self, changes: list[Change]) -> None:
+    def apply(self, changes: list[HostChange]) -> None:
         self.changes += changes
 
 
@@ -230,7 +237,11 @@
         Watcher(store, listener).start()
         await wait_until(lambda: len(listener.changes) == 3)
         listener.runtime.cancel_tasks()
-        assert [type(change) for change in listener.changes] == [Set, Miss, Forget]
+        assert [type(change) for change in listener.changes] == [
+            HostUpdated,
+            HostMissing,
+            HostRemoved,
+        ]
 
     with asyncio.Runner(loop_factory=EarlyLoop) as runner:
         runner.run(play())
@@ -249,7 +260,7 @@
     listed = tuple(StoredRow(host, DESK, 1) for host in "ab")
     removed = tuple(StoredRow(host, None, 5) for host in "ab")
 
-    async def play() -> list[Change]:
+    async def play() -> list[HostChange]:
         first, lapsed, back = Page(listed, 4), Page(removed, 5), Page(listed, 9)
         away = [AWAY] * 4
         store = HostsStore(Ok(first), AWAY, Ok(lapsed), *away, Ok(back))
@@ -260,7 +271,14 @@
         return listener.changes
 
     kinds = [type(change) for change in run(play())]
-    assert kinds == [Set, Set, Miss, Miss, Return, Return]
+    assert kinds == [
+        HostUpdated,
+        HostUpdated,
+        HostMissing,
+        HostMissing,
+        HostReturned,
+        HostReturned,
+    ]
 
 
 # All callers are refused for a second: the store was away, but the gateway's question
@@ -272,7 +290,7 @@
     listed = tuple(StoredRow(host, DESK, 1) for host in "ab")
     removed = tuple(StoredRow(host, None, 5) for host in "ab")
 
-    async def play() -> list[Change]:
+    async def play() -> list[HostChange]:
         store = HostsStore(Ok(Page(listed, 4)), Ok(Page(removed, 5)))
         listener = Listener()
         Watcher(store, listener).start()
@@ -280,7 +298,12 @@
         listener.runtime.cancel_tasks()
         return listener.changes
 
-    assert [type(change) for change in run(play())] == [Set, Set, Miss, Miss]
+    assert [type(change) for change in run(play())] == [
+        HostUpdated,
+        HostUpdated,
+        HostMissing,
+        HostMissing,
+    ]
 
 
 # Requests go to whoever listens at an address that a foreign entry names, or to a host
@@ -300,7 +323,7 @@
         Ok(Page((StoredRow("a", DESK, 7),), 8)),
     ]
 
-    async def play() -> list[Change]:
+    async def play() -> list[HostChange]:
         listener = Listener()
         Watcher(HostsStore(*first, *then), listener).start()
         await wait_until(lambda: len(listener.changes) >= 7)
@@ -309,7 +332,11 @@
         return listener.changes
 
     changes = run(play())
-    assert [type(change) for change in changes] == [*[Set] * 5, Forget, Set]
+    assert [type(change) for change in changes] == [
+        *[HostUpdated] * 5,
+        HostRemoved,
+        HostUpdated,
+    ]
     assert changes[5].host == changes[6].instance.host == "a"
 
 
--- a/tests/gateway/test_members.py
+++ b/tests/gateway/test_members.py
@@ -4,14 +4,14 @@
 
 from radishtally.direct.core import EngineReport, Instance
 from radishtally.gateway.members import (
-    MISSING_GRACE_SECONDS,
     MAX_REMEMBERED,
+    MISSING_GRACE_SECONDS,
     REMEMBER_SECONDS,
     REVIEW_SECONDS,
     SILENCE_SECONDS,
-    Change,
+    HostChange,
+    HostUpdated,
     Members,
-    Set,
 )
 from radishtally.links.messages import DECODE, PREFILL
 
@@ -23,15 +23,15 @@
 A, B = make_instance("a"), make_instance("b")
 
 
-def describe(changes: list[Change]) -> list[str]:
+def describe(changes: list[HostChange]) -> list[str]:
     """Name changes with their kinds: as tuples, those of two kinds may be equal."""
     return sorted(f"{type(change).__name__} {change.host}" for change in changes)
 
 
 def test_list_sets_and_forgets() -> None:
     members = Members()
-    assert members.replace([A, B], 0.0, False) == [Set(A), Set(B)]
-    assert describe(members.replace([A], 1.0, False)) == ["Forget b"]
+    assert members.replace([A, B], 0.0, False) == [HostUpdated(A), HostUpdated(B)]
+    assert describe(members.replace([A], 1.0, False)) == ["HostRemoved b"]
     assert members.replace([A], 2.0, False) == []
 
 
@@ -39,7 +39,7 @@
     members = Members()
     members.set(A)
     leaving = make_instance("a", is_draining=True)
-    assert members.set(leaving) == [Set(leaving)]
+    assert members.set(leaving) == [HostUpdated(leaving)]
 
 
 # Callers are refused everywhere: the store was away, hosts could not renew their
@@ -48,11 +48,13 @@
     members = Members()
     members.replace([A, B], 0.0, False)
     missed = members.replace([], 10.0, True)
-    assert describe(missed) == ["Miss a", "Miss b"]
+    assert describe(missed) == ["HostMissing a", "HostMissing b"]
     assert members.count_missing() == 2
-    assert describe(members.set(A)) == ["Return a"]
+    assert describe(members.set(A)) == ["HostReturned a"]
     assert members.expire(10.0 + MISSING_GRACE_SECONDS - 0.1, False) == []
-    assert describe(members.expire(10.0 + MISSING_GRACE_SECONDS, False)) == ["Forget b"]
+    assert describe(members.expire(10.0 + MISSING_GRACE_SECONDS, False)) == [
+        "HostRemoved b"
+    ]
     assert list(members) == [A]
 
 
@@ -64,14 +66,16 @@
     members.set(A)
     members.remove(["a"], 5.0, True)
     gone = members.expire(5.0 + drain_seconds - late_seconds, False)
-    assert describe(gone) == ["Forget a"]
+    assert describe(gone) == ["HostRemoved a"]
 
 
 def test_removal_that_is_read_just_after_an_outage_waits_too() -> None:
     members = Members()
     members.set(A)
-    assert describe(members.remove(["a"], 5.0, True)) == ["Miss a"]
-    assert describe(members.expire(5.0 + MISSING_GRACE_SECONDS, False)) == ["Forget a"]
+    assert describe(members.remove(["a"], 5.0, True)) == ["HostMissing a"]
+    assert describe(members.expire(5.0 + MISSING_GRACE_SECONDS, False)) == [
+        "HostRemoved a"
+    ]
 
 
 # Callers of a small upstream are refused for a second: its only host's entry had
@@ -81,9 +85,11 @@
 def test_last_host_of_an_upstream_is_kept_for_a_while() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
-    assert describe(members.remove(["b"], 5.0, False)) == ["Forget b"]
-    assert describe(members.remove(["a"], 20.0, False)) == ["Miss a"]
-    assert describe(members.expire(20.0 + MISSING_GRACE_SECONDS, False)) == ["Forget a"]
+    assert describe(members.remove(["b"], 5.0, False)) == ["HostRemoved b"]
+    assert describe(members.remove(["a"], 20.0, False)) == ["HostMissing a"]
+    assert describe(members.expire(20.0 + MISSING_GRACE_SECONDS, False)) == [
+        "HostRemoved a"
+    ]
 
 
 DRAINING = make_instance("a", is_draining=True)
@@ -100,7 +106,7 @@
     members.enter_era(20.0)
     assert members.replace([older, B], 21.0, True, {"a": 5, "b": 5}) == []
     assert members.list_doubted() == ["a"]
-    assert members.set(older, 11) == [Set(older)]
+    assert members.set(older, 11) == [HostUpdated(older)]
     assert members.next_review() == float("inf")
 
 
@@ -147,12 +153,12 @@
 def test_removed_host_stays_out_until_it_has_written_again() -> None:
     members = Members()
     members.replace([A, B], 0.0, False, {"a": 1, "b": 1})
-    assert describe(members.remove(["b"], 10.0, False)) == ["Forget b"]
+    assert describe(members.remove(["b"], 10.0, False)) == ["HostRemoved b"]
     members.enter_era(20.0)
     assert members.replace([A, B], 21.0, True, {"a": 40, "b": 40}) == []
     assert members.list_doubted() == ["b"]
     assert members.next_review() == 21.0 + REVIEW_SECONDS
-    assert members.set(B, 41) == [Set(B)]
+    assert members.set(B, 41) == [HostUpdated(B)]
 
 
 # A host that lives stays without work for good: its entry had lapsed and it was given
@@ -166,7 +172,7 @@
     members.replace([A, B], 21.0, True, {"b": 40})
     assert members.replace([A, B], 22.5, False, {"b": 40}) == []
     assert members.next_review() == 22.5 + REVIEW_SECONDS
-    assert members.replace([A, B], 24.0, False, {"b": 41}) == [Set(B)]
+    assert members.replace([A, B], 24.0, False, {"b": 41}) == [HostUpdated(B)]
     assert members.next_review() == float("inf")
 
 
@@ -180,7 +186,7 @@
     members.replace([A, B], 21.0, True)
     members.expire(23.0, True)
     assert members.replace([A, B], 21.0 + SILENCE_SECONDS, False) == []
-    assert members.replace([A, B], 23.0 + SILENCE_SECONDS, False) == [Set(B)]
+    assert members.replace([A, B], 23.0 + SILENCE_SECONDS, False) == [HostUpdated(B)]
 
 
 def test_removed_host_whose_entry_the_store_drops_is_doubted_no_more() -> None:
@@ -201,7 +207,7 @@
     members.replace([A, first], 0.0, False, {"a": 1, "b": 50})
     members.remove(["b"], 10.0, False)
     members.enter_era(20.0)
-    assert Set(second) in members.replace([A, second], 21.0, True, {"b": 1})
+    assert HostUpdated(second) in members.replace([A, second], 21.0, True, {"b": 1})
     assert members.list_doubted() == []
 
 
@@ -213,7 +219,7 @@
     members.take_report(first, report)
     members.enter_era(20.0)
     shown = second._replace(role=PREFILL)
-    assert members.replace([shown], 21.0, True, {"b": 1}) == [Set(shown)]
+    assert members.replace([shown], 21.0, True, {"b": 1}) == [HostUpdated(shown)]
 
 
 # A host is missed and kept as its entry may have lapsed; the copy has the entry from
@@ -225,8 +231,10 @@
     members.enter_era(20.0)
     assert members.replace([A, B], 21.0, True, {"b": 5}) == []
     assert members.expire(20.0 + MISSING_GRACE_SECONDS - 0.1, False) == []
-    assert describe(members.expire(20.0 + MISSING_GRACE_SECONDS, False)) == ["Forget b"]
-    assert members.replace([A, B], 22.5, False, {"b": 6}) == [Set(B)]
+    assert describe(members.expire(20.0 + MISSING_GRACE_SECONDS, False)) == [
+        "HostRemoved b"
+    ]
+    assert members.replace([A, B], 22.5, False, {"b": 6}) == [HostUpdated(B)]
 
 
 # Hosts are dropped before they could write anew: the time of those that were missing
@@ -236,10 +244,10 @@
     members.replace([A, B], 0.0, False)
     members.remove(["b"], 19.0, True)
     members.enter_era(20.0)
-    assert describe(members.replace([], 21.0, True)) == ["Miss a"]
+    assert describe(members.replace([], 21.0, True)) == ["HostMissing a"]
     assert members.expire(20.0 + MISSING_GRACE_SECONDS - 0.1, False) == []
     gone = members.expire(20.0 + MISSING_GRACE_SECONDS, False)
-    assert describe(gone) == ["Forget a", "Forget b"]
+    assert describe(gone) == ["HostRemoved a", "HostRemoved b"]
 
 
 def test_removed_hosts_are_remembered_for_a_while_and_not_without_bound() -> None:
@@ -261,10 +269,10 @@
 def test_without_a_restore_the_newest_answer_holds() -> None:
     members = Members()
     members.set(DRAINING, 9)
-    assert members.replace([A], 1.0, False, {"a": 3}) == [Set(A)]
+    assert members.replace([A], 1.0, False, {"a": 3}) == [HostUpdated(A)]
     members.remove(["a"], 2.0, False)
     members.expire(2.0 + MISSING_GRACE_SECONDS, False)
-    assert members.replace([A], 5.0, False, {"a": 3}) == [Set(A)]
+    assert members.replace([A], 5.0, False, {"a": 3}) == [HostUpdated(A)]
 
 
 LEAVING_A = make_instance("a", is_draining=True)
@@ -275,12 +283,12 @@
 def test_entry_does_not_undo_what_a_host_said_of_its_leaving() -> None:
     members = Members()
     members.replace([A, B], 0.0, False, {"a": 1, "b": 1})
-    assert members.take_leaving(A) == [Set(LEAVING_A)]
+    assert members.take_leaving(A) == [HostUpdated(LEAVING_A)]
     assert members.take_leaving(A) == []
     assert members.set(A, 2) == []
     assert members.replace([A, B], 1.0, False, {"a": 3, "b": 3}) == []
     members.remove(["a"], 2.0, False)
-    assert members.set(A, 4) == [Set(LEAVING_A)]
+    assert members.set(A, 4) == [HostUpdated(LEAVING_A)]
     members.enter_era(3.0)
     members.replace([A, B], 3.0, False, {"a": 1, "b": 1})
     assert LEAVING_A in list(members)
--- a/tests/gateway/test_members_machine.py
+++ b/tests/gateway/test_members_machine.py
@@ -19,12 +19,12 @@
 from radishtally.direct.core import Instance
 from radishtally.gateway.members import (
     MISSING_GRACE_SECONDS,
-    Change,
-    Forget,
+    HostChange,
+    HostMissing,
+    HostRemoved,
+    HostReturned,
+    HostUpdated,
     Members,
-    Miss,
-    Return,
-    Set,
 )
 
 HOSTS = st.sampled_from("abcdefgh")
@@ -201,7 +201,9 @@
             assert changes == []
             return
         kept = self.present - self.listed.keys()
-        assert all(self.removed_at[host] + MISSING_GRACE_SECONDS > self.now for host in kept)
+        assert all(
+            self.removed_at[host] + MISSING_GRACE_SECONDS > self.now for host in kept
+        )
         assert not self.missed & self.apart.keys() or (
             self.now < self.restored_at + MISSING_GRACE_SECONDS
         )
@@ -258,19 +260,19 @@
         for host in hosts:
             self.removed_at[host] = self.now
 
-    def _apply(self, changes: list[Change]) -> None:
+    def _apply(self, changes: list[HostChange]) -> None:
         for change in changes:
             match change:
-                case Set(instance):
+                case HostUpdated(instance):
                     self.present.add(instance.host)
                     self.given_up.discard(instance.host)
-                case Miss(host):
+                case HostMissing(host):
                     assert host in self.present
                     assert host not in self.missed
                     self.missed.add(host)
-                case Return(host):
+                case HostReturned(host):
                     self.missed.remove(host)
-                case Forget(host):
+                case HostRemoved(host):
                     self.present.remove(host)
                     self.missed.discard(host)
                     self.given_up.add(host)
--- a/tests/gateway/test_starts.py
+++ b/tests/gateway/test_starts.py
@@ -2,8 +2,8 @@
 
 from radishtally.direct.core import EngineReport, Instance
 from radishtally.gateway import starts
-from radishtally.gateway.members import MISSING_GRACE_SECONDS, Change, Members
-from radishtally.gateway.starts import ENDED_STARTS, Source, Starts
+from radishtally.gateway.members import MISSING_GRACE_SECONDS, HostChange, Members
+from radishtally.gateway.starts import ENDED_STARTS, Starts, StartSource
 from radishtally.links.messages import DECODE, PREFILL
 
 EARLY, LATE = 5_000, 4_000
@@ -19,7 +19,7 @@
     return EngineReport(role, 0, False, started_ms)
 
 
-def describe(changes: list[Change]) -> list[str]:
+def describe(changes: list[HostChange]) -> list[str]:
     """Name changes with their kinds, in order: as tuples, two kinds may be equal."""
     return [type(change).__name__ for change in changes]
 
@@ -32,10 +32,10 @@
 # started again under its name, and only the start in its entry tells.
 def test_new_start_in_the_list_is_a_restart() -> None:
     members = Members()
-    assert describe(members.set(make_instance(EARLY))) == ["Set"]
+    assert describe(members.set(make_instance(EARLY))) == ["HostUpdated"]
     changes = members.set(make_instance(LATE))
-    assert describe(changes) == ["Restart", "Set"]
-    assert tuple(changes[0]) == ("a", EARLY, LATE, Source.LISTED)
+    assert describe(changes) == ["HostRestarted", "HostUpdated"]
+    assert tuple(changes[0]) == ("a", EARLY, LATE, StartSource.LISTED)
     assert members.set(make_instance(LATE)) == []
 
 
@@ -47,8 +47,8 @@
     changes = members.take_report(
         make_instance(EARLY, is_draining=True), make_report(LATE, PREFILL)
     )
-    assert describe(changes) == ["Restart", "Set"]
-    assert changes[0].source == Source.REPORTED
+    assert describe(changes) == ["HostRestarted", "HostUpdated"]
+    assert changes[0].source == StartSource.REPORTED
     assert list_known(members) == [make_instance(LATE, role=PREFILL)]
     assert members.set(make_instance(EARLY, is_draining=True)) == []
     assert members.replace([make_instance(EARLY)], 1.0, True) == []
@@ -83,7 +83,7 @@
     members.set(make_instance(EARLY))
     members.remove(["a"], 1.0, True)
     changes = members.set(make_instance(LATE, address="a:2"))
-    assert describe(changes) == ["Return", "Restart", "Set"]
+    assert describe(changes) == ["HostReturned", "HostRestarted", "HostUpdated"]
     assert members.expire(1.0 + MISSING_GRACE_SECONDS, False) == []
 
 
@@ -92,9 +92,9 @@
     for other in ("b", "c", "d", "e"):
         members.set(make_instance(EARLY)._replace(host=other))
     for instance, kinds in (
-        (make_instance(EARLY), ["Set"]),
-        (make_instance(EARLY), ["Set"]),
-        (make_instance(LATE), ["Restart", "Set"]),
+        (make_instance(EARLY), ["HostUpdated"]),
+        (make_instance(EARLY), ["HostUpdated"]),
+        (make_instance(LATE), ["HostRestarted", "HostUpdated"]),
         (make_instance(EARLY), []),
     ):
         assert describe(members.set(instance)) == kinds
@@ -108,7 +108,7 @@
     members.set(make_instance(0, is_draining=True))
     assert members.take_report(make_instance(0), make_report(0)) == []
     changes = members.take_report(make_instance(0), make_report(EARLY, PREFILL))
-    assert describe(changes) == ["Set"]
+    assert describe(changes) == ["HostUpdated"]
     assert list_known(members) == [make_instance(EARLY, is_draining=True)]
     assert members.set(make_instance(0, is_draining=True)) == []
     assert members.starts.name("a") == Starts().name("a")
@@ -118,7 +118,7 @@
     known = Starts()
     names = [known.name("a")]
     for started_ms in (EARLY, LATE, 3):
-        known.note("a", started_ms, Source.LISTED)
+        known.note("a", started_ms, StartSource.LISTED)
         names.append(known.name("a"))
     assert names[0] == names[1]
     assert len(set(names)) == 3
@@ -127,7 +127,7 @@
 def test_starts_that_are_remembered_are_bounded(monkeypatch) -> None:  # noqa: ANN001
     known = Starts()
     for started_ms in range(1, ENDED_STARTS + 4):
-        known.note("a", started_ms, Source.LISTED)
+        known.note("a", started_ms, StartSource.LISTED)
     assert [known.is_ended("a", ms) for ms in (1, 2, 3, ENDED_STARTS)] == [
         False,
         False,
@@ -136,5 +136,5 @@
     ]
     monkeypatch.setattr(starts, "MAX_HOSTS", 2)
     for host in "bac":
-        known.note(host, 10_000, Source.LISTED)
+        known.note(host, 10_000, StartSource.LISTED)
     assert [known.get(host) for host in "abc"] == [10_000, 0, 10_000]
--- a/tests/gateway/test_starts_machine.py
+++ b/tests/gateway/test_starts_machine.py
@@ -17,8 +17,8 @@
 )
 
 from radishtally.direct.core import EngineReport, Instance, is_same_start
-from radishtally.gateway.members import MISSING_GRACE_SECONDS, Change, Members
-from radishtally.gateway.starts import Restart
+from radishtally.gateway.members import MISSING_GRACE_SECONDS, HostChange, Members
+from radishtally.gateway.starts import HostRestarted
 from radishtally.links.messages import DECODE
 
 HOST = "a"
@@ -84,10 +84,10 @@
     def find(self, started_ms: int) -> Start:
         return next(s for s in self.starts if s.started_ms == started_ms)
 
-    def take(self, changes: list[Change]) -> None:
+    def take(self, changes: list[HostChange]) -> None:
         """Follow changes: each new start is told once, with what it follows."""
         for change in changes:
-            if not isinstance(change, Restart):
+            if not isinstance(change, HostRestarted):
                 continue
             assert change.before == self.starts[self.believed].started_ms
             number = self.find(change.after).number
