--- a/radishtally/agent/admission.py
+++ b/radishtally/agent/admission.py
@@ -21,7 +21,7 @@
     Refused,
 )
 from radishtally.outcome import Ran
-from radishtally.planner.demand import Counts
+from radishtally.planner.demand import WorkCounters
 
 
 def refuse(name: Name, host: str, reason: str, core: AgentCore, now: float) -> Command:
@@ -100,11 +100,11 @@
 def _count(core: AgentCore, job: Job, accepted: bool) -> None:
     prompt, output, requests, refused = core.counts
     if not accepted:
-        core.counts = Counts(prompt, output, requests, refused + 1)
+        core.counts = WorkCounters(prompt, output, requests, refused + 1)
         return
     prompt += job.prompt_tokens
     output += job.output_tokens
-    core.counts = Counts(prompt, output, requests + 1, refused)
+    core.counts = WorkCounters(prompt, output, requests + 1, refused)
 
 
 def attach(
--- a/radishtally/agent/state.py
+++ b/radishtally/agent/state.py
@@ -15,7 +15,7 @@
 from radishtally.limits.queue import Rates, Running, WorkQueue
 from radishtally.links.messages import Load
 from radishtally.outcome import Ran
-from radishtally.planner.demand import Counts
+from radishtally.planner.demand import WorkCounters
 
 
 class DrainInForce(NamedTuple):
@@ -48,7 +48,7 @@
     latency: float = SERVICE_LATENCY_START
     drains: dict[str, DrainInForce] = field(default_factory=dict)
     """Drains in force by their reason."""
-    counts: Counts = Counts(0, 0, 0, 0)
+    counts: WorkCounters = WorkCounters(0, 0, 0, 0)
 
     @property
     def is_stopping(self) -> bool:
--- a/radishtally/entry/planning.py
+++ b/radishtally/entry/planning.py
@@ -86,10 +86,10 @@
         """Take a load report, with or without the lease."""
         if place != self._place or not load.model:
             return
-        counts = planner.Counts(
+        counts = planner.WorkCounters(
             load.prompt_tokens, load.output_tokens, load.requests, load.refused
         )
-        self._feed(planner.Reported(Pool(upstream, place), load, counts))
+        self._feed(planner.LoadReported(Pool(upstream, place), load, counts))
 
     def host_gone(self, host: str) -> None:
         """Take the loss of a host."""
@@ -110,10 +110,12 @@
     def describe_pools(self) -> dict[str, Any]:
         """Tell what is asked of the place's pools, as known here."""
         now = time.monotonic()
-        views = [self._planner.view(s, now) for s in self._planner.pools.values()]
+        views = [
+            self._planner.describe_pool(s, now) for s in self._planner.pools.values()
+        ]
         return {
             view.pool.upstream: {
-                "asked": view.asked._asdict(),
+                "asked": view.demand._asdict(),
                 "mix_lasts": round(view.remaining, 1),
                 "changing": view.changing,
                 "roles": {engine.host: engine.role for engine in view.engines},
@@ -144,7 +146,7 @@
     def _lost(self, cause: str) -> None:
         log_message("lease:lost", place=self._place, cause=cause)
         self._record("lease.lost", cause, {})
-        self._feed(planner.LostLease())
+        self._feed(planner.LeaseLost())
 
     async def _take_over(self, fencing: int) -> None:
         """Read the plan as it stands before anything is planned on top of it."""
@@ -156,7 +158,7 @@
             if self._lease.fencing != fencing:
                 return
             if read.is_ok():
-                self._feed(planner.Gained(fencing, read.ok))
+                self._feed(planner.LeaseGained(fencing, read.ok))
                 return
             await asyncio.sleep(REREAD_SECONDS)
 
--- a/radishtally/planner/capacity.py
+++ b/radishtally/planner/capacity.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from radishtally.links.messages import DECODE, MIXED, PREFILL
-from radishtally.planner.demand import Asked
+from radishtally.planner.demand import DemandRates
 
 HEADROOM: Final = 0.85
 """Share of an engine's time that can be used before deadlines are missed."""
@@ -62,7 +62,7 @@
     return {**guessed, **seen}
 
 
-def find_served(asked: Asked, counts: Mapping[str, int], speeds: Speeds) -> float:
+def find_served(asked: DemandRates, counts: Mapping[str, int], speeds: Speeds) -> float:
     """Find the share of what is asked that engines of these roles can serve."""
     prefill = Stage(
         asked.prefill_tokens,
@@ -91,7 +91,7 @@
     return (mixed + dedicated) / needs
 
 
-def find_prefill_share(asked: Asked, speeds: Speeds) -> float:
+def find_prefill_share(asked: DemandRates, speeds: Speeds) -> float:
     """Find the share of prefill in the engine-seconds that are asked."""
     mixed = speeds[MIXED]
     prefill = asked.prefill_tokens / mixed.prefill_tokens if mixed.prefill_tokens else 0
--- a/radishtally/planner/core.py
+++ b/radishtally/planner/core.py
@@ -11,7 +11,7 @@
     complete_speeds,
     find_prefill_share,
 )
-from radishtally.planner.demand import Asked, Counts, Demand, History, Mix
+from radishtally.planner.demand import Demand, DemandRates, History, Mix, WorkCounters
 from radishtally.planner.policies import (
     Decision,
     EngineView,
@@ -20,7 +20,7 @@
     decide,
 )
 
-__all__ = ["Counts", "Decision", "EngineView", "Pool", "PoolView", "decide"]
+__all__ = ["WorkCounters", "Decision", "EngineView", "Pool", "PoolView", "decide"]
 
 STALE_SECONDS: Final = 10.0
 """Age from which a report no longer shows that the engine is there."""
@@ -30,12 +30,12 @@
 """Time within which waiting prefill should be worked off."""
 
 
-class Reported(NamedTuple):
+class LoadReported(NamedTuple):
     """Bring the load that an engine's agent reported."""
 
     pool: Pool
     load: Load
-    counts: Counts
+    counts: WorkCounters
 
 
 class HostGone(NamedTuple):
@@ -52,14 +52,14 @@
     """Configured role by host."""
 
 
-class Gained(NamedTuple):
+class LeaseGained(NamedTuple):
     """Say that this process holds the lease, and bring the plan as it stands."""
 
     fencing: int
     plan: Plan | None
 
 
-class LostLease(NamedTuple):
+class LeaseLost(NamedTuple):
     """Say that this process no longer holds the lease."""
 
 
@@ -115,7 +115,7 @@
             decode = load.slots / load.decode_seconds
             self.speeds[load.role] = Speed(load.prefill_rate, decode)
 
-    def read_asked(self, now: float) -> Asked:
+    def read_asked(self, now: float) -> DemandRates:
         """Give what is asked of the pool, with what already waits."""
         asked = self.demand.read(now)
         waiting = sum(
@@ -177,7 +177,7 @@
         self.pending = None
         self.awaited = {}
 
-    def view(self, state: PoolState, now: float) -> PoolView:
+    def describe_pool(self, state: PoolState, now: float) -> PoolView:
         """Describe a pool for a decision."""
         return PoolView(
             pool=state.pool,
@@ -186,7 +186,7 @@
                 for item in state.seen.values()
                 if now - item.at < STALE_SECONDS
             ),
-            asked=state.read_asked(now),
+            demand=state.read_asked(now),
             speeds=complete_speeds(state.speeds),
             remaining=state.mix.predict_remaining(now),
             mix_length=state.mix.predict_length(now),
@@ -214,7 +214,7 @@
 
 
 @handle.register
-def _(event: Reported, planner: Planner, now: float) -> list[WritePlan]:
+def _(event: LoadReported, planner: Planner, now: float) -> list[WritePlan]:
     state = planner.get_pool(event.pool, now)
     state.note_load(event.load, now)
     state.demand.note(event.load.host, event.counts, now)
@@ -238,7 +238,7 @@
 
 
 @handle.register
-def _(event: Gained, planner: Planner, now: float) -> list[WritePlan]:
+def _(event: LeaseGained, planner: Planner, now: float) -> list[WritePlan]:
     planner.drop_intentions()
     planner.fencing = event.fencing
     planner.plan = event.plan
@@ -249,7 +249,7 @@
 
 
 @handle.register
-def _(event: LostLease, planner: Planner, now: float) -> list[WritePlan]:
+def _(event: LeaseLost, planner: Planner, now: float) -> list[WritePlan]:
     planner.fencing = None
     planner.drop_intentions()
     return []
@@ -332,7 +332,7 @@
     """Decide on a pool, if this process may."""
     if planner.fencing is None or not state.speeds:
         return None
-    decision = decide(planner.view(state, now), planner.policy, now)
+    decision = decide(planner.describe_pool(state, now), planner.policy, now)
     if decision is None:
         return None
     wanted = dict(planner.plan.wanted) if planner.plan is not None else {}
--- a/radishtally/planner/demand.py
+++ b/radishtally/planner/demand.py
@@ -18,7 +18,7 @@
 """Refusals that one lost request leaves behind, about."""
 
 
-class Counts(NamedTuple):
+class WorkCounters(NamedTuple):
     """Count an agent's work since its start, so that a lost report loses nothing."""
 
     prompt_tokens: int
@@ -29,7 +29,7 @@
     refused: int
 
 
-class Asked(NamedTuple):
+class DemandRates(NamedTuple):
     """Tell what is asked of a pool each second."""
 
     prefill_tokens: float
@@ -72,10 +72,10 @@
     """Estimate what is asked of one pool."""
 
     def __init__(self, now: float) -> None:
-        self._rates = tuple(Rate(now) for _ in Counts._fields)
-        self._seen: dict[str, Counts] = {}
+        self._rates = tuple(Rate(now) for _ in WorkCounters._fields)
+        self._seen: dict[str, WorkCounters] = {}
 
-    def note(self, host: str, counts: Counts, now: float) -> None:
+    def note(self, host: str, counts: WorkCounters, now: float) -> None:
         """Take in the counts of one agent."""
         before = self._seen.get(host)
         self._seen[host] = counts
@@ -83,7 +83,7 @@
             # What was done before the first report has no known time.
             return
         restarted = any(new < old for new, old in zip(counts, before, strict=True))
-        base = Counts(0, 0, 0, 0) if restarted else before
+        base = WorkCounters(0, 0, 0, 0) if restarted else before
         for rate, new, old in zip(self._rates, counts, base, strict=True):
             rate.add(new - old, now)
 
@@ -91,14 +91,14 @@
         """Forget an agent that is gone."""
         self._seen.pop(host, None)
 
-    def read(self, now: float) -> Asked:
+    def read(self, now: float) -> DemandRates:
         """Give what is asked each second, with what was refused."""
         prompts, outputs, requests, refused = (rate.read(now) for rate in self._rates)
         if requests <= 0:
-            return Asked(0.0, 0.0, 0.0, refused / TRIES)
+            return DemandRates(0.0, 0.0, 0.0, refused / TRIES)
         # Accepted work alone never shows more than the pool can do.
         whole = 1.0 + refused / TRIES / requests
-        return Asked(prompts * whole, outputs * whole, requests * whole, refused)
+        return DemandRates(prompts * whole, outputs * whole, requests * whole, refused)
 
 
 class Mix:
@@ -150,15 +150,15 @@
     """Keep samples of what was asked in the last minutes."""
 
     def __init__(self) -> None:
-        self._samples: deque[tuple[float, Asked]] = deque(maxlen=SAMPLES)
+        self._samples: deque[tuple[float, DemandRates]] = deque(maxlen=SAMPLES)
 
-    def note(self, asked: Asked, now: float) -> None:
+    def note(self, asked: DemandRates, now: float) -> None:
         """Take a sample, if the last one is old enough."""
         if self._samples and now - self._samples[-1][0] < SAMPLE_SECONDS:
             return
         self._samples.append((now, asked))
 
-    def list_asked(self) -> tuple[Asked, ...]:
+    def list_asked(self) -> tuple[DemandRates, ...]:
         """List the samples."""
         return tuple(asked for _, asked in self._samples)
 
--- a/radishtally/planner/policies.py
+++ b/radishtally/planner/policies.py
@@ -6,7 +6,7 @@
 from radishtally.configuration.config import Policy
 from radishtally.links.messages import DECODE, MIXED, PREFILL
 from radishtally.planner.capacity import Speeds, count_roles, find_served
-from radishtally.planner.demand import WINDOW_SECONDS, Asked
+from radishtally.planner.demand import WINDOW_SECONDS, DemandRates
 
 SWITCH_SECONDS: Final = 5.0
 """Time that an engine is gone for the change itself, about."""
@@ -46,14 +46,14 @@
 
     pool: Pool
     engines: tuple[EngineView, ...]
-    asked: Asked
+    demand: DemandRates
     speeds: Speeds
     """Of every role."""
     remaining: float
     """Seconds that the present mix will last."""
     mix_length: float
     """Seconds that a mix lasts from end to end."""
-    history: tuple[Asked, ...]
+    history: tuple[DemandRates, ...]
     """What was asked in the last minutes, sampled."""
     span: float
     """Seconds that the history reaches back."""
@@ -187,7 +187,7 @@
         # A history no longer than the lag is no ground for a change either.
         seconds = max(0.0, pool.span - find_lag(policy))
         return estimate_over(pool.history, seconds, split, pool, policy)
-    estimate = estimate_over((pool.asked,), pool.remaining, split, pool, policy)
+    estimate = estimate_over((pool.demand,), pool.remaining, split, pool, policy)
     back = find_lag(policy) * rate_change(pool.history, split, pool)
     return estimate._replace(loss=estimate.loss - min(0.0, back))
 
@@ -201,7 +201,7 @@
 
 
 def estimate_over(
-    samples: Sequence[Asked],
+    samples: Sequence[DemandRates],
     seconds: float,
     split: Split,
     pool: PoolView,
@@ -218,7 +218,7 @@
     return Estimate(now, during, after, gain, loss, seconds)
 
 
-def rate_change(samples: Sequence[Asked], split: Split, pool: PoolView) -> float:
+def rate_change(samples: Sequence[DemandRates], split: Split, pool: PoolView) -> float:
     """Find the requests a second that a move gains where the samples' mixes come."""
     rate = sum(item.requests for item in samples) / max(1, len(samples))
     now = find_mean_served(samples, split.now, pool.speeds)
@@ -226,7 +226,7 @@
 
 
 def find_mean_served(
-    samples: Sequence[Asked], counts: Mapping[str, int], speeds: Speeds
+    samples: Sequence[DemandRates], counts: Mapping[str, int], speeds: Speeds
 ) -> float:
     """Find the served share of all requests of the samples."""
     requests = sum(item.requests for item in samples)
@@ -256,7 +256,7 @@
 
 def explain(pool: PoolView, move: Move, estimate: Estimate, policy: Policy) -> str:
     """Tell why the move is worth it."""
-    asked = pool.asked
+    asked = pool.demand
     return (
         f"{move.before} to {move.after}: asked {asked.requests:.1f} requests/s, "
         f"{asked.prefill_tokens:.0f} prefill and {asked.decode_tokens:.0f} decode "
@@ -277,8 +277,8 @@
     prefill += half_mixed * mixed.prefill_tokens
     decode = counts[DECODE] * pool.speeds[DECODE].decode_tokens
     decode += half_mixed * mixed.decode_tokens
-    return divide(pool.asked.prefill_tokens, prefill), divide(
-        pool.asked.decode_tokens, decode
+    return divide(pool.demand.prefill_tokens, prefill), divide(
+        pool.demand.decode_tokens, decode
     )
 
 
--- a/tests/planner/common.py
+++ b/tests/planner/common.py
@@ -5,7 +5,7 @@
 from radishtally.configuration.config import Policy
 from radishtally.links.messages import DECODE, MIXED, PREFILL, Load
 from radishtally.planner.capacity import Speed
-from radishtally.planner.demand import Asked, Counts
+from radishtally.planner.demand import DemandRates, WorkCounters
 from radishtally.planner.policies import EngineView, Pool, PoolView
 
 POOL: Final = Pool("gown-llm", "howrah")
@@ -15,8 +15,8 @@
     PREFILL: Speed(9_500.0, 200.0),
     DECODE: Speed(3_900.0, 1_400.0),
 }
-LONG_PROMPTS: Final = Asked(40_000.0, 1_000.0, 20.0, 0.0)
-LONG_ANSWERS: Final = Asked(2_000.0, 8_000.0, 40.0, 0.0)
+LONG_PROMPTS: Final = DemandRates(40_000.0, 1_000.0, 20.0, 0.0)
+LONG_ANSWERS: Final = DemandRates(2_000.0, 8_000.0, 40.0, 0.0)
 SLOTS: Final = {MIXED: 16, PREFILL: 4, DECODE: 28}
 
 
@@ -31,7 +31,7 @@
 def make_view(engines: tuple[EngineView, ...], **more: Any) -> PoolView:
     """Make a view of a pool in a mix that lasts."""
     defaults = {
-        "asked": LONG_PROMPTS,
+        "demand": LONG_PROMPTS,
         "speeds": SPEEDS,
         "remaining": 600.0,
         "mix_length": 900.0,
@@ -64,9 +64,11 @@
     return load._replace(**more)
 
 
-def add_counts(counts: Counts, asked: Asked, seconds: float) -> Counts:
+def add_counts(
+    counts: WorkCounters, asked: DemandRates, seconds: float
+) -> WorkCounters:
     """Count on by what is asked in some seconds."""
-    return Counts(
+    return WorkCounters(
         counts.prompt_tokens + round(asked.prefill_tokens * seconds),
         counts.output_tokens + round(asked.decode_tokens * seconds),
         counts.requests + round(asked.requests * seconds),
--- a/tests/planner/test_core.py
+++ b/tests/planner/test_core.py
@@ -8,17 +8,17 @@
 from radishtally.planner.core import (
     CHANGE_SECONDS,
     Configured,
-    Gained,
     HostGone,
-    LostLease,
+    LeaseGained,
+    LeaseLost,
+    LoadReported,
     Planner,
     PlanNotWritten,
     PlanWritten,
-    Reported,
     Tick,
     handle,
 )
-from radishtally.planner.demand import Asked, Counts
+from radishtally.planner.demand import DemandRates, WorkCounters
 from tests.planner.common import (
     COST,
     LONG_ANSWERS,
@@ -39,7 +39,7 @@
         self.planner = Planner()
         self.now = 0.0
         self.roles = {f"gown-{number}": role for number, role in enumerate(START)}
-        self.counts = dict.fromkeys(self.roles, Counts(0, 0, 0, 0))
+        self.counts = dict.fromkeys(self.roles, WorkCounters(0, 0, 0, 0))
         self.orders: dict[str, tuple[float, str]] = {}
         self.commands = []
         self.changed_at: list[float] = []
@@ -47,9 +47,9 @@
         handle(Configured(policy, dict(self.roles)), self.planner, 0.0)
 
     def gain(self, plan: Plan | None = None) -> None:
-        handle(Gained(7, plan), self.planner, self.now)
+        handle(LeaseGained(7, plan), self.planner, self.now)
 
-    def run(self, asked: Asked, seconds: int, write: bool = True) -> None:
+    def run(self, asked: DemandRates, seconds: int, write: bool = True) -> None:
         for _ in range(seconds):
             self.now += 1.0
             self._carry_out()
@@ -65,12 +65,12 @@
                 self.roles[host] = role
                 del self.orders[host]
 
-    def _report(self, asked: Asked) -> None:
+    def _report(self, asked: DemandRates) -> None:
         share = 1.0 / len(self.roles)
         for host, role in self.roles.items():
             self.counts[host] = add_counts(self.counts[host], asked, share)
             load = make_load(host, role, draining=host in self.orders)
-            handle(Reported(POOL, load, self.counts[host]), self.planner, self.now)
+            handle(LoadReported(POOL, load, self.counts[host]), self.planner, self.now)
 
     def _write(self, command) -> None:
         plan = follow_plan("howrah", command.previous, 7, command.cause, command.wanted)
@@ -140,7 +140,7 @@
     fleet.run(LONG_PROMPTS, 200, write=False)
     [command] = fleet.commands
     plan = follow_plan("howrah", None, 7, command.cause, command.wanted)
-    handle(LostLease(), fleet.planner, fleet.now)
+    handle(LeaseLost(), fleet.planner, fleet.now)
     handle(PlanWritten(plan), fleet.planner, fleet.now)
     assert fleet.planner.plan is None
     fleet.run(LONG_PROMPTS, 100)
@@ -200,14 +200,14 @@
 def test_engines_that_went_silent_do_not_count(fleet):
     fleet.run(LONG_PROMPTS, 30)
     state = fleet.planner.pools[POOL]
-    assert len(fleet.planner.view(state, fleet.now).engines) == 6
-    assert fleet.planner.view(state, fleet.now + 60).engines == ()
+    assert len(fleet.planner.describe_pool(state, fleet.now).engines) == 6
+    assert fleet.planner.describe_pool(state, fleet.now + 60).engines == ()
     handle(HostGone("gown-0"), fleet.planner, fleet.now)
-    assert len(fleet.planner.view(state, fleet.now).engines) == 5
+    assert len(fleet.planner.describe_pool(state, fleet.now).engines) == 5
 
 
 def test_waiting_prefill_counts_as_asked(fleet):
-    fleet.run(Asked(1_000.0, 100.0, 1.0, 0.0), 30)
+    fleet.run(DemandRates(1_000.0, 100.0, 1.0, 0.0), 30)
     state = fleet.planner.pools[POOL]
     before = state.read_asked(fleet.now).prefill_tokens
     state.note_load(make_load("gown-0", PREFILL, prefill_backlog=10.0), fleet.now)
--- a/tests/planner/test_demand.py
+++ b/tests/planner/test_demand.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from radishtally.planner.demand import Asked, Counts, Demand, Mix
+from radishtally.planner.demand import Demand, DemandRates, Mix, WorkCounters
 from tests.planner.common import LONG_ANSWERS, LONG_PROMPTS, add_counts
 
 
 def feed(demand, asked, start, seconds, counts=None, skip=()):
-    counts = counts or Counts(0, 0, 0, 0)
+    counts = counts or WorkCounters(0, 0, 0, 0)
     demand.note("a", counts, start)
     for second in range(1, seconds + 1):
         counts = add_counts(counts, asked, 1.0)
@@ -41,15 +41,15 @@
 
 def test_a_restarted_agent_counts_from_nothing():
     demand = Demand(0.0)
-    demand.note("a", Counts(1_000_000, 1_000_000, 1_000, 0), 0.0)
-    demand.note("a", Counts(100, 10, 1, 0), 1.0)
+    demand.note("a", WorkCounters(1_000_000, 1_000_000, 1_000, 0), 0.0)
+    demand.note("a", WorkCounters(100, 10, 1, 0), 1.0)
     assert 0 < demand.read(1.0).prefill_tokens < 1_000
 
 
 def test_the_first_report_of_an_old_agent_is_no_burst():
     demand = Demand(0.0)
-    demand.note("a", Counts(1_000_000, 1_000_000, 1_000, 0), 0.0)
-    assert demand.read(1.0) == Asked(0.0, 0.0, 0.0, 0.0)
+    demand.note("a", WorkCounters(1_000_000, 1_000_000, 1_000, 0), 0.0)
+    assert demand.read(1.0) == DemandRates(0.0, 0.0, 0.0, 0.0)
 
 
 def test_refused_work_is_asked_for_too():
--- a/tests/planner/test_policies.py
+++ b/tests/planner/test_policies.py
@@ -7,7 +7,7 @@
 from radishtally.configuration.config import Policy
 from radishtally.links.messages import DECODE, MIXED, PREFILL
 from radishtally.planner.capacity import complete_speeds, find_served
-from radishtally.planner.demand import Asked
+from radishtally.planner.demand import DemandRates
 from radishtally.planner.policies import decide
 from tests.planner.common import (
     COST,
@@ -25,12 +25,12 @@
 @pytest.mark.parametrize(
     ("asked", "counts", "expected"),
     [
-        (Asked(5_950, 0, 1, 0), {MIXED: 1}, 1.0),
-        (Asked(11_900, 0, 1, 0), {MIXED: 1}, 0.5),
-        (Asked(5_950, 544, 1, 0), {MIXED: 1}, 0.5),
-        (Asked(5_950, 544, 1, 0), {MIXED: 2}, 1.0),
-        (Asked(1_000, 100, 1, 0), {PREFILL: 3}, 0.0),
-        (Asked(0, 0, 0, 0), {}, 1.0),
+        (DemandRates(5_950, 0, 1, 0), {MIXED: 1}, 1.0),
+        (DemandRates(11_900, 0, 1, 0), {MIXED: 1}, 0.5),
+        (DemandRates(5_950, 544, 1, 0), {MIXED: 1}, 0.5),
+        (DemandRates(5_950, 544, 1, 0), {MIXED: 2}, 1.0),
+        (DemandRates(1_000, 100, 1, 0), {PREFILL: 3}, 0.0),
+        (DemandRates(0, 0, 0, 0), {}, 1.0),
     ],
 )
 def test_served_share(asked, counts, expected):
@@ -50,8 +50,8 @@
     [
         (Policy(), SPLIT, {}, None),
         (COST, SPLIT, {}, PREFILL),
-        (COST, SPLIT, {"asked": LONG_ANSWERS}, DECODE),
-        (COST, SPLIT, {"asked": Asked(5_000, 500, 5, 0)}, None),
+        (COST, SPLIT, {"demand": LONG_ANSWERS}, DECODE),
+        (COST, SPLIT, {"demand": DemandRates(5_000, 500, 5, 0)}, None),
         (COST, SPLIT, {"remaining": 10.0}, None),
         (COST, SPLIT, {"changing": True}, None),
         (COST, SPLIT, {"last_change": 80.0}, None),
@@ -59,8 +59,8 @@
         (Policy(planning="cost", role_change_cost=1e6), SPLIT, {}, None),
         (Policy(planning="cost", goodput_weight=0.0), SPLIT, {}, None),
         (THRESHOLD, SPLIT, {}, PREFILL),
-        (THRESHOLD, SPLIT, {"asked": LONG_ANSWERS}, DECODE),
-        (THRESHOLD, SPLIT, {"asked": Asked(5_000, 500, 5, 0)}, None),
+        (THRESHOLD, SPLIT, {"demand": LONG_ANSWERS}, DECODE),
+        (THRESHOLD, SPLIT, {"demand": DemandRates(5_000, 500, 5, 0)}, None),
         (THRESHOLD, SPLIT, {"changing": True}, None),
         (Policy(planning="static"), SPLIT, {}, None),
         (
@@ -106,7 +106,7 @@
     max_size=9,
 )
 RATES = st.floats(0.0, 100_000.0)
-ASKED = st.builds(Asked, RATES, RATES, st.floats(0.0, 200.0), st.just(0.0))
+ASKED = st.builds(DemandRates, RATES, RATES, st.floats(0.0, 200.0), st.just(0.0))
 PLANNING = st.sampled_from(["off", "static", "threshold", "cost"])
 
 
@@ -125,7 +125,7 @@
         for number, (role, wanted, model, gone) in enumerate(items)
     )
     policy = Policy(planning=planning, role_change_cost=0.0)
-    decision = decide(make_view(engines, asked=asked), policy, 100.0)
+    decision = decide(make_view(engines, demand=asked), policy, 100.0)
     if decision is None:
         return
     chosen = next(item for item in engines if item.host == decision.host)
@@ -142,7 +142,7 @@
 @given(ENGINES, ASKED, st.floats(0.0, 30.0, exclude_max=True))
 def test_no_second_change_within_the_dwell(items, asked, passed):
     engines = make_engines(*(role for role, _, _, _ in items))
-    view = make_view(engines, asked=asked, last_change=100.0)
+    view = make_view(engines, demand=asked, last_change=100.0)
     for planning in ("static", "threshold", "cost"):
         policy = Policy(planning=planning, role_change_cost=0.0)
         assert decide(view, policy, 100.0 + passed) is None
