--- a/tests/serving/__init__.py
+++ b/tests/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what becomes of requests at hosts."""
+"""Tests of request dispatch."""
--- a/tests/serving/test_begun_streams.py
+++ b/tests/serving/test_stream_delivery.py
@@ -1,4 +1,4 @@
-"""What a caller gets of a stream of events, whatever its runs do."""
+"""Tests of what a caller receives of an event stream when its attempts fail."""
 
 import xxhash
 from hypothesis import settings
@@ -41,19 +41,19 @@
 
 
 def make_work(is_idempotent: bool = True) -> Work:
-    """Make a request for a stream."""
+    """Build the work of a stream request."""
     return Work("r", "team", POOL, STREAM, b"", idempotent=is_idempotent)
 
 
 def make_end(attempt: int, status: int, body: bytes) -> Finished:
-    """Make the end of a run's answer."""
+    """Build the final message of an attempt's answer."""
     checksum = xxhash.xxh64_intdigest(body)
     return Finished("r", attempt, len(body), checksum, status, "", 0, 0, HEADERS)
 
 
-# Events come twice: a run broke off whose events have no ids, so that no other one can
-# be told where to go on.
-def test_stream_without_ids_is_not_begun_anew() -> None:
+# A stream whose events have no ids can't be resumed: a second attempt would send the
+# caller the same events again.
+def test_stream_without_ids_is_not_restarted() -> None:
     driver = Driver()
     driver.open(make_work())
     host, _ = driver.find_offer()
@@ -64,8 +64,8 @@
     assert driver.list_of(events.AbortAnswer)
 
 
-class BegunStream(RuleBasedStateMachine):
-    """Spoil the runs of one stream in any way and order."""
+class StreamDelivery(RuleBasedStateMachine):
+    """Fail the attempts of one stream in any way and order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -76,45 +76,45 @@
 
     @property
     def request(self) -> OpenRequest | None:
-        """Give the open request, if it has no end yet."""
+        """The request, or None once it has its final reply."""
         return self.driver.core.requests.get("r")
 
     def is_running(self) -> bool:
-        """Tell whether a host has the request."""
+        """Return whether the request is at a host."""
         return self.request is not None and self.request.host is not None
 
-    def is_followed(self) -> bool:
-        """Tell whether the present run streams."""
+    def is_streaming(self) -> bool:
+        """Return whether the current attempt has begun to stream."""
         return self.is_running() and self.request.head is not None
 
     def _receive(self, kind: type, *rest: object) -> None:
         request = self.request
         self.driver.receive(request.host, kind("r", request.attempt, *rest))
 
-    @precondition(lambda self: self.is_running() and not self.is_followed())
+    @precondition(lambda self: self.is_running() and not self.is_streaming())
     @rule()
     def begin(self) -> None:
         self._receive(Accepted, 0.0)
         self._receive(Begun, 200, HEADERS)
 
-    @precondition(is_followed)
+    @precondition(is_streaming)
     @rule()
-    def give_event(self) -> None:
+    def send_event(self) -> None:
         number = self.request.tokens + 1
         if number <= EVENTS:
             offset = len(self.request.received)
             self._receive(Chunk, offset, make_event(number), number)
 
-    @precondition(is_followed)
+    @precondition(is_streaming)
     @rule()
     def end(self) -> None:
         if self.request.tokens == EVENTS:
             end = make_end(self.request.attempt, 200, WHOLE)
             self.driver.receive(self.request.host, end)
 
-    @precondition(lambda self: self.is_running() and not self.is_followed())
+    @precondition(lambda self: self.is_running() and not self.is_streaming())
     @rule(status=FAILURES, length=st.integers(0, 200))
-    def answer_otherwise(self, status: int, length: int) -> None:
+    def answer_with_other_status(self, status: int, length: int) -> None:
         self.bodies += 1
         body = (b"<%d>" % self.bodies * 100)[:length]
         self.failures.add((status, body))
@@ -129,7 +129,7 @@
     def lose(self) -> None:
         self._receive(Lost, Ran.UNKNOWN, "reset", 0)
 
-    @precondition(lambda self: self.is_running() and not self.is_followed())
+    @precondition(lambda self: self.is_running() and not self.is_streaming())
     @rule()
     def refuse(self) -> None:
         self._receive(Refused, "full", 0.1)
@@ -143,8 +143,8 @@
         self.driver.give(events.Shutdown())
 
     @invariant()
-    def caller_gets_one_answer(self) -> None:
-        """Check the order of what the caller gets, and that it is what it seems."""
+    def caller_gets_one_consistent_answer(self) -> None:
+        """Check the order and the content of the replies to the caller."""
         replies = self.driver.list_of(REPLIES)
         if not replies:
             return
@@ -157,20 +157,20 @@
         assert isinstance(first, events.Begin) and first.status == 200
         ends = [part for part in rest if not isinstance(part, events.Deliver)]
         assert not ends or ends == rest[-1:]
-        came = b"".join(part.data for part in rest if part not in ends)
-        assert came and WHOLE.startswith(came)
+        received = b"".join(part.data for part in rest if part not in ends)
+        assert received and WHOLE.startswith(received)
         if ends:
             is_whole = isinstance(ends[0], events.End)
             assert is_whole or isinstance(ends[0], events.AbortAnswer)
-            assert not is_whole or came == WHOLE
+            assert not is_whole or received == WHOLE
 
     @invariant()
-    def nothing_is_open_behind_an_end(self) -> None:
+    def request_is_closed_by_its_final_reply(self) -> None:
         ends = (events.Refuse, events.Finish, events.AbortAnswer, events.End)
         assert (self.request is None) == bool(self.driver.list_of(ends))
 
 
-TestBegunStream = BegunStream.TestCase
-TestBegunStream.settings = settings(
+TestStreamDelivery = StreamDelivery.TestCase
+TestStreamDelivery.settings = settings(
     max_examples=200, stateful_step_count=30, deadline=None
 )
