--- a/radishtally/limits/__init__.py
+++ b/radishtally/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on what is taken in, retried and tried."""
+"""Limits on admission, retries and requests to failing peers."""
--- a/radishtally/limits/breaker.py
+++ b/radishtally/limits/breaker.py
@@ -1,49 +1,56 @@
-"""Leaving out of peers that fail."""
+"""Circuit breaker for failing peers."""
 
 from typing import Final
 
-FIRST_SECONDS: Final = 0.5
-MAX_SECONDS: Final = 30.0
+FIRST_OPEN_SECONDS: Final = 0.5
+MAX_OPEN_SECONDS: Final = 30.0
 
 
 class CircuitBreaker:
-    """Leave a failing peer out for a growing while, then probe it with one request."""
+    """Exclude a failing peer for a growing time, then probe it with one request."""
 
-    __slots__ = ("_first", "_longest", "_open_until", "_probed", "_seconds")
+    __slots__ = (
+        "_first_seconds",
+        "_max_seconds",
+        "_open_until",
+        "_is_probing",
+        "_open_seconds",
+    )
 
     def __init__(
-        self, first: float = FIRST_SECONDS, longest: float = MAX_SECONDS
+        self, first: float = FIRST_OPEN_SECONDS, longest: float = MAX_OPEN_SECONDS
     ) -> None:
-        self._first = first
-        self._longest = longest
-        self._seconds = 0.0
+        self._first_seconds = first
+        self._max_seconds = longest
+        self._open_seconds = 0.0
         self._open_until = 0.0
-        self._probed = False
+        self._is_probing = False
 
     def record_failure(self, now: float) -> None:
-        """Note a failure of the peer."""
-        # Requests sent together fail together: they count as one failure, else a
-        # single hiccup under load would leave the peer out for the longest while.
-        if self._seconds and not self._probed and now < self._open_until:
+        """Record a failure of the peer."""
+        # Requests in flight at the same time fail together and count as one failure.
+        # Otherwise a single hiccup under load would open the breaker for the maximum.
+        if self._open_seconds and not self._is_probing and now < self._open_until:
             return
-        doubled = min(self._longest, 2 * self._seconds)
-        self._seconds = doubled or self._first
-        self._open_until = now + self._seconds
-        self._probed = False
+        doubled = min(self._max_seconds, 2 * self._open_seconds)
+        self._open_seconds = doubled or self._first_seconds
+        self._open_until = now + self._open_seconds
+        self._is_probing = False
 
     def record_success(self) -> None:
-        """Note an answer of the peer."""
-        self._seconds = 0.0
-        self._probed = False
+        """Record a successful answer of the peer."""
+        self._open_seconds = 0.0
+        self._is_probing = False
 
     def allows(self, now: float) -> bool:
-        """Tell whether the peer may be offered work; changes nothing."""
-        return not self._seconds or now >= self._open_until
+        """Return whether the peer may be offered work, without changing any state."""
+        return not self._open_seconds or now >= self._open_until
 
     def record_offer(self, now: float) -> None:
-        """Note that the peer was offered work; while it is probed it gets no more."""
-        if not self._seconds:
+        """Record an offer to the peer; a peer that is being probed gets no others."""
+        if not self._open_seconds:
             return
-        # The probe's verdict may get lost: after the same while another one may go.
-        self._probed = True
-        self._open_until = now + self._seconds
+        # The probe's result may never arrive: another probe is allowed after the same
+        # time.
+        self._is_probing = True
+        self._open_until = now + self._open_seconds
--- a/radishtally/limits/queue.py
+++ b/radishtally/limits/queue.py
@@ -1,34 +1,34 @@
-"""Queue of the work that waits for one upstream."""
+"""Admission queue of one upstream."""
 
 from bisect import bisect_left, insort
 from collections.abc import Sequence
 from operator import attrgetter
 from typing import Final, NamedTuple
 
-from radishtally.limits.pace import Admitted, Pace, Passing
+from radishtally.limits.pace import AdmittedJob, DecodePace, OvertakeEstimator
 from radishtally.limits.timeline import Rates, Running, Timeline
 from radishtally.limits.work import Job
 from radishtally.outcome import Error, Ok, Result
 
-__all__ = ["Job", "NoRoom", "Rates", "Running", "WorkQueue"]
+__all__ = ["Job", "Rejection", "Rates", "Running", "WorkQueue"]
 
-MIDDLING_PRIORITY: Final = 0
-LENGTH: Final = 256
-TEAM_LENGTH: Final = 128
-IDLE_TEAMS: Final = 1_024
-"""Finish tags kept of teams with nothing queued before the passed ones go."""
+NORMAL_PRIORITY: Final = 0
+MAX_LENGTH: Final = 256
+MAX_TEAM_LENGTH: Final = 128
+MAX_IDLE_TEAM_TAGS: Final = 1_024
+"""Finish tags of idle teams that are kept before outdated ones are pruned."""
 MIN_CHARGE_SECONDS: Final = 0.001
 MIN_SHARE: Final = 0.001
 MIN_RETRY_SECONDS: Final = 0.05
 MAX_RETRY_SECONDS: Final = 5.0
-MARGIN: Final = 0.25
-"""Share by which the wait for others may turn out longer than predicted."""
-GRACE: Final = 0.1
-"""Share of its whole time that queued work may be predicted late and still stay."""
+WAIT_MARGIN: Final = 0.25
+"""Share by which the actual wait may exceed the predicted one."""
+LATENESS_GRACE: Final = 0.1
+"""Predicted lateness, as a share of a job's total time, up to which it stays queued."""
 
 
 class Reason:
-    """Tell why there is no room."""
+    """Reasons for rejecting a job."""
 
     DEADLINE: Final = "deadline can't be met"
     FULL: Final = "queue full"
@@ -36,99 +36,101 @@
     NO_SLOTS: Final = "upstream takes no requests"
 
 
-class NoRoom(NamedTuple):
-    """Refuse a job."""
+class Rejection(NamedTuple):
+    """Describe why a job was rejected and when to retry."""
 
     reason: str
     retry_after: float
     """Seconds."""
 
 
-class Entry(NamedTuple):
-    """Hold a queued job; entries of a team go in the order of these fields."""
+class QueueEntry(NamedTuple):
+    """Hold a queued job; a team's entries sort by these fields in order."""
 
     latest_start: float
     number: int
     job: Job
     charge: float
-    """Slot seconds over the team's share."""
+    """Slot seconds divided by the team's share."""
 
 
-class Flow:
+class TeamFlow:
     """Hold the queued jobs of one team within one priority."""
 
     __slots__ = ("entries", "tag")
 
     def __init__(self, tag: float) -> None:
         self.tag = tag
-        """Virtual start time of the flow's next job."""
-        self.entries: list[Entry] = []
+        """Start tag (virtual time) of the flow's next job."""
+        self.entries: list[QueueEntry] = []
 
-    def list_until(self, tag: float) -> list[Entry]:
-        """List the jobs whose start tag is not after the given one."""
-        own = self.tag
+    def list_until(self, tag: float) -> list[QueueEntry]:
+        """List the jobs whose start tag does not exceed the given one."""
+        start_tag = self.tag
         for index, entry in enumerate(self.entries):
-            if own > tag:
+            if start_tag > tag:
                 return self.entries[:index]
-            own += entry.charge
+            start_tag += entry.charge
         return self.entries
 
 
-class Level:
-    """Share one priority's turns between teams by start-time fair queueing."""
+class PriorityLevel:
+    """Queue one priority, shared between teams by start-time fair queueing."""
 
     def __init__(self) -> None:
-        self.flows: dict[str, Flow] = {}
+        self.flows: dict[str, TeamFlow] = {}
         self._virtual_time = 0.0
         self._finish_tags: dict[str, float] = {}
 
-    def find_tag(self, team: str) -> float:
-        """Find the start tag that the team's next job has or would have."""
+    def find_start_tag(self, team: str) -> float:
+        """Return the start tag that the team's next job has or would get."""
         flow = self.flows.get(team)
         if flow is not None:
             return flow.tag
-        # A team that empties its queue keeps its finish tag: else it would come back
-        # at the present virtual time and gain by sending jobs one by one.
+        # A team that empties its queue keeps its finish tag. Otherwise it would return
+        # at the current virtual time and gain by sending jobs one at a time.
         return max(self._virtual_time, self._finish_tags.get(team, 0.0))
 
-    def list_ahead(self, entry: Entry) -> list[Entry]:
-        """List the jobs that go before a new entry."""
+    def list_ahead(self, entry: QueueEntry) -> list[QueueEntry]:
+        """List the jobs that would be served before a new entry."""
         team = entry.job.team
-        own = self.flows.get(team)
-        mine = own.entries[: bisect_left(own.entries, entry)] if own else []
-        tag = self.find_tag(team) + sum(map(attrgetter("charge"), mine))
-        ahead = list(mine)
+        own_flow = self.flows.get(team)
+        own_ahead = (
+            own_flow.entries[: bisect_left(own_flow.entries, entry)] if own_flow else []
+        )
+        tag = self.find_start_tag(team) + sum(map(attrgetter("charge"), own_ahead))
+        ahead = list(own_ahead)
         for name, flow in self.flows.items():
             if name != team:
                 ahead.extend(flow.list_until(tag))
         return ahead
 
-    def add(self, entry: Entry) -> None:
-        """Queue an entry."""
+    def add(self, entry: QueueEntry) -> None:
+        """Add an entry."""
         team = entry.job.team
         if team not in self.flows:
-            self.flows[team] = Flow(self.find_tag(team))
+            self.flows[team] = TeamFlow(self.find_start_tag(team))
             self._finish_tags.pop(team, None)
         insort(self.flows[team].entries, entry)
 
-    def take(self) -> Entry:
-        """Take the next entry; the level must not be empty."""
+    def pop_next(self) -> QueueEntry:
+        """Remove and return the next entry; the level must not be empty."""
         team = min(self.flows, key=lambda name: self.flows[name].tag)
         flow = self.flows[team]
         self._virtual_time = flow.tag
         entry = flow.entries.pop(0)
         flow.tag += entry.charge
-        self._forget_empty(team)
+        self._remove_if_empty(team)
         return entry
 
-    def remove(self, entry: Entry) -> None:
-        """Take out an entry without charging its team."""
+    def remove(self, entry: QueueEntry) -> None:
+        """Remove an entry without charging its team."""
         flow = self.flows[entry.job.team]
         del flow.entries[bisect_left(flow.entries, entry)]
-        self._forget_empty(entry.job.team)
+        self._remove_if_empty(entry.job.team)
 
-    def list_in_order(self) -> list[Entry]:
-        """List all entries in the order in which they would be taken."""
+    def list_in_order(self) -> list[QueueEntry]:
+        """List all entries in the order in which they would be served."""
         tagged = []
         for flow in self.flows.values():
             tag = flow.tag
@@ -138,16 +140,16 @@
         tagged.sort()
         return [entry for _, _, entry in tagged]
 
-    def _forget_empty(self, team: str) -> None:
+    def _remove_if_empty(self, team: str) -> None:
         flow = self.flows[team]
         if flow.entries:
             return
         del self.flows[team]
         self._finish_tags[team] = flow.tag
-        if len(self._finish_tags) > IDLE_TEAMS:
-            self._forget_passed()
+        if len(self._finish_tags) > MAX_IDLE_TEAM_TAGS:
+            self._prune_finish_tags()
 
-    def _forget_passed(self) -> None:
+    def _prune_finish_tags(self) -> None:
         self._finish_tags = {
             team: tag
             for team, tag in self._finish_tags.items()
@@ -156,91 +158,95 @@
 
 
 class WorkQueue:
-    """Admit work by its deadline and choose what starts next."""
+    """Admit jobs that can meet their deadline and choose the one to start next."""
 
-    def __init__(self, length: int = LENGTH, team_length: int = TEAM_LENGTH) -> None:
+    def __init__(
+        self, length: int = MAX_LENGTH, team_length: int = MAX_TEAM_LENGTH
+    ) -> None:
         self._length = length
         self._team_length = team_length
-        self._levels: dict[int, Level] = {}
-        self._entries: dict[tuple[str, int], Entry] = {}
+        self._levels: dict[int, PriorityLevel] = {}
+        self._entries: dict[tuple[str, int], QueueEntry] = {}
         self._team_counts: dict[str, int] = {}
         self._prompt_tokens = 0
         self._arrivals = 0
-        self._pace = Pace()
-        self._passing = Passing()
+        self._pace = DecodePace()
+        self._overtakes = OvertakeEstimator()
 
     def __len__(self) -> int:
-        """Count the queued jobs."""
+        """Return the number of queued jobs."""
         return len(self._entries)
 
     def admit(
         self, job: Job, rates: Rates, running: Sequence[Running], now: float
-    ) -> Result[float, NoRoom]:
-        """Queue the job and predict the seconds to its first token, or refuse it."""
+    ) -> Result[float, Rejection]:
+        """Queue the job and predict the seconds to its first token, or reject it."""
         if rates.slots < 1:
-            return Error(NoRoom(Reason.NO_SLOTS, MAX_RETRY_SECONDS))
+            return Error(Rejection(Reason.NO_SLOTS, MAX_RETRY_SECONDS))
         rates = self.adjust(rates, now)
         entry = self._make_entry(job, rates)
         wait = self._predict_entry_wait(entry, rates, running, now)
-        first_token = wait + rates.prefill(job.prompt_tokens)
-        # Under overload the queue fills up to the deadlines: without a margin each wait
-        # that turned out a little longer made the answer late, and its work was lost.
-        late = now + (1 + MARGIN) * wait + rates.take(job) - job.deadline
-        # Work that would be late costs slots and gives nothing, so that an overload
-        # makes everybody late. Refused at once, it may still be met elsewhere.
-        if late > 0:
-            return Error(NoRoom(Reason.DEADLINE, clamp_retry(late)))
+        first_token = wait + rates.prefill_time(job.prompt_tokens)
+        # Under overload the queue fills up to the deadlines. Without a margin every
+        # wait that turns out slightly longer makes the answer late and wastes its work.
+        lateness = (
+            now + (1 + WAIT_MARGIN) * wait + rates.service_time(job) - job.deadline
+        )
+        # Late work occupies slots for nothing, so that under overload all work becomes
+        # late. A job that is rejected at once may still meet its deadline elsewhere.
+        if lateness > 0:
+            return Error(Rejection(Reason.DEADLINE, clamp_retry_after(lateness)))
         if self._is_queued(job):
             return Ok(first_token)
         if len(self._entries) >= self._length:
-            return Error(NoRoom(Reason.FULL, clamp_retry(first_token)))
+            return Error(Rejection(Reason.FULL, clamp_retry_after(first_token)))
         if self._team_counts.get(job.team, 0) >= self._team_length:
-            return Error(NoRoom(Reason.TEAM_FULL, clamp_retry(first_token)))
+            return Error(Rejection(Reason.TEAM_FULL, clamp_retry_after(first_token)))
         self._add(entry)
         slack = entry.latest_start - now
-        seconds = rates.take(job)
-        self._passing.note(Admitted(now, job.team, job.priority, slack, seconds))
+        seconds = rates.service_time(job)
+        self._overtakes.record(AdmittedJob(now, job.team, job.priority, slack, seconds))
         return Ok(first_token)
 
     def adjust(self, rates: Rates, now: float) -> Rates:
-        """Give the rates with the present pace."""
+        """Return the rates with the observed seconds per token."""
         return self._pace.adjust(rates, now)
 
     def record_tokens(self, seconds: float, tokens: int, now: float) -> None:
-        """Take in the time that a running answer's next tokens took."""
-        self._pace.note(seconds, tokens, now)
+        """Record the time that a running answer's next tokens took."""
+        self._pace.record(seconds, tokens, now)
 
     def pop_next(self, now: float) -> Job | None:
-        """Take the job to start next, if any; priority, fair share, least slack."""
+        """Remove and return the next job, by priority, fair share and least slack."""
         if not self._entries:
             return None
-        entry = self._levels[min(self._levels)].take()
-        self._forget(entry)
+        entry = self._levels[min(self._levels)].pop_next()
+        self._remove_entry(entry)
         return entry.job
 
     def remove(self, request: str, attempt: int) -> bool:
-        """Take out a job that is withdrawn; tell whether it was queued."""
+        """Remove a cancelled job; return whether it was queued."""
         entry = self._entries.get((request, attempt))
         if entry is None:
             return False
         self._levels[entry.job.priority].remove(entry)
-        self._forget(entry)
+        self._remove_entry(entry)
         return True
 
     def expire(self, rates: Rates, running: Sequence[Running], now: float) -> list[Job]:
-        """Take out the jobs that can't be met any more, to be refused as not run."""
+        """Remove and return the jobs that can no longer meet their deadline."""
         if not self._entries:
             return []
         late = []
         rates = self.adjust(rates, now)
         timeline = Timeline(rates, running)
-        # What is likely to come and pass is left out here: a burst of high priority
-        # may end, and work given back at its beginning could still have been met.
+        # Likely overtaking work is not considered here: a burst of high priority may
+        # end, and jobs returned at its start could still have met their deadline.
         for entry in self._list_in_order():
             job = entry.job
-            first_token = timeline.peek(job)
-            finish = now + first_token + rates.decode(job.output_tokens)
-            if finish > job.deadline + find_grace(job) or rates.slots < 1:
+            first_token = timeline.predict_first_token(job)
+            finish = now + first_token + rates.decode_time(job.output_tokens)
+            if finish > job.deadline + find_lateness_grace(job) or rates.slots < 1:
                 late.append(job)
                 continue
             timeline.add(job)
@@ -249,23 +255,23 @@
         return late
 
     def drain(self) -> list[Job]:
-        """Take out all jobs, in order."""
+        """Remove and return all jobs, in order."""
         jobs = [entry.job for entry in self._list_in_order()]
         for job in jobs:
             self.remove(job.request, job.attempt)
         return jobs
 
     def prefill_backlog(self, rates: Rates) -> float:
-        """Sum the seconds of prefill of the queued jobs."""
-        return rates.prefill(self._prompt_tokens)
+        """Return the total prefill time of the queued jobs, in seconds."""
+        return rates.prefill_time(self._prompt_tokens)
 
     def predict_wait(
         self, rates: Rates, running: Sequence[Running], now: float
     ) -> float:
-        """Predict the seconds until new work of middling priority would start."""
+        """Predict the seconds until a new job of normal priority would start."""
         timeline = Timeline(self.adjust(rates, now), running)
         for priority, level in self._levels.items():
-            if priority > MIDDLING_PRIORITY:
+            if priority > NORMAL_PRIORITY:
                 continue
             for flow in level.flows.values():
                 timeline.add_all([entry.job for entry in flow.entries])
@@ -274,17 +280,17 @@
     def _is_queued(self, job: Job) -> bool:
         return (job.request, job.attempt) in self._entries
 
-    def _make_entry(self, job: Job, rates: Rates) -> Entry:
+    def _make_entry(self, job: Job, rates: Rates) -> QueueEntry:
         self._arrivals += 1
-        seconds = rates.take(job)
+        seconds = rates.service_time(job)
         latest_start = job.deadline - seconds
-        # Work that costs nothing by the rates would never use up its team's turn, and a
-        # team that keeps sending it would starve all others.
+        # A job with no cost by the rates would never use up its team's turn, so a team
+        # that keeps sending such jobs would starve all others.
         charge = max(seconds, MIN_CHARGE_SECONDS) / max(job.share, MIN_SHARE)
-        return Entry(latest_start, self._arrivals, job, charge)
+        return QueueEntry(latest_start, self._arrivals, job, charge)
 
     def _predict_entry_wait(
-        self, entry: Entry, rates: Rates, running: Sequence[Running], now: float
+        self, entry: QueueEntry, rates: Rates, running: Sequence[Running], now: float
     ) -> float:
         timeline = Timeline(rates, running)
         priority = entry.job.priority
@@ -296,27 +302,27 @@
         if level is not None:
             timeline.add_all([item.job for item in level.list_ahead(entry)])
         slack = entry.latest_start - now
-        return self._passing.stretch(
+        return self._overtakes.extend_wait(
             timeline.next_start, entry.job, slack, rates.slots, now
         )
 
-    def _list_in_order(self) -> list[Entry]:
+    def _list_in_order(self) -> list[QueueEntry]:
         return [
             entry
             for priority in sorted(self._levels)
             for entry in self._levels[priority].list_in_order()
         ]
 
-    def _add(self, entry: Entry) -> None:
+    def _add(self, entry: QueueEntry) -> None:
         job = entry.job
         if job.priority not in self._levels:
-            self._levels[job.priority] = Level()
+            self._levels[job.priority] = PriorityLevel()
         self._levels[job.priority].add(entry)
         self._entries[job.request, job.attempt] = entry
         self._team_counts[job.team] = self._team_counts.get(job.team, 0) + 1
         self._prompt_tokens += job.prompt_tokens
 
-    def _forget(self, entry: Entry) -> None:
+    def _remove_entry(self, entry: QueueEntry) -> None:
         job = entry.job
         del self._entries[job.request, job.attempt]
         self._prompt_tokens -= job.prompt_tokens
@@ -327,13 +333,13 @@
             del self._levels[job.priority]
 
 
-def clamp_retry(seconds: float) -> float:
-    """Keep a retry hint small and positive."""
+def clamp_retry_after(seconds: float) -> float:
+    """Clamp a retry delay to its bounds."""
     return min(max(seconds, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
 
 
-def find_grace(job: Job) -> float:
-    """Find how late a queued job may be predicted before it is given up."""
-    # Predictions waver with the rates; without grace, work admitted just in time
-    # would be refused at the next look. Past the grace it is late in any case.
-    return GRACE * max(0.0, job.deadline - job.arrived)
+def find_lateness_grace(job: Job) -> float:
+    """Return how late a queued job may be predicted before it is dropped."""
+    # Predictions fluctuate with the rates. Without a grace, a job admitted just in time
+    # would be dropped at the next check. Beyond the grace it will be late in any case.
+    return LATENESS_GRACE * max(0.0, job.deadline - job.arrived)
--- a/radishtally/limits/retries.py
+++ b/radishtally/limits/retries.py
@@ -1,76 +1,77 @@
-"""Bounds on retries."""
+"""Retry budgets and backoff."""
 
 import math
 from random import Random
 from typing import Final
 
-RESERVE_SECONDS: Final = 10.0
-"""Seconds of the floor that may gather unused."""
-EARNED_SECONDS: Final = 10.0
-"""Time in which what requests have earned fades to 37%. Kept for longer it would be
-spent at once when all fails: 31 entries made 476 retries in 10 s beside 1,676 requests,
-of which a fifth was allowed. Faded, what is put by is at most what 10 s earn."""
+FLOOR_BURST_SECONDS: Final = 10.0
+"""Seconds' worth of the floor rate that may accumulate unused."""
+EARNED_DECAY_SECONDS: Final = 10.0
+"""Time in which the budget earned by requests decays to 37%. An undecayed budget is
+spent at once when everything fails: 31 entries made 476 retries in 10 s on 1,676
+requests, although only a fifth of the requests was allowed. With decay the accumulated
+budget never exceeds what 10 s of requests earn."""
 FIRST_BACKOFF_SECONDS: Final = 0.02
 MAX_BACKOFF_SECONDS: Final = 2.0
 MAX_DOUBLINGS: Final = 16
 
 
 class RetryBudget:
-    """Allow retries as a share of the requests that come in.
+    """Allow retries as a share of incoming requests.
 
-    When everything fails, each request would be sent again and again, and the load
-    grows by the number of tries just when there is least room. A share keeps the whole
-    under (1 + ratio) times the requests; the floor lets a quiet entry retry at all.
+    When everything fails, unlimited retries multiply the load just when capacity is
+    lowest. The share keeps the total below (1 + ratio) times the requests; the floor
+    allows some retries even at a low request rate.
     """
 
     def __init__(self, ratio: float, floor: float = 1.0) -> None:
         self.ratio = ratio
-        """Retries that each request allows."""
+        """Retries earned per request."""
         self.floor = floor
-        """Retries a second that are allowed whatever comes in."""
-        self._earned = 0.0
-        self._spare = max(1.0, floor) if floor else 0.0
-        self._seen: float | None = None
+        """Retries per second allowed at any request rate."""
+        self._earned_credit = 0.0
+        self._floor_credit = max(1.0, floor) if floor else 0.0
+        self._updated_at: float | None = None
 
     def record_request(self, now: float) -> None:
-        """Count a request that came in."""
-        self._gather(now)
-        self._earned += self.ratio
+        """Record an incoming request."""
+        self._update_credit(now)
+        self._earned_credit += self.ratio
 
     def spend(self, now: float) -> bool:
-        """Take one retry from the budget, if there is one."""
-        self._gather(now)
-        if self._earned >= 1:
-            self._earned -= 1
+        """Spend one retry; return False if the budget is exhausted."""
+        self._update_credit(now)
+        if self._earned_credit >= 1:
+            self._earned_credit -= 1
             return True
-        if self._spare >= 1:
-            self._spare -= 1
+        if self._floor_credit >= 1:
+            self._floor_credit -= 1
             return True
         return False
 
-    def _gather(self, now: float) -> None:
-        passed = 0.0 if self._seen is None else max(0.0, now - self._seen)
-        self._seen = now
-        self._earned *= math.exp(-passed / EARNED_SECONDS)
-        gathered = self._spare + passed * self.floor
-        self._spare = min(max(1.0, RESERVE_SECONDS * self.floor), gathered)
+    def _update_credit(self, now: float) -> None:
+        elapsed = 0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
+        self._updated_at = now
+        self._earned_credit *= math.exp(-elapsed / EARNED_DECAY_SECONDS)
+        credit = self._floor_credit + elapsed * self.floor
+        self._floor_credit = min(max(1.0, FLOOR_BURST_SECONDS * self.floor), credit)
 
 
 class RetryBudgets:
-    """Hold a budget for each upstream.
+    """Keep a separate retry budget for each upstream.
 
-    With one for all, a large upstream's requests would pay for the retries of a small
-    one whose hosts fail: its load would be multiplied just then.
+    With a shared budget, the requests of a large upstream would pay for the retries of
+    a small one whose hosts fail, and multiply the load of those hosts.
     """
 
     def __init__(self, ratio: float, floor: float = 1.0) -> None:
         self.ratio = ratio
         self.floor = floor
-        """Retries a second that each upstream is allowed whatever comes in."""
+        """Retries per second allowed for each upstream at any request rate."""
         self._budgets: dict[str, RetryBudget] = {}
 
     def configure(self, ratio: float, floor: float) -> None:
-        """Take other terms, for the budgets that there are too."""
+        """Change the ratio and the floor, also of existing budgets."""
         self.ratio = ratio
         self.floor = floor
         for budget in self._budgets.values():
@@ -78,22 +79,24 @@
             budget.floor = floor
 
     def record_request(self, upstream: str, now: float) -> None:
-        """Count a request that came in for an upstream."""
-        self._find(upstream).record_request(now)
+        """Record an incoming request for an upstream."""
+        self._get_budget(upstream).record_request(now)
 
     def spend(self, upstream: str, now: float) -> bool:
-        """Take one retry from an upstream's budget, if there is one."""
-        return self._find(upstream).spend(now)
+        """Spend one retry of an upstream; return False if its budget is exhausted."""
+        return self._get_budget(upstream).spend(now)
 
-    def _find(self, upstream: str) -> RetryBudget:
+    def _get_budget(self, upstream: str) -> RetryBudget:
         if upstream not in self._budgets:
             self._budgets[upstream] = RetryBudget(self.ratio, self.floor)
         return self._budgets[upstream]
 
 
-def backoff(attempt: int, random: Random, most: float = MAX_BACKOFF_SECONDS) -> float:
-    """Draw the seconds to wait before the attempt; the first retry is attempt 1."""
+def backoff(
+    attempt: int, random: Random, max_seconds: float = MAX_BACKOFF_SECONDS
+) -> float:
+    """Return a random backoff in seconds; the first retry is attempt 1."""
     doublings = min(max(0, attempt - 1), MAX_DOUBLINGS)
-    longest = min(most, FIRST_BACKOFF_SECONDS * 2**doublings)
-    # Without jitter all that failed together come back together.
+    longest = min(max_seconds, FIRST_BACKOFF_SECONDS * 2**doublings)
+    # Without jitter, requests that failed together would be retried together.
     return random.uniform(longest / 2, longest)
--- a/radishtally/limits/timeline.py
+++ b/radishtally/limits/timeline.py
@@ -1,4 +1,4 @@
-"""Prediction of when an upstream gets to the work that waits for it."""
+"""Prediction of when an upstream will start and finish queued work."""
 
 from collections.abc import Iterable, Sequence
 from heapq import heapify, heapreplace
@@ -9,30 +9,32 @@
 
 
 class Rates(NamedTuple):
-    """Tell how fast an upstream works."""
+    """Describe an upstream's processing rates."""
 
     prefill_rate: float
-    """Tokens a second; 0 where there is no prefill."""
+    """Prompt tokens per second; 0 if the upstream has no prefill."""
     decode_seconds: float
-    """Seconds a token."""
+    """Seconds per output token."""
     slots: int
-    """Requests at once."""
+    """Number of concurrent requests."""
 
-    def prefill(self, tokens: int) -> float:
-        """Compute the seconds of prefill."""
+    def prefill_time(self, tokens: int) -> float:
+        """Return the seconds of prefill for a number of tokens."""
         return tokens / self.prefill_rate if self.prefill_rate > 0 else 0.0
 
-    def decode(self, tokens: int) -> float:
-        """Compute the seconds of decoding."""
+    def decode_time(self, tokens: int) -> float:
+        """Return the seconds of decoding for a number of tokens."""
         return tokens * self.decode_seconds
 
-    def take(self, job: Job) -> float:
-        """Compute the seconds that a job takes if nothing else runs."""
-        return self.prefill(job.prompt_tokens) + self.decode(job.output_tokens)
+    def service_time(self, job: Job) -> float:
+        """Return the seconds that a job takes if nothing else runs."""
+        return self.prefill_time(job.prompt_tokens) + self.decode_time(
+            job.output_tokens
+        )
 
 
 class Running(NamedTuple):
-    """Describe a job that the upstream works on."""
+    """Describe a job that the upstream is processing."""
 
     job: Job
     started: float
@@ -41,49 +43,53 @@
 
 
 class Timeline:
-    """Follow an upstream's slots and its prefill through the work before it.
+    """Simulate an upstream's slots and prefill while it works off its jobs.
 
-    Prefill goes one after another; each job holds its slot until its last token.
+    Prefills run one after another; each job occupies its slot until its last token.
     """
 
     def __init__(self, rates: Rates, running: Sequence[Running]) -> None:
         self._rates = rates
-        self._prefilled = 0.0
+        self._prefill_done_at = 0.0
         ends = []
         for item in running:
-            self._prefilled += rates.prefill(max(0, item.prefill_left))
-            begun = self._prefilled if item.prefill_left > 0 else 0.0
-            ends.append(begun + rates.decode(max(0, item.tokens_left)))
+            self._prefill_done_at += rates.prefill_time(max(0, item.prefill_left))
+            begun = self._prefill_done_at if item.prefill_left > 0 else 0.0
+            ends.append(begun + rates.decode_time(max(0, item.tokens_left)))
         ends.sort()
         excess = max(0, len(ends) - rates.slots)
-        self._free = ends[excess:] + [0.0] * (rates.slots - len(ends))
-        heapify(self._free)
+        self._slots_free_at = ends[excess:] + [0.0] * (rates.slots - len(ends))
+        heapify(self._slots_free_at)
 
     @property
     def next_start(self) -> float:
-        """Tell when the next job would start, in seconds."""
-        return max(self._free[0], self._prefilled) if self._free else inf
+        """Seconds until the next job would start."""
+        return (
+            max(self._slots_free_at[0], self._prefill_done_at)
+            if self._slots_free_at
+            else inf
+        )
 
-    def peek(self, job: Job) -> float:
-        """Predict the seconds to the first token of a job that came next."""
-        return self.next_start + self._rates.prefill(job.prompt_tokens)
+    def predict_first_token(self, job: Job) -> float:
+        """Predict the seconds to the first token of a job that is added next."""
+        return self.next_start + self._rates.prefill_time(job.prompt_tokens)
 
     def add(self, job: Job) -> None:
-        """Put a job behind the others."""
+        """Append a job."""
         self.add_all((job,))
 
     def add_all(self, jobs: Iterable[Job]) -> None:
-        """Put jobs behind the others, in order."""
-        free = self._free
+        """Append jobs in order."""
+        free = self._slots_free_at
         if not free:
             return
-        prefilled = self._prefilled
+        prefilled = self._prefill_done_at
         decode_seconds = self._rates.decode_seconds
-        prefill_seconds = self._rates.prefill(1)
+        prefill_seconds = self._rates.prefill_time(1)
         for job in jobs:
             start = free[0]
             if start > prefilled:
                 prefilled = start
             prefilled += job.prompt_tokens * prefill_seconds
             heapreplace(free, prefilled + job.output_tokens * decode_seconds)
-        self._prefilled = prefilled
+        self._prefill_done_at = prefilled
--- a/radishtally/limits/work.py
+++ b/radishtally/limits/work.py
@@ -1,20 +1,20 @@
-"""Work that waits for an upstream."""
+"""Jobs that are queued for an upstream."""
 
 from typing import NamedTuple
 
 
 class Job(NamedTuple):
-    """Describe one attempt of a request."""
+    """Describe one attempt of a request for admission."""
 
     request: str
     attempt: int
     team: str
     priority: int
-    """Lower goes first."""
+    """Lower values are served first."""
     share: float
-    """Weight of the team's fair share; above 0."""
+    """Weight of the team in fair queueing; above 0."""
     prompt_tokens: int
     output_tokens: int
-    """Estimate."""
+    """Estimated."""
     deadline: float
     arrived: float
--- a/tests/limits/test_pace.py
+++ b/tests/limits/test_pace.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from radishtally.limits.queue import MARGIN, Reason, WorkQueue
+from radishtally.limits.queue import WAIT_MARGIN, Reason, WorkQueue
 from tests.limits.common import RATES, make_job, make_running
 
 
@@ -58,7 +58,7 @@
     """
     running = [make_running(100), make_running(100)]
     wait, own = 2.0, 1.0
-    job = make_job(deadline=more * ((1 + MARGIN) * wait + own))
+    job = make_job(deadline=more * ((1 + WAIT_MARGIN) * wait + own))
     assert queue.admit(job, RATES, running, 0.0).is_ok() is admitted
 
 
--- a/tests/limits/test_queue.py
+++ b/tests/limits/test_queue.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from radishtally.limits.queue import NoRoom, Rates, Reason, WorkQueue
+from radishtally.limits.queue import Rates, Reason, Rejection, WorkQueue
 from radishtally.outcome import Error, Ok
 from tests.limits.common import RATES, make_job, make_running
 
@@ -109,7 +109,7 @@
         queue.admit(make_job("a"), RATES, running, 0.0)
     flooding = queue.admit(make_job("a", priority=0), RATES, running, 0.0)
     other = queue.admit(make_job("b"), RATES, running, 0.0)
-    assert flooding == Error(NoRoom(Reason.TEAM_FULL, 5.0))
+    assert flooding == Error(Rejection(Reason.TEAM_FULL, 5.0))
     assert other.ok <= 0.2 + 2 * 0.5 + 0.001
     assert "b" in take_teams(queue, 2)
 
--- a/tests/limits/test_queue_properties.py
+++ b/tests/limits/test_queue_properties.py
@@ -47,7 +47,7 @@
         if result.is_error():
             assert result.error.retry_after > 0
             return
-        assert self.now + result.ok + RATES.decode(output) <= job.deadline
+        assert self.now + result.ok + RATES.decode_time(output) <= job.deadline
         self.inside[job.request, job.attempt] = job
 
     @precondition(lambda self: self.inside)
--- a/tests/limits/test_retries.py
+++ b/tests/limits/test_retries.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from radishtally.limits.retries import RESERVE_SECONDS, RetryBudget, backoff
+from radishtally.limits.retries import FLOOR_BURST_SECONDS, RetryBudget, backoff
 
 
 @given(
@@ -42,7 +42,7 @@
     budget = RetryBudget(0.1, 1.0)
     budget.spend(0.0)
     burst = sum(budget.spend(3_600.0) for _ in range(100))
-    assert burst == RESERVE_SECONDS
+    assert burst == FLOOR_BURST_SECONDS
 
 
 # An upstream's failing hosts get half as many requests again as come in, for seconds:
