--- a/tests/limits/common.py
+++ b/tests/limits/common.py
@@ -1,4 +1,4 @@
-"""Builders of queued and running work."""
+"""Builders of queued and running jobs."""
 
 from itertools import count
 from typing import Any, Final
@@ -10,7 +10,7 @@
 
 
 def make_job(team: str = "a", **more: Any) -> Job:
-    """Make a job of a second (half prefill) with a distant deadline."""
+    """Build a job of one second, half of it prefill, with a distant deadline."""
     defaults = {
         "request": f"r{next(NUMBERS)}",
         "attempt": 1,
@@ -25,5 +25,5 @@
 
 
 def make_running(tokens_left: int = 50, prefill_left: int = 0) -> Running:
-    """Make a running job."""
+    """Build a running job."""
     return Running(make_job(), 0.0, prefill_left, tokens_left)
--- a/tests/limits/test_breaker.py
+++ b/tests/limits/test_breaker.py
@@ -1,4 +1,4 @@
-"""Tests of the leaving out of peers that fail."""
+"""Tests of the circuit breaker."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,23 +6,23 @@
 from radishtally.limits.breaker import CircuitBreaker
 
 
-def test_a_failing_peer_is_probed_after_a_growing_while():
-    """A peer is down and each probe of it fails.
+def test_a_failing_peer_is_probed_at_growing_intervals():
+    """A peer is down and every probe fails.
 
-    Callers are sent elsewhere; the probes get rarer, so that a dead peer costs next to
-    nothing, and one success brings it back at once.
+    The probes become rarer, so that a dead peer costs almost nothing, and a single
+    success closes the breaker at once.
     """
     breaker = CircuitBreaker(first=1.0, longest=5.0)
     assert breaker.allows(0.0)
-    now, whiles = 0.0, []
+    now, intervals = 0.0, []
     for _ in range(5):
         breaker.record_failure(now)
         steps = [now + 0.5 * step for step in range(20)]
         allowed = next(step for step in steps if breaker.allows(step))
-        whiles.append(allowed - now)
+        intervals.append(allowed - now)
         now = allowed
         breaker.record_offer(now)
-    assert whiles == [1.0, 2.0, 4.0, 5.0, 5.0]
+    assert intervals == [1.0, 2.0, 4.0, 5.0, 5.0]
     breaker.record_success()
     assert breaker.allows(now)
 
@@ -35,8 +35,8 @@
     assert not breaker.allows(1.5)
 
 
-def test_a_lost_probe_does_not_lock_the_peer_out():
-    """The probe's request is cancelled by its caller and nobody tells the breaker."""
+def test_a_lost_probe_does_not_exclude_the_peer_for_good():
+    """The probe's caller cancels it, so the breaker gets no result."""
     breaker = CircuitBreaker(first=1.0)
     breaker.record_failure(0.0)
     breaker.record_offer(1.0)
--- a/tests/limits/test_pace.py
+++ b/tests/limits/test_pace.py
@@ -1,4 +1,4 @@
-"""Tests of admission by what the upstream's work takes at present."""
+"""Tests of admission by the observed decode speed and by overtaking work."""
 
 import pytest
 
@@ -16,11 +16,11 @@
         queue.record_tokens(seconds, 1, now)
 
 
-def test_admits_by_the_present_pace(queue):
-    """An engine that computes long prompts beside gives tokens four times slower.
+def test_admits_by_the_observed_speed(queue):
+    """An engine that also computes long prompts decodes four times slower.
 
-    By the engine's own figure the job ends in 1 s and is admitted; at the present
-    pace it takes 2.5 s. It would be cut at its deadline, and its slot's time be lost.
+    By the nominal rate the job takes 1 s; at the observed speed it takes 2.5 s. If it
+    were admitted, it would be cut off at its deadline and its slot time wasted.
     """
     job = make_job(deadline=2.0)
     slow_down(queue, now=0.0)
@@ -28,33 +28,33 @@
     assert queue.admit(make_job(deadline=2.6), RATES, [], 0.0).is_ok()
 
 
-def test_gives_back_what_the_present_pace_cannot_meet(queue):
-    """Queued work was admitted at the lone pace; the engine has slowed down since."""
+def test_expires_what_the_observed_speed_cannot_meet(queue):
+    """Jobs were admitted at the nominal speed; the engine has slowed down since."""
     job = make_job(deadline=2.0)
     assert queue.admit(job, RATES, [], 0.0).is_ok()
     slow_down(queue, now=0.0)
     assert queue.expire(RATES, [], 0.0) == [job]
 
 
-def test_a_pace_of_the_past_does_not_count(queue):
-    """The engine was slow and fell idle: no token tells that it is fast again."""
+def test_an_outdated_speed_does_not_count(queue):
+    """The engine was slow and then idle: no new token shows that it is fast again."""
     slow_down(queue, now=0.0)
     assert queue.admit(make_job(deadline=32.0), RATES, [], 30.0).is_ok()
     assert queue.admit(make_job(deadline=31.1), RATES, [], 30.0).is_ok()
 
 
-def test_a_pace_is_never_below_the_lone_one(queue):
-    """Tokens that come in one read show no time between them."""
+def test_the_estimate_is_never_faster_than_nominal(queue):
+    """Tokens that arrive in a single read have no measurable time between them."""
     slow_down(queue, now=0.0, seconds=0.0)
     assert queue.admit(make_job(deadline=0.9), RATES, [], 0.0).is_error()
 
 
 @pytest.mark.parametrize(("more", "admitted"), [(0.95, False), (1.05, True)])
 def test_leaves_a_margin_for_the_wait(queue, more, admitted):
-    """Under overload every queue is filled up to the deadlines of its work.
+    """Under overload the queue is filled up to the deadlines of its jobs.
 
-    Without a margin half of what is admitted last comes a little late, and all the
-    work on it is lost.
+    Without a margin half of the jobs admitted last would finish slightly late, and all
+    the work on them would be wasted.
     """
     running = [make_running(100), make_running(100)]
     wait, own = 2.0, 1.0
@@ -62,12 +62,12 @@
     assert queue.admit(job, RATES, running, 0.0).is_ok() is admitted
 
 
-def test_low_priority_is_admitted_by_what_the_higher_leaves(queue):
-    """Work of high priority keeps three fifths of the slots' time.
+def test_low_priority_is_admitted_by_the_remaining_slot_time(queue):
+    """High-priority work occupies three fifths of the slot time.
 
-    A job of low priority would start after 1 s by what is queued now, but is passed
-    all the while: it starts after 2.5 s. Admitted for a deadline before that, it would
-    be refused only when nothing else can be done for its caller.
+    By the present queue a low-priority job would start after 1 s, but it is overtaken
+    continuously and starts after 2.5 s. If it were admitted for an earlier deadline, it
+    would be rejected only when its caller can no longer try elsewhere.
     """
     for number in range(6):
         now = number / 1_000
@@ -81,11 +81,12 @@
     assert equal == pytest.approx(1.0, rel=0.01)
 
 
-def test_counts_the_urgent_work_of_its_own_team_to_come(queue):
-    """A team sends tags, which are urgent, and a question, which has more time.
+def test_counts_future_urgent_work_of_the_same_team(queue):
+    """A team sends urgent tags and a question with a later deadline.
 
-    The question waits for 2 s by what is queued now. All tags that come within its
-    spare time go before it: admitted without them, it was cut at its deadline.
+    By the present queue the question waits for 2 s, but all tags that arrive within its
+    slack are served before it. If they were not counted, the question would be cut off
+    at its deadline.
     """
     for number in range(10):
         now = number / 1_000
@@ -100,7 +101,7 @@
     assert other < wait + 1.0
 
 
-def test_what_has_passed_long_ago_does_not_count(queue):
+def test_old_admissions_do_not_count(queue):
     for _ in range(9):
         queue.admit(make_job("b", priority=-1), RATES, [], 0.0)
         queue.pop_next(0.0)
--- a/tests/limits/test_queue.py
+++ b/tests/limits/test_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the agent's queue."""
+"""Tests of the admission queue."""
 
 import pytest
 
@@ -12,7 +12,7 @@
     return WorkQueue(length=20, team_length=10)
 
 
-def take_teams(queue: WorkQueue, number: int) -> list[str]:
+def pop_teams(queue: WorkQueue, number: int) -> list[str]:
     return [queue.pop_next(0.0).team for _ in range(number)]
 
 
@@ -78,7 +78,7 @@
     assert queue.pop_next(0.0) is None
 
 
-def test_takes_by_priority_then_share_then_slack(queue):
+def test_serves_by_priority_then_share_then_slack(queue):
     jobs = [
         make_job("low", priority=1),
         make_job("a", deadline=90.0),
@@ -94,15 +94,15 @@
     for _ in range(9):
         queue.admit(make_job("a", share=2.0), RATES, [], 0.0)
         queue.admit(make_job("b", share=1.0), RATES, [], 0.0)
-    assert take_teams(queue, 9).count("a") == 6
+    assert pop_teams(queue, 9).count("a") == 6
 
 
 def test_a_flood_delays_the_other_team_by_its_share_only(queue):
     """Team a floods the queue; team b sends one job.
 
-    Team b's caller should wait for about one job of a, not for all ten: its start tag
-    is the present virtual time, while a's later jobs carry tags that grow with each.
-    In order of arrival b would see 5 s and more.
+    Team b should wait for about one job of a, not for all ten: its start tag is the
+    current virtual time, while the tags of a's jobs grow with each job. In order of
+    arrival b would wait for 5 s or more.
     """
     running = [make_running(10), make_running(10)]
     for _ in range(10):
@@ -111,14 +111,14 @@
     other = queue.admit(make_job("b"), RATES, running, 0.0)
     assert flooding == Error(Rejection(Reason.TEAM_FULL, 5.0))
     assert other.ok <= 0.2 + 2 * 0.5 + 0.001
-    assert "b" in take_teams(queue, 2)
+    assert "b" in pop_teams(queue, 2)
 
 
 def test_a_team_gains_nothing_by_emptying_its_queue(queue):
-    """Team a sends its next job only when the last one was taken; b queues all at once.
+    """Team a sends its next job after the last one started; b queues all at once.
 
-    Without the finish tag that a leaves behind, a would come back at the present
-    virtual time each time and go before b's second job, whatever it had already got.
+    Without a stored finish tag, a would return at the current virtual time each time
+    and be served before b's second job regardless of the service it already had.
     """
     for _ in range(8):
         queue.admit(make_job("b"), RATES, [], 0.0)
@@ -126,15 +126,15 @@
     for _ in range(6):
         if taken[-1:] != ["b"]:
             queue.admit(make_job("a", prompt_tokens=2_500), RATES, [], 0.0)
-        taken += take_teams(queue, 1)
+        taken += pop_teams(queue, 1)
     assert taken.count("a") <= 2
 
 
 def test_expires_what_can_no_longer_be_met(queue):
-    """The upstream stalls, and queued work outlives its deadline.
+    """The upstream stalls until queued jobs can no longer meet their deadline.
 
-    Its callers get "not run" at once and can be served elsewhere; what can still be met
-    stays, and the room of the expired counts for it.
+    Those are returned as not run, so that their callers can be served elsewhere. Jobs
+    that can still meet their deadline stay and benefit from the freed time.
     """
     short = make_job("a", deadline=2.0)
     long = make_job("a", deadline=60.0)
@@ -147,14 +147,14 @@
 
 
 def test_expiry_leaves_work_admitted_just_in_time(queue):
-    """The rates waver by some per cent between admission and the next look."""
+    """The rates fluctuate by a few per cent between admission and the next check."""
     job = make_job(deadline=1.0)
     assert queue.admit(job, RATES, [], 0.0).is_ok()
     slower = Rates(950.0, 0.021, 2)
     assert queue.expire(slower, [], 0.0) == []
 
 
-def test_drain_gives_back_all_in_order(queue):
+def test_drain_returns_all_jobs_in_order(queue):
     jobs = [make_job("a", deadline=90.0 - number) for number in range(3)]
     for job in jobs:
         queue.admit(job, RATES, [], 0.0)
@@ -164,7 +164,7 @@
     assert queue.prefill_backlog(RATES) == 0
 
 
-def test_wait_counts_work_of_middling_priority_and_above(queue):
+def test_predicted_wait_counts_work_of_normal_priority_and_above(queue):
     running = [make_running(50), make_running(50)]
     assert queue.predict_wait(RATES, [], 0.0) == 0
     assert queue.predict_wait(RATES, running, 0.0) == pytest.approx(1.0)
@@ -182,12 +182,13 @@
 
 @pytest.mark.parametrize("share", [0.0, 1.0])
 def test_work_without_cost_uses_up_its_turn(queue, share):
-    """A plain service's calls count no tokens; one team keeps sending them.
+    """Calls of a plain service count no tokens, and one team keeps sending them.
 
-    Uncharged, its start tag would stay the least for good and the other team starve.
+    If they cost nothing, that team's start tag would stay the lowest for ever and the
+    other team would starve.
     """
     rates = Rates(prefill_rate=0.0, decode_seconds=0.0, slots=1)
     for team in "aaabbb":
         job = make_job(team, share=share, prompt_tokens=0, output_tokens=0)
         queue.admit(job, rates, [], 0.0)
-    assert sorted(take_teams(queue, 4)) == ["a", "a", "b", "b"]
+    assert sorted(pop_teams(queue, 4)) == ["a", "a", "b", "b"]
--- a/tests/limits/test_queue_properties.py
+++ b/tests/limits/test_queue_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the agent's queue under any order of events."""
+"""Property tests of the admission queue under any order of events."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,13 +16,13 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Drive a queue and keep count of where each job went."""
+    """Drive a queue and track the jobs that it holds."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.queue = WorkQueue(length=12, team_length=6)
-        self.inside: dict[tuple[str, int], Job] = {}
+        self.queued: dict[tuple[str, int], Job] = {}
         self.running = [make_running(20)]
 
     @rule(
@@ -48,41 +48,41 @@
             assert result.error.retry_after > 0
             return
         assert self.now + result.ok + RATES.decode_time(output) <= job.deadline
-        self.inside[job.request, job.attempt] = job
+        self.queued[job.request, job.attempt] = job
 
-    @precondition(lambda self: self.inside)
+    @precondition(lambda self: self.queued)
     @rule()
     def take(self):
         job = self.queue.pop_next(self.now)
-        assert job.priority == min(item.priority for item in self.inside.values())
-        self.leave(job)
+        assert job.priority == min(item.priority for item in self.queued.values())
+        self.forget(job)
 
-    @precondition(lambda self: self.inside)
+    @precondition(lambda self: self.queued)
     @rule(data=st.data())
     def remove(self, data):
-        request, attempt = data.draw(st.sampled_from(sorted(self.inside)))
+        request, attempt = data.draw(st.sampled_from(sorted(self.queued)))
         assert self.queue.remove(request, attempt)
-        self.leave(self.inside[request, attempt])
+        self.forget(self.queued[request, attempt])
 
     @rule(seconds=st.floats(0.0, 5.0))
     def pass_time(self, seconds):
         self.now += seconds
         for job in self.queue.expire(RATES, self.running, self.now):
-            self.leave(job)
+            self.forget(job)
 
     @rule()
     def drain(self):
         for job in self.queue.drain():
-            self.leave(job)
-        assert not self.inside
+            self.forget(job)
+        assert not self.queued
 
-    def leave(self, job):
-        assert self.inside.pop((job.request, job.attempt)) == job
+    def forget(self, job):
+        assert self.queued.pop((job.request, job.attempt)) == job
 
     @invariant()
-    def holds_what_went_in(self):
-        assert len(self.queue) == len(self.inside) <= 12
-        tokens = sum(job.prompt_tokens for job in self.inside.values())
+    def queue_matches_the_model(self):
+        assert len(self.queue) == len(self.queued) <= 12
+        tokens = sum(job.prompt_tokens for job in self.queued.values())
         assert abs(self.queue.prefill_backlog(RATES) - tokens / 1_000) < 1e-6
 
 
@@ -90,11 +90,11 @@
 
 
 @given(st.lists(st.tuples(TEAMS, st.integers(1, 3_000)), min_size=1, max_size=60))
-def test_nobody_starves_within_a_priority(arrivals):
-    """A first job waits while others keep coming, one for each that is taken.
+def test_no_team_starves_within_a_priority(arrivals):
+    """A first job waits while others keep arriving, one for each that starts.
 
     Later jobs of its team start after it unless they are more urgent, and other teams
-    go ahead by their share only, so it must start before its deadline's latest start.
+    overtake it by their share only, so it must start before its latest start time.
     """
     queue = WorkQueue()
     first = make_job("victim", deadline=1_000.0)
@@ -115,10 +115,10 @@
     flood=st.integers(0, 60),
     sizes=st.lists(st.integers(1, 2_000), min_size=1, max_size=5),
 )
-def test_a_flood_moves_another_wait_by_its_share_at_most(flood, sizes):
-    """Team b's predicted wait with a flood of a, beside that without it.
+def test_a_flood_extends_another_wait_by_its_share_at_most(flood, sizes):
+    """Compare team b's predicted wait with and without a flood from team a.
 
-    At equal shares a gets as much service as b does, and one job more that had begun.
+    At equal shares a gets as much service as b, plus one job that had already started.
     """
     waits = []
     for number in (0, flood):
@@ -142,5 +142,5 @@
         for team, share in zip("ab", shares, strict=True):
             queue.admit(make_job(team, share=share), RATES, [], 0.0)
     taken = [queue.pop_next(0.0).team for _ in range(turns)]
-    normal = [taken.count(t) / s for t, s in zip("ab", shares, strict=True)]
-    assert abs(normal[0] - normal[1]) <= 1 / shares[0] + 1 / shares[1]
+    per_share = [taken.count(t) / s for t, s in zip("ab", shares, strict=True)]
+    assert abs(per_share[0] - per_share[1]) <= 1 / shares[0] + 1 / shares[1]
--- a/tests/limits/test_retries.py
+++ b/tests/limits/test_retries.py
@@ -16,10 +16,10 @@
     seconds=st.integers(1, 30),
 )
 def test_retries_stay_bounded_under_total_failure(ratio, floor, rate, seconds):
-    """Every request fails and is retried for as long as the budget gives.
+    """Every request fails and is retried for as long as the budget allows.
 
-    The caller sees a refusal; the hosts see (1 + ratio) times the requests at most, and
-    the floor, instead of many times the load while they are down.
+    The hosts see at most (1 + ratio) times the requests plus the floor, instead of a
+    multiple of the load while they are down.
     """
     budget = RetryBudget(ratio, floor)
     retries = 0
@@ -31,24 +31,24 @@
     assert retries <= ratio * rate * seconds + floor * (seconds + 1) + 1
 
 
-def test_a_quiet_entry_may_retry():
+def test_retries_are_allowed_without_requests():
     budget = RetryBudget(0.1, 1.0)
     assert budget.spend(0.0)
     assert not budget.spend(0.0)
     assert budget.spend(1.0)
 
 
-def test_a_pause_gathers_no_burst():
+def test_idle_time_accumulates_a_bounded_burst():
     budget = RetryBudget(0.1, 1.0)
     budget.spend(0.0)
     burst = sum(budget.spend(3_600.0) for _ in range(100))
     assert burst == FLOOR_BURST_SECONDS
 
 
-# An upstream's failing hosts get half as many requests again as come in, for seconds:
-# while all went well the entry had put by its share of every request since its start,
-# and thirty entries spent it within the same seconds.
-def test_requests_of_long_ago_pay_for_no_retry():
+# Without decay an entry accumulates the budget of all requests since its start. When an
+# upstream fails, thirty entries spend it within the same seconds, and the failing hosts
+# get half as many retries as requests.
+def test_old_requests_earn_no_retries():
     ratio, rate, window = 0.1, 10, 10.0
     budget = RetryBudget(ratio, 0.0)
     for number in range(1_000):
@@ -59,7 +59,7 @@
     assert not budget.spend(1_000 / rate + 5 * window)
 
 
-def test_time_that_steps_back_gathers_nothing():
+def test_backward_time_earns_no_retries():
     budget = RetryBudget(0.0, 1.0)
     assert budget.spend(10.0)
     assert not budget.spend(5.0)
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("attempt", [0, 1, 2, 5, 1_000_000])
 def test_backoff_grows_with_jitter_to_a_bound(attempt):
     random = Random(1)
-    drawn = [backoff(attempt, random) for _ in range(50)]
-    assert len(set(drawn)) > 40
-    assert 0 < max(drawn) <= 2.0
-    assert min(drawn) >= max(drawn) / 2.1
+    delays = [backoff(attempt, random) for _ in range(50)]
+    assert len(set(delays)) > 40
+    assert 0 < max(delays) <= 2.0
+    assert min(delays) >= max(delays) / 2.1
