--- a/radishtally/claims/__init__.py
+++ b/radishtally/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Run calls that are not idempotent at most once."""
+"""At-most-once execution of calls that are not idempotent."""
--- a/radishtally/claims/core.py
+++ b/radishtally/claims/core.py
@@ -1,8 +1,8 @@
 """Decide which calls that are not idempotent may run.
 
-A call runs only after its claim clearly stands in the table. Claims and their outcomes
-share transactions; each row is written under conditions, so that a write whose reply
-was lost is found again by its write id and never done twice.
+A call runs only once its claim is confirmed to be in the table. Claims and outcomes
+share transactions. Every row is written conditionally, so that a write whose reply was
+lost is recognised by its write id and never applied twice.
 """
 
 import heapq
@@ -11,11 +11,10 @@
 from typing import Final, NamedTuple
 
 from radishtally.claims.events import (
-    Answer,
     CallFinished,
     CallReleased,
-    ClaimAsked,
     ClaimOutcome,
+    ClaimRequested,
     Command,
     Event,
     Granted,
@@ -24,8 +23,9 @@
     OutcomeLost,
     ReadRow,
     Repeated,
+    ReplyToCaller,
     RowRead,
-    RowUnread,
+    RowReadFailed,
     SendGroup,
     StoreAway,
     Tick,
@@ -33,18 +33,18 @@
     WakeAt,
 )
 from radishtally.claims.record import (
-    BODY_BYTES,
     CLAIMED,
     DONE,
+    MAX_BODY_BYTES,
     NOT_RUN,
     Claim,
     ClaimValue,
     StoredAnswer,
-    bound_answer,
-    estimate_bytes,
+    estimate_row_bytes,
+    limit_body,
+    make_claim_key,
+    make_claim_value,
     make_done_value,
-    make_value,
-    name_claim,
     read_answer,
 )
 from radishtally.store.core import (
@@ -61,55 +61,56 @@
 from radishtally.store.ids import WriteIds
 
 GROUP_BYTES: Final = 2 * 1024 * 1024
-"""Half of what DynamoDB takes in one transaction."""
-OUTCOME_PART: Final = 4
-"""One in so many places of a group is kept for outcomes while any wait."""
-AWAY_FAILURES: Final = 4
-"""Failures in a row, over about a second, after which the store is taken for away."""
+"""Half of the transaction size limit of DynamoDB."""
+OUTCOME_SLOT_INTERVAL: Final = 4
+"""One in this many slots of a group is reserved for outcomes while any are queued."""
+FAILURES_TO_SUSPEND: Final = 4
+"""Consecutive failures, over about a second, after which new claims are refused while
+the backoff lasts."""
 
 
 class ClaimLimits(NamedTuple):
-    """Set the limits of the claims."""
+    """Limits of batching, retries and memory."""
 
     group_size: int = MAX_WRITES
     group_seconds: float = 0.004
-    groups: int = 4
-    """Transactions under way at once."""
-    retry_seconds: float = 0.1
-    """Pause after the store failed; doubles up to the longest."""
-    longest_retry_seconds: float = 2.0
-    waiting: int = 2000
-    """Most claims, and most outcomes, that wait for the store."""
-    waiting_bytes: int = 4 * 1024 * 1024
-    """Above this, outcomes are kept without their bodies."""
-    remembered_bytes: int = 2 * 1024 * 1024
-    """Answers kept in memory for repeats at this entry."""
-
-
-class _Job:
-    """Follow one row that is to be written."""
+    max_groups: int = 4
+    """Concurrent transactions."""
+    first_retry_seconds: float = 0.1
+    """Backoff after a failure of the store; doubles up to the maximum."""
+    max_retry_seconds: float = 2.0
+    max_waiting: int = 2000
+    """Maximum number of queued claims, and of queued outcomes."""
+    max_waiting_bytes: int = 4 * 1024 * 1024
+    """Queue size above which outcomes are stored without their bodies."""
+    max_remembered_bytes: int = 2 * 1024 * 1024
+    """Size of the answers kept in memory for repeats at this entry."""
+
+
+class _PendingWrite:
+    """Track one row that is to be written."""
 
     def __init__(self, claim: Claim, value: ClaimValue, expect: int) -> None:
         self.claim = claim
-        self.key = name_claim(claim)
+        self.key = make_claim_key(claim)
         self.value = value
         self.expect = expect
         self.caller: int | None = None
-        self.claim_ids: frozenset[str] = frozenset()
-        """Write ids under which the claim itself may stand."""
-        self.ids: set[str] = set()
-        """Write ids under which this value may stand, or may still come to stand."""
-        self.sent = False
-        self.alone = False
-        self.size = estimate_bytes(value)
+        self.claim_write_ids: frozenset[str] = frozenset()
+        """Write ids under which the claim itself may have been written."""
+        self.write_ids: set[str] = set()
+        """Write ids under which this value may have been written or may still arrive."""
+        self.in_flight = False
+        self.send_alone = False
+        self.size = estimate_row_bytes(value)
 
     @property
     def is_claim(self) -> bool:
         return self.value["state"] == CLAIMED
 
 
-class _Known(NamedTuple):
-    """Remember a call that was granted here."""
+class _GrantedCall(NamedTuple):
+    """Describe a call that this process was granted."""
 
     claim: Claim
     write_id: str
@@ -119,20 +120,20 @@
 
 
 class ClaimCore:
-    """Claim keys and keep outcomes for one process."""
+    """Claim keys and store outcomes for one process."""
 
-    def __init__(self, holder: str, ids: WriteIds, limits: ClaimLimits) -> None:
+    def __init__(self, holder: str, write_ids: WriteIds, limits: ClaimLimits) -> None:
         self._holder = holder
-        self._ids = ids
+        self._ids = write_ids
         self._limits = limits
-        self._jobs: dict[Key, _Job] = {}
-        self._deadlines: list[tuple[float, int, _Job]] = []
-        self._claims: deque[_Job] = deque()
-        self._outcomes: deque[_Job] = deque()
-        self._groups: dict[str, list[_Job]] = {}
+        self._jobs: dict[Key, _PendingWrite] = {}
+        self._deadlines: list[tuple[float, int, _PendingWrite]] = []
+        self._claims: deque[_PendingWrite] = deque()
+        self._outcomes: deque[_PendingWrite] = deque()
+        self._groups: dict[str, list[_PendingWrite]] = {}
         self._unread: deque[Key] = deque()
-        self._granted: dict[Key, _Known] = {}
-        self._finished: OrderedDict[Key, _Known] = OrderedDict()
+        self._granted: dict[Key, _GrantedCall] = {}
+        self._finished: OrderedDict[Key, _GrantedCall] = OrderedDict()
         self._finished_bytes = 0
         self._waiting_bytes = 0
         self._size = limits.group_size
@@ -142,104 +143,106 @@
 
     @property
     def waiting(self) -> int:
-        """Count the rows that are not settled yet."""
+        """Number of rows whose write is not settled yet."""
         return len(self._jobs)
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event and give the commands that follow."""
-        commands = self._take(event, now)
-        commands += self._answer_late(now)
+        """Handle one event and return the resulting commands."""
+        commands = self._handle_event(event, now)
+        commands += self._expire_claims(now)
         commands += self._retry_reads(now)
         commands += self._send(now)
-        return commands + self._wake()
+        return commands + self._schedule_wake()
 
     @singledispatchmethod
-    def _take(self, event: Event, now: float) -> list[Command]:
+    def _handle_event(self, event: Event, now: float) -> list[Command]:
         raise TypeError(f"unknown event {event!r}")
 
-    @_take.register
+    @_handle_event.register
     def _(self, event: Tick, now: float) -> list[Command]:
         return []
 
-    @_take.register
-    def _(self, event: ClaimAsked, now: float) -> list[Command]:
-        outcome = self._recall(event.claim)
-        full = len(self._claims) >= self._limits.waiting
-        if outcome is None and (full or self._is_away(now)):
+    @_handle_event.register
+    def _(self, event: ClaimRequested, now: float) -> list[Command]:
+        outcome = self._find_known_outcome(event.claim)
+        is_full = len(self._claims) >= self._limits.max_waiting
+        if outcome is None and (is_full or self._is_suspended(now)):
             outcome = StoreAway()
         if outcome is not None:
-            return [Answer(event.caller, outcome)]
-        value = make_value(event.claim, CLAIMED, event.expires)
-        job = _Job(event.claim, value, ABSENT)
+            return [ReplyToCaller(event.caller, outcome)]
+        value = make_claim_value(event.claim, CLAIMED, event.expires)
+        job = _PendingWrite(event.claim, value, ABSENT)
         job.caller = event.caller
         heapq.heappush(self._deadlines, (event.deadline, event.caller, job))
         self._add(job, now)
         return []
 
-    @_take.register
+    @_handle_event.register
     def _(self, event: CallFinished, now: float) -> list[Command]:
-        known = self._take_granted(event.claim)
+        known = self._pop_granted(event.claim)
         if known is None:
             return [OutcomeLost(event.claim.request, "not granted here")]
-        roomy = self._waiting_bytes < self._limits.waiting_bytes
-        answer = bound_answer(event.answer, BODY_BYTES if roomy else 0)
+        has_room = self._waiting_bytes < self._limits.max_waiting_bytes
+        answer = limit_body(event.answer, MAX_BODY_BYTES if has_room else 0)
         self._remember(known._replace(answer=answer))
         value = make_done_value(known.claim, answer, known.expires)
         return self._add_outcome(known, value, now)
 
-    @_take.register
+    @_handle_event.register
     def _(self, event: CallReleased, now: float) -> list[Command]:
-        known = self._take_granted(event.claim)
+        known = self._pop_granted(event.claim)
         if known is None:
             return []
-        value = make_value(known.claim, NOT_RUN, known.expires)
+        value = make_claim_value(known.claim, NOT_RUN, known.expires)
         return self._add_outcome(known, value, now)
 
-    @_take.register
+    @_handle_event.register
     def _(self, event: GroupSettled, now: float) -> list[Command]:
         jobs = self._groups.pop(event.write_id)
         for job in jobs:
-            job.sent = False
+            job.in_flight = False
         if event.outcome.is_ok():
-            self._recover()
-            return [c for job in jobs for c in self._stand(job, event.write_id, now)]
-        return self._sort_out(jobs, event.write_id, event.outcome.error, now)
+            self._record_success()
+            return [
+                c for job in jobs for c in self._confirm_write(job, event.write_id, now)
+            ]
+        return self._handle_failure(jobs, event.write_id, event.outcome.error, now)
 
-    @_take.register
+    @_handle_event.register
     def _(self, event: RowRead, now: float) -> list[Command]:
         job = self._jobs[event.key]
-        job.sent = False
+        job.in_flight = False
         row = event.row
-        if row is not None and row.write_id in job.ids:
+        if row is not None and row.write_id in job.write_ids:
             job.expect = row.rev - 1
-            return self._stand(job, row.write_id, now)
+            return self._confirm_write(job, row.write_id, now)
         if row is None:
             job.expect = ABSENT
             return self._requeue(job, now)
         if job.is_claim:
-            return self._judge(job, row, now)
-        if row.write_id not in job.claim_ids:
-            return self._drop(job, "the row is not this claim's")
+            return self._resolve_conflict(job, row, now)
+        if row.write_id not in job.claim_write_ids:
+            return self._drop_outcome(job, "the row belongs to another claim")
         job.expect = row.rev
         return self._requeue(job, now)
 
-    @_take.register
-    def _(self, event: RowUnread, now: float) -> list[Command]:
-        self._jobs[event.key].sent = False
-        self._pause(now)
+    @_handle_event.register
+    def _(self, event: RowReadFailed, now: float) -> list[Command]:
+        self._jobs[event.key].in_flight = False
+        self._back_off(now)
         self._unread.append(event.key)
         return []
 
-    def _take_granted(self, claim: Claim) -> _Known | None:
-        key = name_claim(claim)
+    def _pop_granted(self, claim: Claim) -> _GrantedCall | None:
+        key = make_claim_key(claim)
         known = self._granted.get(key)
         if known is None or known.claim.request != claim.request:
             return None
         return self._granted.pop(key)
 
-    def _recall(self, claim: Claim) -> ClaimOutcome | None:
-        """Answer from memory what this process knows of the key."""
-        key = name_claim(claim)
+    def _find_known_outcome(self, claim: Claim) -> ClaimOutcome | None:
+        """Return the key's outcome if this process knows it from memory."""
+        key = make_claim_key(claim)
         known = self._finished.get(key) or self._granted.get(key)
         job = self._jobs.get(key)
         if known is None and job is None:
@@ -250,149 +253,155 @@
         if known is not None and known.answer is not None:
             return Repeated(known.answer)
         if job is not None and not job.is_claim:
-            # An earlier claim is being taken back; until that stands in the table
-            # the key can't be claimed anew.
+            # An earlier claim is being revoked; the key can't be claimed again until
+            # that is in the table.
             return StoreAway()
         return UnknownOutcome()
 
-    def _add(self, job: _Job, now: float) -> None:
+    def _add(self, job: _PendingWrite, now: float) -> None:
         self._jobs[job.key] = job
         self._waiting_bytes += job.size
         self._requeue(job, now)
 
     def _add_outcome(
-        self, known: _Known, value: ClaimValue, now: float
+        self, known: _GrantedCall, value: ClaimValue, now: float
     ) -> list[Command]:
-        if len(self._outcomes) >= self._limits.waiting:
-            return [OutcomeLost(known.claim.request, "too many wait for the store")]
-        job = _Job(known.claim, value, known.rev)
-        job.claim_ids = frozenset({known.write_id})
+        if len(self._outcomes) >= self._limits.max_waiting:
+            return [
+                OutcomeLost(known.claim.request, "too many writes wait for the store")
+            ]
+        job = _PendingWrite(known.claim, value, known.rev)
+        job.claim_write_ids = frozenset({known.write_id})
         self._add(job, now)
         return []
 
-    def _requeue(self, job: _Job, now: float) -> list[Command]:
+    def _requeue(self, job: _PendingWrite, now: float) -> list[Command]:
         if job.is_claim and job.caller is None:
-            return self._withdraw(job, now)
+            return self._revoke(job, now)
         queue = self._claims if job.is_claim else self._outcomes
         queue.append(job)
         self._flush_at = min(self._flush_at, now + self._limits.group_seconds)
         return []
 
-    def _remove(self, job: _Job) -> None:
+    def _remove(self, job: _PendingWrite) -> None:
         del self._jobs[job.key]
         self._waiting_bytes -= job.size
 
-    def _drop(self, job: _Job, cause: str) -> list[Command]:
+    def _drop_outcome(self, job: _PendingWrite, cause: str) -> list[Command]:
         self._remove(job)
         return [OutcomeLost(job.claim.request, cause)]
 
-    def _finish_claim(self, job: _Job, outcome: ClaimOutcome) -> list[Command]:
+    def _finish_claim(self, job: _PendingWrite, outcome: ClaimOutcome) -> list[Command]:
         self._remove(job)
-        return [] if job.caller is None else [Answer(job.caller, outcome)]
+        return [] if job.caller is None else [ReplyToCaller(job.caller, outcome)]
 
-    def _stand(self, job: _Job, write_id: str, now: float) -> list[Command]:
-        """Take note that the job's value clearly stands under a write id."""
+    def _confirm_write(
+        self, job: _PendingWrite, write_id: str, now: float
+    ) -> list[Command]:
+        """Handle the confirmation that the job's value is stored under a write id."""
         if not job.is_claim:
             self._remove(job)
             return []
         if job.caller is None:
-            job.ids = {write_id}
+            job.write_ids = {write_id}
             job.expect += 1
-            return self._withdraw(job, now)
+            return self._revoke(job, now)
         expires = job.value["expires"]
-        known = _Known(job.claim, write_id, job.expect + 1, expires)
+        known = _GrantedCall(job.claim, write_id, job.expect + 1, expires)
         self._granted[job.key] = known
         return self._finish_claim(job, Granted())
 
-    def _judge(self, job: _Job, row: Row, now: float) -> list[Command]:
-        """Answer a claim whose key another request has claimed."""
+    def _resolve_conflict(
+        self, job: _PendingWrite, row: Row, now: float
+    ) -> list[Command]:
+        """Resolve a claim whose key has a row of another request."""
         if row.value["body_hash"] != job.value["body_hash"]:
             return self._finish_claim(job, KeyReused())
         if row.value["state"] == DONE:
             return self._finish_claim(job, Repeated(read_answer(row)))
         if row.value["state"] == CLAIMED:
             return self._finish_claim(job, UnknownOutcome())
-        job.ids.clear()
+        job.write_ids.clear()
         job.expect = row.rev
         return self._requeue(job, now)
 
-    def _answer_late(self, now: float) -> list[Command]:
-        """Answer claims whose deadline has passed: they are not run here."""
+    def _expire_claims(self, now: float) -> list[Command]:
+        """Refuse claims whose deadline has passed; their calls do not run."""
         commands: list[Command] = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, _, job = heapq.heappop(self._deadlines)
             if job.caller is not None and self._jobs.get(job.key) is job:
-                commands += self._give_up(job, now)
+                commands += self._expire_claim(job, now)
         return commands
 
-    def _give_up(self, job: _Job, now: float) -> list[Command]:
-        answer = Answer(job.caller, StoreAway())
+    def _expire_claim(self, job: _PendingWrite, now: float) -> list[Command]:
+        answer = ReplyToCaller(job.caller, StoreAway())
         job.caller = None
-        if job.sent:
+        if job.in_flight:
             return [answer]
         if job in self._claims:
             self._claims.remove(job)
         if job.key in self._unread:
             self._unread.remove(job.key)
-        return [answer, *self._withdraw(job, now)]
+        return [answer, *self._revoke(job, now)]
 
-    def _withdraw(self, job: _Job, now: float) -> list[Command]:
-        """Take back a claim that may stand although its caller was told "not run".
+    def _revoke(self, job: _PendingWrite, now: float) -> list[Command]:
+        """Revoke a claim that may be stored although its caller was told "not run".
 
-        The write whose reply was lost may stand, or may even arrive later. The caller
-        was rightly told that nothing ran, but its repeat would find the key claimed
-        and be told "unknown" for ever. So "not run" is written over our own claim, or
-        where there is none yet, in its place, so that the late write fails its
-        condition. Until then a repeat is refused as "not run" here and as "unknown"
-        elsewhere; after it, the repeat may claim the key.
+        The write whose reply was lost may have been applied or may still arrive. Nothing
+        ran, as the caller was told, but its repeat would find the key claimed and get
+        "unknown" for ever. Therefore "not run" is written over our own claim, or in its
+        place if it is not there yet, so that the late write fails its condition. Until
+        that write is confirmed, a repeat is refused as "not run" here and as "unknown"
+        at other entries; afterwards it may claim the key.
         """
-        if not job.ids:
+        if not job.write_ids:
             self._remove(job)
             return []
-        job.claim_ids = frozenset(job.ids)
-        job.ids = set()
-        job.value = make_value(job.claim, NOT_RUN, job.value["expires"])
+        job.claim_write_ids = frozenset(job.write_ids)
+        job.write_ids = set()
+        job.value = make_claim_value(job.claim, NOT_RUN, job.value["expires"])
         return self._requeue(job, now)
 
-    def _sort_out(
-        self, jobs: list[_Job], write_id: str, error: TableError, now: float
+    def _handle_failure(
+        self, jobs: list[_PendingWrite], write_id: str, error: TableError, now: float
     ) -> list[Command]:
-        """Find out what became of the jobs of a transaction that did not succeed."""
+        """Handle a transaction that failed or whose outcome is unclear."""
         if isinstance(error, Unclear):
-            self._pause(now)
+            self._back_off(now)
             return [self._read(job) for job in jobs]
         for job in jobs:
-            job.ids.discard(write_id)
+            job.write_ids.discard(write_id)
         if isinstance(error, Unavailable):
-            self._pause(now)
+            self._back_off(now)
             self._size = max(1, len(jobs) // 2)
             return self._requeue_all(jobs, now)
         if isinstance(error, Conflict):
-            self._recover()
+            self._record_success()
             failed = {jobs[index].key for index in error.indexes}
             rest = [job for job in jobs if job.key not in failed]
             reads = [self._read(job) for job in jobs if job.key in failed]
             return [*reads, *self._requeue_all(rest, now)]
         return self._isolate(jobs, now)
 
-    def _requeue_all(self, jobs: list[_Job], now: float) -> list[Command]:
+    def _requeue_all(self, jobs: list[_PendingWrite], now: float) -> list[Command]:
         for job in jobs:
             self._requeue(job, now)
         return []
 
-    def _isolate(self, jobs: list[_Job], now: float) -> list[Command]:
-        """Send each row of a malformed transaction alone to find the faulty one."""
+    def _isolate(self, jobs: list[_PendingWrite], now: float) -> list[Command]:
+        """Send each row of an invalid transaction alone to find the faulty one."""
         if len(jobs) > 1:
             for job in jobs:
-                job.alone = True
+                job.send_alone = True
             return self._requeue_all(jobs, now)
         [job] = jobs
         if job.is_claim:
             return self._finish_claim(job, StoreAway())
-        return self._drop(job, "refused by the store")
+        return self._drop_outcome(job, "refused by the store")
 
-    def _read(self, job: _Job) -> ReadRow:
-        job.sent = True
+    def _read(self, job: _PendingWrite) -> ReadRow:
+        job.in_flight = True
         return ReadRow(job.key)
 
     def _retry_reads(self, now: float) -> list[Command]:
@@ -403,7 +412,7 @@
         return [self._read(self._jobs[key]) for key in keys]
 
     def _send(self, now: float) -> list[Command]:
-        """Send what waits, in as few transactions as may be."""
+        """Send the queued writes in as few transactions as possible."""
         if now < self._flush_at or now < self._pause_until:
             return []
         commands: list[Command] = []
@@ -414,7 +423,7 @@
         return commands
 
     def _may_send(self) -> bool:
-        if len(self._groups) >= self._limits.groups:
+        if len(self._groups) >= self._limits.max_groups:
             return False
         return bool(self._claims or self._outcomes)
 
@@ -422,49 +431,50 @@
         write_id = self._ids.make()
         jobs = self._pick_jobs()
         for job in jobs:
-            job.sent = True
-            job.ids.add(write_id)
+            job.in_flight = True
+            job.write_ids.add(write_id)
         self._groups[write_id] = jobs
         puts = [Put(job.key, dict(job.value), job.expect) for job in jobs]
         return SendGroup(write_id, puts)
 
-    def _pick_jobs(self) -> list[_Job]:
-        """Take claims first, since callers wait for them, but let outcomes through."""
-        kept = min(len(self._outcomes), self._size // OUTCOME_PART)
-        jobs: list[_Job] = []
-        _move(self._claims, jobs, self._size - kept)
-        _move(self._outcomes, jobs, self._size)
-        _move(self._claims, jobs, self._size)
+    def _pick_jobs(self) -> list[_PendingWrite]:
+        """Pick claims first, since callers wait for them, but reserve outcome slots."""
+        kept = min(len(self._outcomes), self._size // OUTCOME_SLOT_INTERVAL)
+        jobs: list[_PendingWrite] = []
+        _fill_group(self._claims, jobs, self._size - kept)
+        _fill_group(self._outcomes, jobs, self._size)
+        _fill_group(self._claims, jobs, self._size)
         return jobs
 
-    def _is_away(self, now: float) -> bool:
-        """Tell whether the store has failed so often that nobody should wait for it.
+    def _is_suspended(self, now: float) -> bool:
+        """Return whether claims are refused at once because the store keeps failing.
 
-        In a long outage each caller would wait out its claim's whole time only to be
-        refused, and its repeat again. During a pause after some failures in a row it
-        is told at once; the first claim after the pause finds out how the store is.
+        In a long outage every caller, and each of its repeats, would wait for the whole
+        claim timeout only to be refused. After several consecutive failures it is
+        refused immediately while the backoff lasts; the first claim after the backoff
+        probes the store.
         """
-        return self._failures >= AWAY_FAILURES and now < self._pause_until
+        return self._failures >= FAILURES_TO_SUSPEND and now < self._pause_until
 
-    def _pause(self, now: float) -> None:
-        seconds = self._limits.retry_seconds * 2 ** min(self._failures, 10)
-        seconds = min(seconds, self._limits.longest_retry_seconds)
+    def _back_off(self, now: float) -> None:
+        seconds = self._limits.first_retry_seconds * 2 ** min(self._failures, 10)
+        seconds = min(seconds, self._limits.max_retry_seconds)
         self._pause_until = max(self._pause_until, now + seconds)
         self._failures += 1
 
-    def _recover(self) -> None:
+    def _record_success(self) -> None:
         self._failures = 0
         self._size = min(self._limits.group_size, self._size * 2)
 
-    def _remember(self, known: _Known) -> None:
-        key = name_claim(known.claim)
+    def _remember(self, known: _GrantedCall) -> None:
+        key = make_claim_key(known.claim)
         self._finished[key] = known
-        self._finished_bytes += _count_bytes(known)
-        while self._finished_bytes > self._limits.remembered_bytes:
+        self._finished_bytes += _estimate_bytes(known)
+        while self._finished_bytes > self._limits.max_remembered_bytes:
             _, oldest = self._finished.popitem(last=False)
-            self._finished_bytes -= _count_bytes(oldest)
+            self._finished_bytes -= _estimate_bytes(oldest)
 
-    def _wake(self) -> list[Command]:
+    def _schedule_wake(self) -> list[Command]:
         times = [deadline for deadline, _, _ in self._deadlines[:1]]
         if self._may_send():
             times.append(max(self._flush_at, self._pause_until))
@@ -473,16 +483,18 @@
         return [WakeAt(min(times))] if times else []
 
 
-def _move(source: deque[_Job], target: list[_Job], size: int) -> None:
-    """Move jobs until the target has the size or the bytes of a full group."""
+def _fill_group(
+    source: deque[_PendingWrite], target: list[_PendingWrite], size: int
+) -> None:
+    """Move jobs until the target reaches the group's size or byte limit."""
     room = GROUP_BYTES - sum(job.size for job in target)
     while source and len(target) < size:
         job = source[0]
-        if target and (job.alone or target[0].alone or job.size > room):
+        if target and (job.send_alone or target[0].send_alone or job.size > room):
             return
         target.append(source.popleft())
         room -= job.size
 
 
-def _count_bytes(known: _Known) -> int:
-    return estimate_bytes(make_done_value(known.claim, known.answer, known.expires))
+def _estimate_bytes(known: _GrantedCall) -> int:
+    return estimate_row_bytes(make_done_value(known.claim, known.answer, known.expires))
--- a/radishtally/claims/events.py
+++ b/radishtally/claims/events.py
@@ -1,4 +1,4 @@
-"""Events that the claims' core takes, commands that it gives, outcomes of claims."""
+"""Events that the claim core handles, its commands, and the outcomes of claims."""
 
 from typing import NamedTuple
 
@@ -18,122 +18,128 @@
 
 
 class _Outcome(msgspec.Struct, frozen=True):
-    """Tell outcomes apart by type when they are compared.
+    """Base of outcomes, which compare equal only if their types are the same.
 
-    Empty named tuples are all equal, so a comparison with Granted() would hold for a
-    refusal and let a call run that was not claimed.
+    Empty named tuples are all equal, so a comparison with Granted() would also be true
+    for a refusal and let an unclaimed call run.
     """
 
 
 class Granted(_Outcome, frozen=True):
-    """Say that the call may run, once, by who asked."""
+    """Outcome: the requester may run the call, once."""
 
 
 class Repeated(_Outcome, frozen=True):
-    """Say that the call ran before, with this answer."""
+    """Outcome: the call already ran, with this answer."""
 
     answer: StoredAnswer
 
 
 class UnknownOutcome(_Outcome, frozen=True):
-    """Say that the call was claimed before and its outcome is not known."""
+    """Outcome: the call was claimed before and its result is unknown."""
 
 
 class KeyReused(_Outcome, frozen=True):
-    """Say that the key belongs to a call with another body."""
+    """Outcome: the key belongs to a call with a different body."""
 
 
 class StoreAway(_Outcome, frozen=True):
-    """Say that the claim could not be made and the call did not run."""
+    """Outcome: the call could not be claimed and did not run."""
 
 
 ClaimOutcome = Granted | Repeated | UnknownOutcome | KeyReused | StoreAway
 
 
-class ClaimAsked(NamedTuple):
-    """Ask to run a call."""
+class ClaimRequested(NamedTuple):
+    """Event: a caller requests permission to run a call."""
 
     caller: int
-    """Number by which the answer is matched."""
+    """Number that matches the reply to this request."""
     claim: Claim
     deadline: float
     expires: int
-    """Seconds since 1970 after which the platform may remove the row."""
+    """Unix time in seconds after which the platform may remove the row."""
 
 
 class CallFinished(NamedTuple):
-    """Give the answer of a call that was granted."""
+    """Event: a granted call has its answer."""
 
     claim: Claim
     answer: StoredAnswer
 
 
 class CallReleased(NamedTuple):
-    """Say that a call that was granted surely did not run and won't."""
+    """Event: a granted call certainly did not run and never will."""
 
     claim: Claim
 
 
 class GroupSettled(NamedTuple):
-    """Give the outcome of a transaction."""
+    """Event: a transaction has finished."""
 
     write_id: str
     outcome: Result[None, TableError]
 
 
 class RowRead(NamedTuple):
-    """Give a row as it stands."""
+    """Event: a row was read."""
 
     key: Key
     row: Row | None
 
 
-class RowUnread(NamedTuple):
-    """Say that a row could not be read."""
+class RowReadFailed(NamedTuple):
+    """Event: a row could not be read."""
 
     key: Key
 
 
 class Tick(NamedTuple):
-    """Let time pass."""
+    """Event: time has passed."""
 
 
 Event = (
-    ClaimAsked | CallFinished | CallReleased | GroupSettled | RowRead | RowUnread | Tick
+    ClaimRequested
+    | CallFinished
+    | CallReleased
+    | GroupSettled
+    | RowRead
+    | RowReadFailed
+    | Tick
 )
 
 
 class SendGroup(NamedTuple):
-    """Carry out one transaction."""
+    """Command: execute one transaction."""
 
     write_id: str
     puts: list[Put]
 
 
 class ReadRow(NamedTuple):
-    """Read a row."""
+    """Command: read a row."""
 
     key: Key
 
 
-class Answer(NamedTuple):
-    """Answer who asked to run a call."""
+class ReplyToCaller(NamedTuple):
+    """Command: reply to a caller that requested a claim."""
 
     caller: int
     outcome: ClaimOutcome
 
 
 class OutcomeLost(NamedTuple):
-    """Say that an outcome is given up; repeats are told that it is unknown."""
+    """Command: report that an outcome can't be stored; repeats get "unknown"."""
 
     request: str
     cause: str
 
 
 class WakeAt(NamedTuple):
-    """Ask for a Tick."""
+    """Command: schedule a Tick."""
 
     time: float
 
 
-Command = SendGroup | ReadRow | Answer | OutcomeLost | WakeAt
+Command = SendGroup | ReadRow | ReplyToCaller | OutcomeLost | WakeAt
--- a/radishtally/claims/record.py
+++ b/radishtally/claims/record.py
@@ -1,4 +1,4 @@
-"""Hold the claim on an idempotency key as its row keeps it."""
+"""Row format of claims on idempotency keys."""
 
 import base64
 from typing import Any, Final, NamedTuple, TypedDict
@@ -10,14 +10,14 @@
 DONE: Final = "done"
 NOT_RUN: Final = "not_run"
 
-BODY_BYTES: Final = 32 * 1024
-"""Largest answer body that is kept for a repeat."""
-ROW_BYTES: Final = 512
-"""Size of a row without headers and body, estimated."""
+MAX_BODY_BYTES: Final = 32 * 1024
+"""Largest answer body that is stored for repeats."""
+ROW_OVERHEAD_BYTES: Final = 512
+"""Estimated size of a row without headers and body."""
 
 
 class Claim(NamedTuple):
-    """Name a call that must run at most once."""
+    """Identify a call that must run at most once."""
 
     team: str
     key: str
@@ -26,17 +26,17 @@
 
 
 class StoredAnswer(NamedTuple):
-    """Hold the first answer to a call, for its repeats."""
+    """Hold the first answer to a call, which repeats receive."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
     body_kept: bool = True
-    """False if the body was too large to keep; then body is empty."""
+    """False if the body was too large to store; body is then empty."""
 
 
 class ClaimValue(TypedDict):
-    """Hold what a claim's row says."""
+    """Describe the value of a claim's row."""
 
     request: str
     body_hash: str
@@ -48,16 +48,16 @@
     """Base64."""
     body_kept: bool
     expires: int
-    """Seconds since 1970 after which the platform may remove the row."""
+    """Unix time in seconds after which the platform may remove the row."""
 
 
-def name_claim(claim: Claim) -> Key:
-    """Name the row of a claim."""
+def make_claim_key(claim: Claim) -> Key:
+    """Return the key of a claim's row."""
     return Key(CLAIM_PREFIX + claim.team, claim.key)
 
 
-def make_value(claim: Claim, state: str, expires: int) -> ClaimValue:
-    """Form the value of a claim without an answer."""
+def make_claim_value(claim: Claim, state: str, expires: int) -> ClaimValue:
+    """Build the row value of a claim without an answer."""
     return ClaimValue(
         request=claim.request,
         body_hash=claim.body_hash,
@@ -71,8 +71,8 @@
 
 
 def make_done_value(claim: Claim, answer: StoredAnswer, expires: int) -> ClaimValue:
-    """Form the value of a claim whose call was answered."""
-    value = make_value(claim, DONE, expires)
+    """Build the row value of a claim whose call was answered."""
+    value = make_claim_value(claim, DONE, expires)
     value["status"] = answer.status
     value["headers"] = [list(header) for header in answer.headers]
     value["body"] = base64.b64encode(answer.body).decode()
@@ -80,22 +80,22 @@
     return value
 
 
-def bound_answer(answer: StoredAnswer, limit: int) -> StoredAnswer:
-    """Leave out a body that is larger than the limit."""
+def limit_body(answer: StoredAnswer, limit: int) -> StoredAnswer:
+    """Drop the body if it is larger than the limit."""
     if len(answer.body) <= limit:
         return answer
     return answer._replace(body=b"", body_kept=False)
 
 
 def read_answer(row: Row) -> StoredAnswer:
-    """Read the first answer back from its row."""
+    """Decode the stored answer of a row."""
     value = row.value
     headers = tuple((name, text) for name, text in value["headers"])
     body = base64.b64decode(value["body"])
     return StoredAnswer(value["status"], headers, body, value["body_kept"])
 
 
-def estimate_bytes(value: ClaimValue | dict[str, Any]) -> int:
-    """Estimate the size of a row with this value."""
+def estimate_row_bytes(value: ClaimValue | dict[str, Any]) -> int:
+    """Estimate the size in bytes of a row with this value."""
     headers = sum(len(name) + len(text) for name, text in value["headers"])
-    return ROW_BYTES + len(value["body"]) + headers
+    return ROW_OVERHEAD_BYTES + len(value["body"]) + headers
--- a/radishtally/claims/store.py
+++ b/radishtally/claims/store.py
@@ -1,4 +1,4 @@
-"""Claim idempotency keys at the table."""
+"""Claim idempotency keys in the table."""
 
 import asyncio
 import time
@@ -10,18 +10,18 @@
 
 from radishtally.claims.core import ClaimCore, ClaimLimits
 from radishtally.claims.events import (
-    Answer,
     CallFinished,
     CallReleased,
-    ClaimAsked,
     ClaimOutcome,
+    ClaimRequested,
     Command,
     Granted,
     GroupSettled,
     OutcomeLost,
     ReadRow,
+    ReplyToCaller,
     RowRead,
-    RowUnread,
+    RowReadFailed,
     SendGroup,
     Tick,
     WakeAt,
@@ -31,46 +31,48 @@
 from radishtally.store.core import Table
 from radishtally.store.ids import WriteIds
 
-CLAIM_SECONDS: Final = 2.0
-"""Time after which a claim that is not clearly ours is refused."""
-KEEP_SECONDS: Final = 24 * 3600
-"""Time for which a key is remembered."""
-STOP_SECONDS: Final = 2.0
+CLAIM_TIMEOUT_SECONDS: Final = 2.0
+"""Time after which a claim that is not confirmed is refused."""
+KEY_RETENTION_SECONDS: Final = 24 * 3600
+"""How long a key and its outcome are kept."""
+STOP_TIMEOUT_SECONDS: Final = 2.0
 STOP_POLL_SECONDS: Final = 0.02
 
-_Asked = tuple[Claim, asyncio.Future[ClaimOutcome]]
+_PendingClaim = tuple[Claim, asyncio.Future[ClaimOutcome]]
 
 
 class ClaimStore(CoreDriver):
-    """Claim keys for one process; `holder` is new with every start of it."""
+    """Claim keys for one process; `holder` must differ on every start of it."""
 
     def __init__(
         self,
         table: Table,
         holder: str,
-        ids: WriteIds,
+        write_ids: WriteIds,
         limits: ClaimLimits | None = None,
         *,
-        seconds: float = CLAIM_SECONDS,
+        seconds: float = CLAIM_TIMEOUT_SECONDS,
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
         self._table = table
-        super().__init__(ClaimCore(holder, ids, limits or ClaimLimits()), Tick(), clock)
+        super().__init__(
+            ClaimCore(holder, write_ids, limits or ClaimLimits()), Tick(), clock
+        )
         self._seconds = seconds
         self._wall = wall
-        self._asked: dict[int, _Asked] = {}
-        self._callers = 0
+        self._pending: dict[int, _PendingClaim] = {}
+        self._last_caller = 0
         self.lost = 0
 
     @property
     def waiting(self) -> int:
-        """Count the rows that are not settled yet."""
+        """Number of rows whose write is not settled yet."""
         return self._core.waiting
 
     async def stop(self) -> None:
-        """Wait a while for outcomes to reach the table, then end."""
-        until = self._clock() + STOP_SECONDS
+        """Wait up to STOP_TIMEOUT_SECONDS for pending writes, then stop."""
+        until = self._clock() + STOP_TIMEOUT_SECONDS
         while self._core.waiting and self._clock() < until:
             await asyncio.sleep(STOP_POLL_SECONDS)
         await self._end()
@@ -78,19 +80,19 @@
     async def claim(
         self, team: str, key: str, request: str, body_hash: str
     ) -> ClaimOutcome:
-        """Ask to run a call; only Granted allows it."""
+        """Request a claim; the call may run only if the outcome is Granted."""
         claim = Claim(team, key, request, body_hash)
         future: asyncio.Future[ClaimOutcome] = asyncio.Future()
-        self._callers += 1
-        caller = self._callers
-        self._asked[caller] = claim, future
+        self._last_caller += 1
+        caller = self._last_caller
+        self._pending[caller] = claim, future
         deadline = self._clock() + self._seconds
-        expires = int(self._wall()) + KEEP_SECONDS
-        self._handle(ClaimAsked(caller, claim, deadline, expires))
+        expires = int(self._wall()) + KEY_RETENTION_SECONDS
+        self._handle(ClaimRequested(caller, claim, deadline, expires))
         try:
             return await future
         except asyncio.CancelledError:
-            # The caller went away after the claim was granted and before it was told.
+            # The caller was cancelled after the grant but before it received it.
             if not future.cancelled() and isinstance(future.result(), Granted):
                 self._handle(CallReleased(claim))
             raise
@@ -104,12 +106,12 @@
         headers: tuple[tuple[str, str], ...],
         body: bytes,
     ) -> None:
-        """Keep the answer of a call that was granted, for its repeats."""
+        """Store the answer of a granted call for its repeats."""
         claim = Claim(team, key, request, "")
         self._handle(CallFinished(claim, StoredAnswer(status, headers, body)))
 
     def release(self, team: str, key: str, request: str) -> None:
-        """Take a claim back whose call surely did not run and won't."""
+        """Release a claim whose call certainly did not run and never will."""
         self._handle(CallReleased(Claim(team, key, request, "")))
 
     @singledispatchmethod
@@ -125,13 +127,13 @@
         self._call(self._read(command))
 
     @_execute.register
-    def _(self, command: Answer) -> None:
-        claim, future = self._asked.pop(command.caller)
+    def _(self, command: ReplyToCaller) -> None:
+        claim, future = self._pending.pop(command.caller)
         if not future.done():
             future.set_result(command.outcome)
             return
         if isinstance(command.outcome, Granted):
-            # The caller went away before the claim was granted.
+            # The caller was cancelled before the claim was granted.
             asyncio.get_running_loop().call_soon(self._handle, CallReleased(claim))
 
     @_execute.register
@@ -152,6 +154,6 @@
     async def _read(self, command: ReadRow) -> None:
         result = await self._table.get(command.key)
         if result.is_error():
-            self._handle(RowUnread(command.key))
+            self._handle(RowReadFailed(command.key))
             return
         self._handle(RowRead(command.key, result.ok))
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -11,11 +11,10 @@
 
 from radishtally.claims.core import ClaimCore, ClaimLimits
 from radishtally.claims.events import (
-    Answer,
     CallFinished,
     CallReleased,
-    ClaimAsked,
     ClaimOutcome,
+    ClaimRequested,
     Command,
     Event,
     Granted,
@@ -24,14 +23,20 @@
     OutcomeLost,
     ReadRow,
     Repeated,
+    ReplyToCaller,
     RowRead,
-    RowUnread,
+    RowReadFailed,
     SendGroup,
     StoreAway,
     Tick,
     UnknownOutcome,
 )
-from radishtally.claims.record import BODY_BYTES, Claim, StoredAnswer, name_claim
+from radishtally.claims.record import (
+    MAX_BODY_BYTES,
+    Claim,
+    StoredAnswer,
+    make_claim_key,
+)
 from radishtally.claims.store import ClaimStore
 from radishtally.outcome import Error, Ok
 from radishtally.store.core import Invalid, Put, Unavailable, Unclear
@@ -78,7 +83,7 @@
     def execute(self, command: Command) -> None:
         if isinstance(command, SendGroup | ReadRow):
             self.calls.append(command)
-        if isinstance(command, Answer):
+        if isinstance(command, ReplyToCaller):
             assert command.caller not in self.answers, "answered twice"
             self.answers[command.caller] = command.outcome
         if isinstance(command, OutcomeLost):
@@ -90,7 +95,7 @@
         if isinstance(call, ReadRow):
             failed = fate in (REFUSED, LATE)
             row = RowRead(call.key, self.rows.read(call.key))
-            self.handle(RowUnread(call.key) if failed else row, now)
+            self.handle(RowReadFailed(call.key) if failed else row, now)
             return
         self.handle(GroupSettled(call.write_id, self.settle(call, fate)), now)
 
@@ -144,7 +149,7 @@
         self.number += 1
         claim = Claim("t", key, f"r{self.number}", "hash")
         self.asked[self.number] = Asked(entry, claim)
-        event = ClaimAsked(self.number, claim, self.now + SECONDS, EXPIRES)
+        event = ClaimRequested(self.number, claim, self.now + SECONDS, EXPIRES)
         self.entries[entry].handle(event, self.now)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 2.5]))
@@ -246,7 +251,7 @@
 
 
 def ask(entry: Entry, number: int, claim: Claim, now: float = 0.0) -> None:
-    entry.handle(ClaimAsked(number, claim, now + SECONDS, EXPIRES), now)
+    entry.handle(ClaimRequested(number, claim, now + SECONDS, EXPIRES), now)
 
 
 ANSWER = StoredAnswer(201, (("content-type", "text/plain"),), b"sent")
@@ -359,7 +364,7 @@
     assert entry.answers[1] == StoreAway()
     entry.run(2.5, 3.0)
     entry.land_late()
-    assert rows.read(name_claim(claim)).value["state"] == "not_run"
+    assert rows.read(make_claim_key(claim)).value["state"] == "not_run"
 
 
 def test_malformed_row_does_not_spoil_its_group(entry: Entry) -> None:
@@ -414,7 +419,7 @@
     claim = make_claim("r1")
     ask(entry, 1, claim)
     now = entry.run(0.0, 0.5)
-    large = ANSWER._replace(body=b"x" * (BODY_BYTES + 1))
+    large = ANSWER._replace(body=b"x" * (MAX_BODY_BYTES + 1))
     entry.handle(CallFinished(claim, large), now)
     now = entry.run(now, 0.5)
     other = Entry("e2-0", rows)
@@ -425,7 +430,7 @@
 
 def test_waiting_claims_are_bounded() -> None:
     entry = Entry("e1-0", Rows())
-    entry.core = ClaimCore("e1-0", WriteIds("e1-0"), ClaimLimits(waiting=3))
+    entry.core = ClaimCore("e1-0", WriteIds("e1-0"), ClaimLimits(max_waiting=3))
     for number in range(4):
         ask(entry, number, make_claim(f"r{number}", f"k{number}"))
     assert entry.answers == {3: StoreAway()}
@@ -447,7 +452,7 @@
     assert entry.answers[1] == StoreAway()
     ask(entry, 2, make_claim("r2", "k2"), now)
     assert entry.answers[2] == StoreAway()
-    now += LIMITS.longest_retry_seconds
+    now += LIMITS.max_retry_seconds
     ask(entry, 3, make_claim("r3", "k2"), now)
     assert 3 not in entry.answers
     entry.run(now, 1.0)
