--- a/radishtally/authority/__init__.py
+++ b/radishtally/authority/__init__.py
@@ -1,1 +1,1 @@
-"""Decide who may give orders, and which orders an agent carries out."""
+"""Planner leases, plans, and the orders by which agents carry the plans out."""
--- a/radishtally/authority/lease_driver.py
+++ b/radishtally/authority/lease_driver.py
@@ -1,4 +1,4 @@
-"""Contend for the planner lease at the table."""
+"""Drive the lease core: call the table and report gains and losses of the lease."""
 
 import asyncio
 import time
@@ -11,18 +11,18 @@
 from radishtally.authority.lease import LeaseCore
 from radishtally.authority.lease_events import (
     Command,
-    Contend,
     EraEntered,
     Event,
-    Gained,
+    FencingOutdated,
+    LeaseGained,
+    LeaseLost,
     LeaseTerms,
-    LostLease,
-    Misread,
-    Outdated,
     ReadFailed,
     ReadLease,
     Resign,
+    RowInvalid,
     RowRead,
+    SetContending,
     Tick,
     WakeAt,
     WriteLease,
@@ -33,26 +33,26 @@
 from radishtally.store.ids import WriteIds
 from radishtally.store.settle import transact_settled
 
-CALL_PART: Final = 0.25
-"""Part of the lease time that one call to the table may take."""
-READERS: Final = 4
-"""Contenders that look at the lease as often as its terms say; more share that."""
-RESIGN_SECONDS: Final = 1.0
+CALL_TIMEOUT_FRACTION: Final = 0.25
+"""Timeout of one call to the table, as a fraction of the lease duration."""
+FULL_RATE_CONTENDERS: Final = 4
+"""Contenders that may all read at the configured rate; more of them read less often."""
+RESIGN_TIMEOUT_SECONDS: Final = 1.0
 
 
 class LeaseState(TypedDict):
-    """Describe a lease as one process knows it."""
+    """Represent this process's view of a lease, for status pages."""
 
     holds_lease: bool
     fencing: int | None
     holder: str | None
-    """Holder that the row named at the last look, whether or not it still holds."""
+    """Holder named by the row at the last read; its lease may have lapsed since."""
     seconds_since_look: float | None
-    """Age of that look, or of this process's own last write."""
+    """Age of that read, or of this process's own last write."""
 
 
 class LeaseDriver(CoreDriver):
-    """Drive the lease of one place for this process."""
+    """Contend for the planner lease of one place on behalf of this process."""
 
     def __init__(
         self,
@@ -77,27 +77,28 @@
 
     @property
     def fencing(self) -> int | None:
-        """Give the fencing number if the lease is held now."""
+        """Return the fencing token if the lease is held now."""
         return self._core.fencing if self.holds() else None
 
     def holds(self) -> bool:
-        """Tell whether an order may be given now; ask before each one."""
+        """Return whether the lease is held now; check this before each order."""
         return self._core.holds(self._clock())
 
     def set_contender_count(self, contenders: int) -> None:
-        """Look more seldom the more contend: the first look after a lapse takes over.
+        """Read less often the more processes contend, to limit the load on the store.
 
-        Looks stay less than the lease's time apart. A row that was renewed in between
-        would seem to have lapsed, and be written to in vain.
+        It is enough that one contender reads soon after the lease lapses. The interval
+        stays below the lease duration: otherwise a row renewed in between would seem to
+        have lapsed, and the takeover would be attempted in vain.
         """
         self._contenders = contenders
-        least = self._terms.read_every
-        longest = max(least, self._terms.granted - self._terms.margin)
-        wanted = least * contenders / READERS
-        self._core.read_every = min(max(least, wanted), longest)
+        shortest = self._terms.read_every
+        longest = max(shortest, self._terms.granted - self._terms.margin)
+        scaled = shortest * contenders / FULL_RATE_CONTENDERS
+        self._core.read_every = min(max(shortest, scaled), longest)
 
     def describe(self) -> LeaseState:
-        """Tell what this process believes of the lease, and how old that is."""
+        """Return this process's view of the lease, with its age."""
         now, row = self._clock(), self._core.row
         holds = self._core.holds(now)
         return LeaseState(
@@ -105,51 +106,51 @@
             fencing=self._core.fencing if holds else None,
             holder=None if row.value is None else row.value["holder"],
             seconds_since_look=(
-                None if row.looked_at is None else round(now - row.looked_at, 3)
+                None if row.read_at is None else round(now - row.read_at, 3)
             ),
         )
 
     def contend(self, contends: bool) -> None:
-        """Take whether to look at the lease while another one holds it."""
-        self._handle(Contend(contends))
+        """Start or stop contending for the lease while another process holds it."""
+        self._handle(SetContending(contends))
 
     def set_terms(self, terms: LeaseTerms) -> None:
-        """Go by other times from the next write on; rows that stand name their own."""
+        """Use these terms from the next write on; an existing row keeps its own."""
         self._terms = self._core.terms = terms
         self.set_contender_count(self._contenders)
 
     def make_check(self) -> Check | None:
-        """Form the check that binds a transaction to the lease as held now."""
+        """Build the check that makes a transaction fail once the lease has moved on."""
         return self._core.make_check(self._clock())
 
     def give_up(self, fencing: int) -> None:
-        """Give a number up that was refused; contend for the lease under a new one."""
-        self._handle(Outdated(fencing))
+        """Abandon a refused fencing token and contend for the lease under a new one."""
+        self._handle(FencingOutdated(fencing))
 
     def enter_era(self, era: int) -> None:
-        """Take that the store answers from a new era, or that its era is seen first."""
+        """Handle a new era of the store, or the first sight of its era."""
         if era <= self._era:
             return
         self._era = era
-        # A write of the earlier era would be sent again in this one.
+        # A write from the earlier era would otherwise be retried in this one.
         for call in self._calls:
             call.cancel()
         self._handle(EraEntered(era))
 
-    def _report(self, era: int, event: Event) -> None:
-        """Give a call's outcome, unless the call was ended by a new era.
+    def _handle_outcome(self, era: int, event: Event) -> None:
+        """Report a call's outcome to the core, unless a new era has ended the call.
 
-        The answer that shows the era is handed on right after it is entered, before
-        its call can be stopped.
+        A call whose own answer reveals the new era reaches this point before its
+        cancellation takes effect.
         """
         if era == self._era:
             self._handle(event)
 
     async def stop(self) -> None:
-        """Give the lease up, so that a successor need not wait for it to lapse."""
+        """Release the lease, so that a successor need not wait for it to lapse."""
         self._handle(Resign())
         if self._calls:
-            await asyncio.wait(self._calls, timeout=RESIGN_SECONDS)
+            await asyncio.wait(self._calls, timeout=RESIGN_TIMEOUT_SECONDS)
         await self._end()
 
     @singledispatchmethod
@@ -165,15 +166,15 @@
         self._call(self._write(command))
 
     @_execute.register
-    def _(self, command: Gained) -> None:
+    def _(self, command: LeaseGained) -> None:
         self._on_gained(command.fencing)
 
     @_execute.register
-    def _(self, command: LostLease) -> None:
+    def _(self, command: LeaseLost) -> None:
         self._on_lost(command.cause)
 
     @_execute.register
-    def _(self, command: Misread) -> None:
+    def _(self, command: RowInvalid) -> None:
         log_message("lease:misread", place=self._core.key.sk, fault=command.fault)
 
     @_execute.register
@@ -183,19 +184,19 @@
     async def _read(self, command: ReadLease) -> None:
         era, asked_at = self._era, self._clock()
         try:
-            async with asyncio.timeout(self._terms.granted * CALL_PART):
+            async with asyncio.timeout(self._terms.granted * CALL_TIMEOUT_FRACTION):
                 result = await self._table.get(command.key)
         except TimeoutError:
-            self._report(era, ReadFailed())
+            self._handle_outcome(era, ReadFailed())
             return
         if result.is_error():
-            self._report(era, ReadFailed())
+            self._handle_outcome(era, ReadFailed())
             return
-        self._report(era, RowRead(result.ok, asked_at))
+        self._handle_outcome(era, RowRead(result.ok, asked_at))
 
     async def _write(self, command: WriteLease) -> None:
         era = self._era
-        deadline = self._clock() + self._terms.granted * CALL_PART
+        deadline = self._clock() + self._terms.granted * CALL_TIMEOUT_FRACTION
         outcome = await transact_settled(
             self._table,
             [command.put],
@@ -211,4 +212,4 @@
                 fencing=command.put.value["fencing"],
                 error=str(outcome.error),
             )
-        self._report(era, WriteSettled(command.write_id, outcome))
+        self._handle_outcome(era, WriteSettled(command.write_id, outcome))
--- a/radishtally/authority/lease_events.py
+++ b/radishtally/authority/lease_events.py
@@ -1,4 +1,4 @@
-"""Name what the core of a lease takes and gives."""
+"""Events that the lease core handles and commands that it returns."""
 
 from typing import Final, NamedTuple, NotRequired, TypedDict
 
@@ -7,21 +7,22 @@
 
 LEASE: Final = "lease"
 RELEASED: Final = 0.0
-"""Seconds granted by a row whose holder has given the lease up."""
+"""Value of `granted` in a row whose holder has released the lease."""
 
 
 class LeaseTerms(NamedTuple):
-    """Set the times of a lease, in seconds."""
+    """Define the timing of a lease, in seconds."""
 
     granted: float = 10.0
+    """Lease duration, counted from each write of the row."""
     margin: float = 1.0
-    """Covers clocks that run at different rates, on either side."""
+    """Safety margin for clock drift, applied by holder and contenders alike."""
     renew_every: float = 3.0
     read_every: float = 1.0
 
 
 class LeaseValue(TypedDict):
-    """Hold what the lease row says."""
+    """Represent the value of the lease row."""
 
     holder: str
     incarnation: str
@@ -29,51 +30,52 @@
     granted: float
     counter: int
     era: NotRequired[int]
-    """Newest era that the writer knew of; absent counts as 0."""
+    """Newest store era that the writer knew of; a missing field counts as 0."""
 
 
 class Tick(NamedTuple):
-    """Let time pass."""
+    """Event: time has passed."""
 
 
 class RowRead(NamedTuple):
-    """Give the lease row as it stands."""
+    """Event: the lease row was read."""
 
     row: Row | None
     asked_at: float
+    """Monotonic time at which the read was sent."""
 
 
 class ReadFailed(NamedTuple):
-    """Say that the lease row could not be read."""
+    """Event: the lease row could not be read."""
 
 
 class WriteSettled(NamedTuple):
-    """Give the outcome of a lease write."""
+    """Event: a write of the lease row has ended with this outcome."""
 
     write_id: str
     outcome: Result[None, TableError]
 
 
 class Resign(NamedTuple):
-    """Ask to give the lease up for good."""
+    """Event: this process releases the lease and stops contending for good."""
 
 
-class Contend(NamedTuple):
-    """Say whether to look at the lease while another one holds it."""
+class SetContending(NamedTuple):
+    """Event: start or stop contending for a lease that another process holds."""
 
     contends: bool
 
 
-class Outdated(NamedTuple):
-    """Say that an order was refused, as a higher fencing number has been used."""
+class FencingOutdated(NamedTuple):
+    """Event: an order was refused because a higher fencing token has been seen."""
 
     fencing: int
 
 
 class EraEntered(NamedTuple):
-    """Say that the store answers from a new era, or that its era was seen first.
+    """Event: the store answers from a new era, or its era is seen for the first time.
 
-    Calls that are under way are over with it: their outcomes are not to be given.
+    Calls in flight are abandoned; their outcomes must not be reported to the core.
     """
 
     era: int
@@ -85,47 +87,47 @@
     | ReadFailed
     | WriteSettled
     | Resign
-    | Contend
-    | Outdated
+    | SetContending
+    | FencingOutdated
     | EraEntered
 )
 
 
 class ReadLease(NamedTuple):
-    """Read the lease row."""
+    """Command: read the lease row."""
 
     key: Key
 
 
 class WriteLease(NamedTuple):
-    """Write the lease row."""
+    """Command: write the lease row."""
 
     put: Put
     write_id: str
 
 
-class Gained(NamedTuple):
-    """Say that the lease is held from now on."""
+class LeaseGained(NamedTuple):
+    """Command: report that the lease is now held under this fencing token."""
 
     fencing: int
 
 
-class LostLease(NamedTuple):
-    """Say that the lease is no longer held."""
+class LeaseLost(NamedTuple):
+    """Command: report that the lease is no longer held."""
 
     cause: str
 
 
-class Misread(NamedTuple):
-    """Say that the row that stands now is not one of a lease."""
+class RowInvalid(NamedTuple):
+    """Command: report that the row in the table is not a valid lease."""
 
     fault: str
 
 
 class WakeAt(NamedTuple):
-    """Ask for a Tick."""
+    """Command: send a Tick at this monotonic time."""
 
     time: float
 
 
-Command = ReadLease | WriteLease | Gained | LostLease | Misread | WakeAt
+Command = ReadLease | WriteLease | LeaseGained | LeaseLost | RowInvalid | WakeAt
--- a/radishtally/authority/lease_row.py
+++ b/radishtally/authority/lease_row.py
@@ -1,117 +1,122 @@
-"""Keep what a contender knows of the row of its lease."""
+"""A contender's view of the lease row."""
 
 from typing import Final
 
 from radishtally.authority.lease_events import RELEASED, LeaseValue
-from radishtally.authority.lease_value import read_value
+from radishtally.authority.lease_value import parse_lease_value
 from radishtally.store.core import ABSENT, Key, Row
 
 ERA_SHIFT: Final = 32
-"""Bits of a fencing number below its era: with it, the numbers that an era may need and
-the eras that there may be are two million and more, and both fit in a JSON number."""
+"""Bits of a fencing token below the era. This leaves room for more than two million
+eras, with more than two million tokens in each, within an exact JSON integer."""
 
 
 class LeaseRow:
-    """Watch one row: what it says, and for how long it has stood."""
+    """Track the lease row's content and how long it has stayed unchanged."""
 
     def __init__(self, key: Key, granted: float) -> None:
         self.key: Final = key
         self.row: Row | None = None
         self.value: LeaseValue | None = None
-        """What the row says; nothing if it is absent or can't be read."""
+        """Parsed value; None if the row is absent or invalid."""
         self.fault: str | None = None
-        """Why a row that is there can't be read."""
+        """Why an existing row is invalid."""
         self.is_current = False
-        """Whether a write may go by the row as it is known."""
-        self.looked_at: float | None = None
-        """When the last look that showed the row was asked for."""
+        """Whether the row is known well enough for a conditional write."""
+        self.read_at: float | None = None
+        """When the last successful read was sent."""
         self.era = 0
-        self._since = 0.0
-        self._is_watched = False
-        self._top = 0
-        self._longest = granted
+        self._unchanged_since = 0.0
+        self._is_observed = False
+        self._highest_fencing = 0
+        self._longest_granted = granted
 
     @property
     def rev(self) -> int:
-        """Give the revision that a write of the row expects."""
+        """Return the revision that a conditional write of the row must expect."""
         return ABSENT if self.row is None else self.row.rev
 
-    def allow(self, granted: float) -> None:
-        """Take note of a time that a lease may last."""
-        self._longest = max(self._longest, granted)
+    def record_lease_time(self, granted: float) -> None:
+        """Remember a duration that a lease may have been granted for."""
+        self._longest_granted = max(self._longest_granted, granted)
 
     def enter_era(self, era: int) -> None:
-        """Count nothing that was seen before as seen."""
+        """Discard all observations from before this era."""
         self.era = era
-        self._is_watched = self.is_current = False
+        self._is_observed = self.is_current = False
 
-    def see(self, row: Row | None, asked_at: float, now: float, gap: float) -> bool:
-        """Take what a look shows; tell whether another row was known or none.
+    def observe(self, row: Row | None, asked_at: float, now: float, gap: float) -> bool:
+        """Record the row as read; return whether it is new or has changed.
 
-        Two looks that are more than `gap` seconds apart watch the row for as long only.
+        Of the time between two reads, at most `gap` seconds count as observed.
         """
-        changed = not self._is_watched or _identify(row) != _identify(self.row)
+        changed = not self._is_observed or _identify(row) != _identify(self.row)
         if changed:
-            # Counted from when the row was seen, not from when it was asked for: its
-            # writer sent it before that, so its writer's time ends first.
-            self._since = now
+            # Count from when the reply arrived, not from when the read was sent: the
+            # writer sent the row earlier, so its own lease time ends first.
+            self._unchanged_since = now
             self._replace(row)
-        elif self.looked_at is not None:
-            self._leave_out(asked_at - self.looked_at - gap, asked_at)
-        self._is_watched = self.is_current = True
-        self.looked_at = asked_at
+        elif self.read_at is not None:
+            self._exclude_unobserved(asked_at - self.read_at - gap, asked_at)
+        self._is_observed = self.is_current = True
+        self.read_at = asked_at
         return changed
 
-    def write(self, rev: int, write_id: str, value: LeaseValue, now: float) -> None:
-        """Take a write of our own that was done."""
+    def record_own_write(
+        self, rev: int, write_id: str, value: LeaseValue, now: float
+    ) -> None:
+        """Record a write by this process that took effect."""
         self._replace(Row(self.key, rev, write_id, dict(value), self.era))
-        self._since = self.looked_at = now
+        self._unchanged_since = self.read_at = now
         self.is_current = True
 
     def may_take_over(self, incarnation: str, margin: float) -> bool:
-        """Tell whether one who does not hold the lease may write the row."""
-        if self._may_replace(incarnation):
+        """Return whether a process that does not hold the lease may take it over."""
+        if self._is_free(incarnation):
             return True
-        return self.looked_at >= self._since + self._find_lifetime() + margin
+        return self.read_at >= self._unchanged_since + self._find_lease_time() + margin
 
-    def find_number(self) -> int:
-        """Find a fencing number that nobody has had."""
-        top = self._top
+    def choose_fencing(self) -> int:
+        """Choose a fencing token above every one given out before."""
+        highest = self._highest_fencing
         if self.fault is not None:
-            # The number in it is lost, but each one that was given cost a write.
-            top = max(top, self.rev)
-        # The row that counts the numbers goes back with the store: hosts would be given
-        # one that they have seen from another holder. An era is never given out again,
-        # and in it the row's count of writes rises, also where a late write of an
-        # earlier era has replaced the row by which its holder's number was known.
+            # The token in it is lost, but each token given out took one write, so the
+            # revision is an upper bound.
+            highest = max(highest, self.rev)
+        # A restore of the store also sets back the row that counts the tokens, so hosts
+        # could see a token that another holder has used. Eras never repeat, and within
+        # an era the row's revision only grows, even if a late write from an earlier era
+        # has replaced the row that held the current token.
         if self.era:
-            top = max(top, (self.era << ERA_SHIFT) + self.rev)
-        return top + 1
+            highest = max(highest, (self.era << ERA_SHIFT) + self.rev)
+        return highest + 1
 
-    def _leave_out(self, unseen: float, asked_at: float) -> None:
-        """Count no time in which this process did not look.
+    def _exclude_unobserved(self, unobserved: float, asked_at: float) -> None:
+        """Exclude time in which this process did not read the row.
 
-        A holder that stalled as well, or met the same outage, is as quick to go on: it
-        gets the margin at least to write its row anew.
+        The holder may have stalled too, or met the same outage. When both resume, it
+        must have at least the margin to renew its row.
         """
-        if unseen > 0:
-            since = max(self._since + unseen, asked_at - self._find_lifetime())
-            self._since = since
+        if unobserved > 0:
+            unchanged_since = max(
+                self._unchanged_since + unobserved, asked_at - self._find_lease_time()
+            )
+            self._unchanged_since = unchanged_since
 
     def _replace(self, row: Row | None) -> None:
         self.row, self.value, self.fault = row, None, None
         if row is None:
             return
-        read = read_value(row.value)
-        if read.is_error():
-            self.fault = read.error
+        parsed = parse_lease_value(row.value)
+        if parsed.is_error():
+            self.fault = parsed.error
             return
-        self.value = read.ok
-        self._longest = max(self._longest, self.value["granted"])
-        self._top = max(self._top, self.value["fencing"])
+        self.value = parsed.ok
+        self._longest_granted = max(self._longest_granted, self.value["granted"])
+        self._highest_fencing = max(self._highest_fencing, self.value["fencing"])
 
-    def _may_replace(self, incarnation: str) -> bool:
-        """Tell whether nobody else can hold the lease by the row."""
+    def _is_free(self, incarnation: str) -> bool:
+        """Return whether, by this row, no other process can hold the lease."""
         if self._get_era() != self.era or self.fault is not None:
             return False
         if self.value is None:
@@ -119,10 +124,10 @@
         is_own = self.value["incarnation"] == incarnation
         return is_own or self.value["granted"] == RELEASED
 
-    def _find_lifetime(self) -> float:
-        # A row of another era, or by another writer, may stand in place of a holder's.
+    def _find_lease_time(self) -> float:
+        # A row of another era, or an invalid one, may have replaced a holder's row.
         if self.value is None or self._get_era() != self.era:
-            return self._longest
+            return self._longest_granted
         return self.value["granted"]
 
     def _get_era(self) -> int:
@@ -130,6 +135,6 @@
 
 
 def _identify(row: Row | None) -> tuple[int, str]:
-    # The count of writes alone goes back with a restored store and is given again to
-    # another content: a lease that is renewed would seem to stand. No write id is.
+    # After a restore, a revision can be reused for different content, and a renewed
+    # lease would seem unchanged. Write ids are never reused.
     return (ABSENT, "") if row is None else (row.rev, row.write_id)
--- a/radishtally/authority/order_events.py
+++ b/radishtally/authority/order_events.py
@@ -1,4 +1,4 @@
-"""Events that the agent's order core takes and commands that it gives."""
+"""Events that the agent's order core handles and commands that it returns."""
 
 from typing import Any, Final, NamedTuple
 
@@ -9,40 +9,40 @@
 ADAPTER: Final = "adapter"
 
 ACCEPTED: Final = "taken"
-"""The engine took the order, or had carried it out already."""
+"""The engine accepted the order, or had already carried it out."""
 STALE: Final = "stale"
-"""The engine has seen a higher fencing number."""
+"""The engine has seen a higher fencing token."""
 BUSY: Final = "busy"
-"""The engine is changing."""
+"""The engine is busy with an earlier change."""
 REJECTED: Final = "rejected"
-"""The engine refused the order for another reason; it had no effect."""
+"""The engine refused the order for another reason; the order had no effect."""
 UNCLEAR: Final = "unclear"
-"""The order may have reached the engine, or may still do so."""
+"""The outcome is unknown: the order may have reached the engine, or may still do so."""
 NOT_SENT: Final = "not sent"
-"""The order's time was over before it was sent."""
+"""The order expired before it was sent."""
 
 MAX_BACKOFF_DOUBLINGS: Final = 6
 
 
 class OrderTimings(NamedTuple):
-    """Set the times of the agent's orders, in seconds."""
+    """Define the timing of the agent's orders, in seconds."""
 
     settle: float = 2.0
-    """How long an order of a dead predecessor may be on its way on the same host."""
+    """How long an order from a dead predecessor may stay in flight on the same host."""
     poll: float = 1.0
-    """Between reads of the engine, and of the plan while something is awaited."""
+    """Interval of engine reads, and of plan reads while a change is pending."""
     busy_poll: float = 0.2
-    """Between reads of an engine that changes; it serves nobody meanwhile."""
+    """Interval of reads of a changing engine, which serves no requests meanwhile."""
     plan_poll: float = 30.0
-    """Between reads of the plan without a hint."""
-    fresh: float = 3.0
-    """Age at which a read no longer allows an order."""
+    """Interval of plan reads if no hint arrives."""
+    max_read_age: float = 3.0
+    """Age from which a read is too old to base an order on."""
     backoff: float = 1.0
-    """Before an order that failed is given again; doubles with each failure."""
+    """Delay before a failed order is retried; doubles with each failure."""
 
 
 class EngineStatus(NamedTuple):
-    """Hold what an engine says it is."""
+    """Represent the state that an engine reports."""
 
     role: str
     model: str
@@ -51,51 +51,51 @@
     changing: bool
     incarnation: str
     fencing: int
-    """Highest fencing number that the engine has seen."""
+    """Highest fencing token that the engine has seen."""
 
 
 class PlanRead(NamedTuple):
-    """Give the plan row as it stands."""
+    """Event: the plan row was read."""
 
     plan: Plan | None
     asked_at: float
 
 
 class PlanUnreadable(NamedTuple):
-    """Say that the plan row could not be read."""
+    """Event: the plan row could not be read."""
 
 
 class EngineRead(NamedTuple):
-    """Give the engine's state."""
+    """Event: the engine's state was read."""
 
     engine: EngineStatus
     asked_at: float
 
 
 class EngineUnreachable(NamedTuple):
-    """Say that the engine's state could not be read."""
+    """Event: the engine's state could not be read."""
 
 
 class Drained(NamedTuple):
-    """Say that the engine has no work left."""
+    """Event: the engine has no work left."""
 
 
 class OrderAnswered(NamedTuple):
-    """Give the outcome of an order."""
+    """Event: an order has ended with this outcome."""
 
     order_id: str
     outcome: str
-    """TAKEN, STALE, BUSY, REJECTED, UNCLEAR or NOT_SENT."""
+    """ACCEPTED, STALE, BUSY, REJECTED, UNCLEAR or NOT_SENT."""
     highest: int = 0
-    """Fencing number that a STALE answer named."""
+    """Fencing token named by a STALE answer."""
 
 
 class HintReceived(NamedTuple):
-    """Say that the plan row is worth reading."""
+    """Event: the plan row may have changed."""
 
 
 class Tick(NamedTuple):
-    """Let time pass."""
+    """Event: time has passed."""
 
 
 Event = (
@@ -111,25 +111,25 @@
 
 
 class ReadPlan(NamedTuple):
-    """Read the plan row."""
+    """Command: read the plan row."""
 
 
 class ReadEngine(NamedTuple):
-    """Read the engine's state."""
+    """Command: read the engine's state."""
 
 
 class StartDrain(NamedTuple):
-    """Take no new work and say when none is left."""
+    """Command: accept no new work, and send Drained once none is left."""
 
     cause: str
 
 
 class EndDrain(NamedTuple):
-    """Take work again."""
+    """Command: accept work again."""
 
 
 class SendOrder(NamedTuple):
-    """Send an order to the engine, if it is not too late for it."""
+    """Command: send an order to the engine, unless it has expired."""
 
     order_id: str
     fencing: int
@@ -138,11 +138,11 @@
     wanted: Wanted
     adapter: str
     send_before: float
-    """Monotonic time at which the order must have left, or is NOT_SENT."""
+    """Monotonic time from which the order must not be sent; it is then NOT_SENT."""
 
 
 class RecordAudit(NamedTuple):
-    """Record in the audit trail what was done."""
+    """Command: add an entry to the audit trail."""
 
     what: str
     cause: str
@@ -151,7 +151,7 @@
 
 
 class WakeAt(NamedTuple):
-    """Ask for a Tick."""
+    """Command: send a Tick at this monotonic time."""
 
     time: float
 
--- a/radishtally/authority/orders.py
+++ b/radishtally/authority/orders.py
@@ -1,8 +1,8 @@
 """Decide which orders an agent gives to its engine.
 
-The agent carries out the plan row that it read itself; a message is only a hint to
-read it. One order is under way at a time, and after an order whose fate is unknown
-none is given until the engine has been seen quiet for the settle time.
+The agent acts only on a plan row that it has read itself; a message is merely a hint
+to read it. At most one order is in flight. After an order with an unknown outcome, no
+other is given until the engine has been observed idle for the settle time.
 """
 
 import hashlib
@@ -47,14 +47,14 @@
     adapter: str = ""
 
 
-class _Sent(NamedTuple):
+class _SentOrder(NamedTuple):
     order: SendOrder
     before: EngineStatus
-    taken_at: float = float("inf")
+    accepted_at: float = float("inf")
 
 
 class OrderCore:
-    """Bring one engine to what the plan wants, one order at a time."""
+    """Bring one engine to the state that the plan wants, one order at a time."""
 
     def __init__(self, host: str, terms: OrderTimings) -> None:
         self._host = host
@@ -63,81 +63,82 @@
         self._plan_asked_at = float("-inf")
         self._plan_read_at = float("-inf")
         self._reading_plan = False
-        self._hinted = True
-        self._hinted_at = float("-inf")
-        self._highest = (0, 0)
+        self._needs_plan_read = True
+        self._plan_read_needed_at = float("-inf")
+        self._highest_seen = (0, 0)
         self._engine: EngineStatus | None = None
         self._engine_asked_at = float("-inf")
         self._engine_read_at = float("-inf")
         self._reading_engine = False
-        # A predecessor in this host's slot may have died with an order on its way.
+        # A previous agent on this host may have died with an order in flight.
         self._settled = False
-        self._quiet_since: float | None = None
+        self._idle_since: float | None = None
         self._draining = False
         self._drained_at: float | None = None
-        self._sent: _Sent | None = None
-        self._taken: _Sent | None = None
-        self._round = 0
+        self._sent: _SentOrder | None = None
+        self._accepted: _SentOrder | None = None
+        self._generation = 0
         self._failures = 0
         self._retry_at = float("-inf")
 
     @property
     def plan(self) -> Plan | None:
-        """Give the last plan that was read."""
+        """Return the last plan that was read."""
         return self._plan
 
     @property
     def changing(self) -> bool:
-        """Tell whether the engine changes, or an order to it is under way."""
-        if self._sent is not None or self._taken is not None:
+        """Return whether the engine is changing, or an order to it is in flight."""
+        if self._sent is not None or self._accepted is not None:
             return True
         return self._engine is not None and self._engine.changing
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event and give the commands that follow."""
-        commands = self._take(event, now)
+        """Handle one event and return the resulting commands."""
+        commands = self._apply(event, now)
         commands += self._decide(now)
-        return commands + self._read(now) + [WakeAt(self._next_time(now))]
+        return commands + self._request_reads(now) + [WakeAt(self._next_wake_at(now))]
 
     @singledispatchmethod
-    def _take(self, event: Event, now: float) -> list[Command]:
+    def _apply(self, event: Event, now: float) -> list[Command]:
         raise TypeError(f"unknown event {event!r}")
 
-    @_take.register
+    @_apply.register
     def _(self, event: Tick, now: float) -> list[Command]:
         return []
 
-    @_take.register
+    @_apply.register
     def _(self, event: HintReceived, now: float) -> list[Command]:
-        self._hint(now)
+        self._require_plan_read(now)
         return []
 
-    @_take.register
+    @_apply.register
     def _(self, event: PlanRead, now: float) -> list[Command]:
         self._reading_plan = False
-        # A read that was asked for before the hint may have missed what it told of.
-        self._hinted = event.asked_at < self._hinted_at
+        # A read sent before the hint may have missed the change that it announced.
+        self._needs_plan_read = event.asked_at < self._plan_read_needed_at
         plan = event.plan
         if plan is None:
             return []
-        if (plan.fencing, plan.number) < self._highest:
-            # Something newer has been seen; an order by this plan could undo it.
+        if (plan.fencing, plan.number) < self._highest_seen:
+            # A newer plan or fencing token has been seen; an order by this plan could
+            # undo what was done under it.
             return []
         if self._plan is not None and plan.number != self._plan.number:
-            self._forget_failures()
-        self._highest = (plan.fencing, plan.number)
+            self._reset_failures()
+        self._highest_seen = (plan.fencing, plan.number)
         self._plan = plan
         self._plan_asked_at = event.asked_at
         return []
 
-    @_take.register
+    @_apply.register
     def _(self, event: PlanUnreadable, now: float) -> list[Command]:
         self._reading_plan = False
         self._plan_asked_at = float("-inf")
-        # An engine held empty for an order that can't be given now serves nobody.
+        # The order can't be given now, so the drained engine would sit idle.
         return self._end_drain()
 
-    @_take.register
+    @_apply.register
     def _(self, event: EngineRead, now: float) -> list[Command]:
         self._reading_engine = False
         engine = event.engine
@@ -146,21 +147,21 @@
         )
         self._engine = engine
         self._engine_asked_at = event.asked_at
-        if engine.fencing > self._highest[0]:
-            self._highest = (engine.fencing, 0)
-            self._hint(now)
-        self._watch_quiet(engine, event.asked_at, now, restarted)
-        return self._conclude(engine, event.asked_at, now)
+        if engine.fencing > self._highest_seen[0]:
+            self._highest_seen = (engine.fencing, 0)
+            self._require_plan_read(now)
+        self._check_settled(engine, event.asked_at, now, restarted)
+        return self._check_accepted(engine, event.asked_at, now)
 
-    @_take.register
+    @_apply.register
     def _(self, event: EngineUnreachable, now: float) -> list[Command]:
         self._reading_engine = False
         self._engine_asked_at = float("-inf")
-        # What does not answer may still hold an unread order.
-        self._quiet_since = None
+        # An engine that does not answer may still have an unread order in its socket.
+        self._idle_since = None
         return []
 
-    @_take.register
+    @_apply.register
     def _(self, event: Drained, now: float) -> list[Command]:
         if self._draining and self._drained_at is None:
             self._drained_at = now
@@ -168,7 +169,7 @@
             self._plan_read_at = float("-inf")
         return []
 
-    @_take.register
+    @_apply.register
     def _(self, event: OrderAnswered, now: float) -> list[Command]:
         sent = self._sent
         if sent is None or sent.order.order_id != event.order_id:
@@ -176,59 +177,61 @@
         self._sent = None
         self._engine_asked_at = float("-inf")
         if event.outcome == ACCEPTED:
-            self._taken = sent._replace(taken_at=now)
+            self._accepted = sent._replace(accepted_at=now)
             return []
         if event.outcome == UNCLEAR:
             self._settled = False
-            self._quiet_since = None
+            self._idle_since = None
             return []
         if event.outcome == STALE:
-            self._highest = max(self._highest, (event.highest, 0))
+            self._highest_seen = max(self._highest_seen, (event.highest, 0))
         if event.outcome in (STALE, NOT_SENT):
-            self._hint(now)
+            self._require_plan_read(now)
         if event.outcome == REJECTED:
-            return self._fail(sent, "the engine rejected the order", now)
+            return self._record_failure(sent, "the engine rejected the order", now)
         return []
 
-    def _watch_quiet(
+    def _check_settled(
         self, engine: EngineStatus, asked_at: float, now: float, restarted: bool
     ) -> None:
-        """Find out whether an order of unknown fate may still take effect.
+        """Determine whether an order of unknown outcome may still take effect.
 
-        An order left behind by a dead predecessor, or one whose reply was lost, may
-        arrive after the next order and undo it. It sits on this host's own sockets, so
-        an engine that has answered twice over the settle time without starting to
-        change has read whatever was sent to it before.
+        An order from a dead predecessor, or one whose reply was lost, may arrive after
+        the next order and undo it. Such an order sits in this host's own sockets, so an
+        engine that has answered twice over the settle time without starting a change
+        has read everything that was sent to it before.
         """
         if self._settled:
             return
         if engine.changing or restarted:
-            self._quiet_since = None
+            self._idle_since = None
             return
-        if self._quiet_since is None:
-            self._quiet_since = now
+        if self._idle_since is None:
+            self._idle_since = now
             return
-        self._settled = asked_at - self._quiet_since >= self._terms.settle
+        self._settled = asked_at - self._idle_since >= self._terms.settle
 
-    def _conclude(
+    def _check_accepted(
         self, engine: EngineStatus, asked_at: float, now: float
     ) -> list[Command]:
-        """Compare the engine with the order that it took."""
-        taken = self._taken
-        if taken is None or engine.changing or asked_at < taken.taken_at:
+        """Check whether the order that the engine accepted has taken effect."""
+        accepted = self._accepted
+        if accepted is None or engine.changing or asked_at < accepted.accepted_at:
             return []
-        self._taken = None
-        order = taken.order
+        self._accepted = None
+        order = accepted.order
         if not _is_done(_Step(order.kind, order.adapter), order.wanted, engine):
-            # Crashed half-way, or the same order id was known and did nothing.
-            self._round += 1
-            return self._fail(taken, "the change did not last", now)
-        self._forget_failures()
+            # The engine crashed midway, or it knew the order id and did nothing.
+            self._generation += 1
+            return self._record_failure(accepted, "the change did not last", now)
+        self._reset_failures()
         cause = self._plan.cause if self._plan else ""
-        before, after = _describe(taken.before), _describe(engine)
+        before, after = _describe(accepted.before), _describe(engine)
         return [RecordAudit(f"engine:{order.kind}", cause, before, after)]
 
-    def _fail(self, sent: _Sent, cause: str, now: float) -> list[Command]:
+    def _record_failure(
+        self, sent: _SentOrder, cause: str, now: float
+    ) -> list[Command]:
         doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
         self._retry_at = now + self._terms.backoff * 2**doublings
         self._failures += 1
@@ -238,11 +241,11 @@
         )
         return [record, *self._end_drain()]
 
-    def _hint(self, now: float) -> None:
-        self._hinted = True
-        self._hinted_at = now
+    def _require_plan_read(self, now: float) -> None:
+        self._needs_plan_read = True
+        self._plan_read_needed_at = now
 
-    def _forget_failures(self) -> None:
+    def _reset_failures(self) -> None:
         self._failures = 0
         self._retry_at = float("-inf")
 
@@ -254,7 +257,7 @@
         return [EndDrain()]
 
     def _decide(self, now: float) -> list[Command]:
-        """Take the next step towards the plan, if one may be taken."""
+        """Start the next step towards the plan, if one is allowed now."""
         engine = self._engine
         if engine is None or self.changing:
             return []
@@ -271,86 +274,88 @@
             return [StartDrain(f"plan {self._plan.number}: {self._plan.cause}")]
         if not self._is_drained():
             return []
-        return [self._order(step, wanted, engine, now)]
+        return [self._make_order(step, wanted, engine, now)]
 
     def _get_wanted(self) -> Wanted | None:
-        """Give what the plan wants, unless something newer than the plan was seen."""
+        """Return the wanted state, unless a newer plan or fencing token was seen."""
         if self._plan is None:
             return None
-        if (self._plan.fencing, self._plan.number) < self._highest:
+        if (self._plan.fencing, self._plan.number) < self._highest_seen:
             return None
         return self._plan.wanted.get(self._host)
 
     def _is_fresh(self, now: float) -> bool:
-        """Tell whether plan and engine were read recently enough for a step."""
+        """Return whether plan and engine were read recently enough for a step."""
         oldest = min(self._plan_asked_at, self._engine_asked_at)
-        return not self._hinted and now - oldest < self._terms.fresh
+        return not self._needs_plan_read and now - oldest < self._terms.max_read_age
 
     def _is_drained(self) -> bool:
-        """Tell whether the engine is empty and all was read again since."""
+        """Return whether the engine is drained, and plan and engine were read since."""
         if self._drained_at is None:
             return False
         return min(self._plan_asked_at, self._engine_asked_at) >= self._drained_at
 
-    def _order(
+    def _make_order(
         self, step: _Step, wanted: Wanted, engine: EngineStatus, now: float
     ) -> SendOrder:
         order = SendOrder(
-            self._name_order(step, wanted, engine),
+            self._make_order_id(step, wanted, engine),
             self._plan.fencing,
             step.kind,
             wanted,
             step.adapter,
-            min(self._plan_asked_at, self._engine_asked_at) + self._terms.fresh,
+            min(self._plan_asked_at, self._engine_asked_at) + self._terms.max_read_age,
         )
-        self._sent = _Sent(order, engine)
+        self._sent = _SentOrder(order, engine)
         return order
 
-    def _name_order(self, step: _Step, wanted: Wanted, engine: EngineStatus) -> str:
-        """Name an order so that its repeat has the same name and a new one has not."""
-        what = repr((step, wanted, engine.incarnation, self._round))
-        digest = hashlib.sha256(what.encode()).hexdigest()[:12]
+    def _make_order_id(self, step: _Step, wanted: Wanted, engine: EngineStatus) -> str:
+        """Build an order id that a retry of the order shares and no other order has."""
+        # The digest covers the class and field names of `step` and `wanted`. Renaming
+        # one changes the ids, and an order retried after an upgrade is taken for new.
+        identity = repr((step, wanted, engine.incarnation, self._generation))
+        digest = hashlib.sha256(identity.encode()).hexdigest()[:12]
         return f"{self._host}-{self._plan.number}-{digest}"
 
-    def _read(self, now: float) -> list[Command]:
-        """Ask for what the next decision needs."""
+    def _request_reads(self, now: float) -> list[Command]:
+        """Request the reads that the next decision needs."""
         commands: list[Command] = []
-        if not self._reading_engine and now >= self._next_engine_read():
+        if not self._reading_engine and now >= self._next_engine_read_at():
             self._reading_engine = True
             self._engine_read_at = now
             commands.append(ReadEngine())
-        if not self._reading_plan and now >= self._next_plan_read():
+        if not self._reading_plan and now >= self._next_plan_read_at():
             self._reading_plan = True
             self._plan_read_at = now
             commands.append(ReadPlan())
         return commands
 
-    def _next_engine_read(self) -> float:
+    def _next_engine_read_at(self) -> float:
         wait = self._terms.busy_poll if self.changing else self._terms.poll
         return self._engine_read_at + wait
 
-    def _next_plan_read(self) -> float:
-        soon = self._hinted or self._draining or self._differs()
+    def _next_plan_read_at(self) -> float:
+        soon = self._needs_plan_read or self._draining or self._engine_differs()
         wait = self._terms.poll if soon else self._terms.plan_poll
         return self._plan_read_at + wait
 
-    def _differs(self) -> bool:
+    def _engine_differs(self) -> bool:
         wanted = self._get_wanted()
         if wanted is None or self._engine is None:
             return False
         return _find_step(wanted, self._engine) is not None
 
-    def _next_time(self, now: float) -> float:
+    def _next_wake_at(self, now: float) -> float:
         times = [now + self._terms.poll]
         if not self._reading_engine:
-            times.append(self._next_engine_read())
+            times.append(self._next_engine_read_at())
         if not self._reading_plan:
-            times.append(self._next_plan_read())
+            times.append(self._next_plan_read_at())
         return max(now, min(times))
 
 
 def _find_step(wanted: Wanted, engine: EngineStatus) -> _Step | None:
-    """Find the first order that brings the engine nearer to what is wanted."""
+    """Find the first step that the engine still needs to reach the wanted state."""
     steps = [_Step(MODEL), _Step(ROLE)]
     steps += [_Step(ADAPTER, adapter) for adapter in wanted.adapters]
     return next((step for step in steps if not _is_done(step, wanted, engine)), None)
--- a/radishtally/authority/plan.py
+++ b/radishtally/authority/plan.py
@@ -1,4 +1,4 @@
-"""Hold what a place's planner wants of its engines, and form the rows that say so."""
+"""Plans and drains, and the table rows that store them."""
 
 from typing import Any, Final, NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class Wanted(NamedTuple):
-    """Say what one engine is to be."""
+    """Represent the state that the plan wants one engine to have."""
 
     role: str
     model: str
@@ -18,20 +18,20 @@
 
 
 class Plan(NamedTuple):
-    """Say what every engine of a place is to be."""
+    """Represent the wanted state of every engine of a place."""
 
     place: str
     number: int
-    """Grows by one with each plan of the place."""
+    """Increases by one with each plan of the place."""
     fencing: int
-    """Fencing number of the lease under which the plan was written."""
+    """Fencing token of the lease under which the plan was written."""
     cause: str
     wanted: dict[str, Wanted]
-    """By host."""
+    """Wanted state by host."""
 
 
 class Drain(NamedTuple):
-    """Say whether an operator wants a host to take no work."""
+    """Represent whether an operator wants a host to accept no work."""
 
     host: str
     drained: bool
@@ -40,12 +40,12 @@
 
 
 def make_plan_key(place: str) -> Key:
-    """Name the row of a place's plan."""
+    """Return the key of a place's plan row."""
     return Key(PLAN, place)
 
 
 def make_drain_key(host: str) -> Key:
-    """Name the row of a host's drain."""
+    """Return the key of a host's drain row."""
     return Key(DRAIN, host)
 
 
@@ -56,7 +56,7 @@
     cause: str,
     wanted: dict[str, Wanted],
 ) -> Plan:
-    """Form the plan that comes after the previous one."""
+    """Build the successor of the previous plan."""
     number = 1 if previous is None else previous.number + 1
     return Plan(place, number, fencing, cause, wanted)
 
@@ -64,23 +64,23 @@
 def make_plan_writes(
     plan: Plan, previous_rev: int, lease: Check, audit: Put
 ) -> list[Write]:
-    """Form the transaction that puts a plan in force.
+    """Build the transaction that puts a plan in force.
 
-    A planner that was paused while its lease went to another one still believes in its
-    plan; the check on the lease row's revision makes the whole transaction void then.
+    A planner that was paused while another one took over its lease would still write
+    its plan; the check on the lease row's revision then fails the whole transaction.
     """
     put = Put(make_plan_key(plan.place), encode_record(plan), previous_rev)
     return [lease, put, audit]
 
 
 def make_drain_writes(drain: Drain, previous: Row | None, audit: Put) -> list[Write]:
-    """Form the transaction that drains a host or takes the drain back."""
+    """Build the transaction that drains a host or ends its drain."""
     expect = ABSENT if previous is None else previous.rev
     return [Put(make_drain_key(drain.host), encode_record(drain), expect), audit]
 
 
 def encode_record(record: Plan | Drain) -> dict[str, Any]:
-    """Give a record as a row's value."""
+    """Encode a plan or a drain as a row's value."""
     value = record._asdict()
     if isinstance(record, Plan):
         value["wanted"] = {host: w._asdict() for host, w in record.wanted.items()}
@@ -88,14 +88,14 @@
 
 
 def read_plan_row(row: Row) -> Plan:
-    """Read a plan back from its row."""
+    """Decode a plan from its row."""
     wanted = {
-        host: Wanted(**{**one, "adapters": tuple(one["adapters"])})
-        for host, one in row.value["wanted"].items()
+        host: Wanted(**{**state, "adapters": tuple(state["adapters"])})
+        for host, state in row.value["wanted"].items()
     }
     return Plan(**{**row.value, "wanted": wanted})
 
 
 def read_drain_row(row: Row) -> Drain:
-    """Read a drain back from its row."""
+    """Decode a drain from its row."""
     return Drain(**row.value)
--- a/radishtally/authority/plan_store.py
+++ b/radishtally/authority/plan_store.py
@@ -1,4 +1,4 @@
-"""Keep plans and drains in the table."""
+"""Store plans and drains in the table."""
 
 import time
 from collections.abc import Callable
@@ -34,18 +34,19 @@
 from radishtally.store.ids import WriteIds
 from radishtally.store.settle import transact_settled
 
-WRITE_SECONDS: Final = 2.0
-ATTEMPTS: Final = 3
-"""Tries of a transaction that meets a renewal of our own lease, or another's edit."""
-DRAIN_ROWS: Final = 10_000
+WRITE_TIMEOUT_SECONDS: Final = 2.0
+MAX_ATTEMPTS: Final = 3
+"""Attempts of a transaction that conflicts with a renewal of this process's own lease,
+or with an edit by another process."""
+MAX_DRAIN_ROWS: Final = 10_000
 
 
 class NotHeld(NamedTuple):
-    """Say that the lease is not held, so nothing was written."""
+    """Error: the lease is not held, so nothing was written."""
 
 
 class Superseded(NamedTuple):
-    """Say that another plan stands than the one that was built on."""
+    """Error: the plan in force is not the one that the new plan was built on."""
 
     current: Plan | None
 
@@ -54,14 +55,14 @@
 
 
 class Lease(Protocol):
-    """Tell whether the planner lease is held, as the lease's holder does."""
+    """Provide the planner lease's fencing token and check, as LeaseDriver does."""
 
     @property
     def fencing(self) -> int | None:
-        """Give the fencing number if the lease is held now."""
+        """Return the fencing token if the lease is held now."""
 
     def make_check(self) -> Check | None:
-        """Form the check that binds a transaction to the lease as held now."""
+        """Build the check that makes a transaction fail once the lease has moved on."""
 
 
 def _read_wall_ms() -> int:
@@ -99,10 +100,10 @@
         cause: str,
         lease: Lease,
     ) -> Result[Plan, PlanError]:
-        """Put a plan in force that was built on the previous one."""
+        """Put in force a plan that was built on the previous one."""
         fencing = lease.fencing
         result: Result[Plan, PlanError] = Error(NotHeld())
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             if fencing is None or lease.fencing != fencing:
                 return Error(NotHeld())
             result = await self._try_plan(place, previous, wanted, cause, lease)
@@ -111,17 +112,17 @@
         return result
 
     async def read_drains(self) -> Result[dict[str, Drain], ReadError]:
-        """Read the drains of all hosts that ever had one."""
-        result = await self._table.query(DRAIN, limit=DRAIN_ROWS)
+        """Read the drain rows of all hosts that have ever had one."""
+        result = await self._table.query(DRAIN, limit=MAX_DRAIN_ROWS)
         return result.map(_read_drains)
 
     async def write_drain(
         self, host: str, drained: bool, who: str, cause: str
     ) -> Result[Drain, TableError | ReadError]:
-        """Drain a host or take the drain back."""
+        """Drain a host or end its drain."""
         drain = Drain(host, drained, who, cause)
         result: Result[Drain, TableError | ReadError] = Ok(drain)
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             result = await self._try_drain(drain)
             if result.is_ok() or not isinstance(result.error, Conflict):
                 return result
@@ -141,7 +142,8 @@
         current = _read_plan(read.ok)
         if current != previous:
             return Error(Superseded(current))
-        # Asked for after the read, which can last: a process may be paused at any line.
+        # Check the lease after the read, which may take long: this process may have
+        # been paused meanwhile.
         check, fencing = lease.make_check(), lease.fencing
         if check is None or fencing is None:
             return Error(NotHeld())
@@ -161,14 +163,14 @@
 
     async def _transact(self, writes: list[Write]) -> Result[None, TableError]:
         write_id = self._ids.make()
-        deadline = self._clock() + WRITE_SECONDS
+        deadline = self._clock() + WRITE_TIMEOUT_SECONDS
         return await transact_settled(
             self._table, writes, write_id, deadline=deadline, clock=self._clock
         )
 
     def _audit_plan(self, previous: Plan | None, plan: Plan) -> Put:
-        before = _list_changes(plan, previous)
-        after = _list_changes(previous, plan)
+        before = _list_changed_hosts(plan, previous)
+        after = _list_changed_hosts(previous, plan)
         return make_audit_put(
             self._clock_ms(),
             self._host,
@@ -203,8 +205,8 @@
     return {drain.host: drain for drain in drains}
 
 
-def _list_changes(base: Plan | None, plan: Plan | None) -> dict[str, object]:
-    """Give only the hosts that differ, since a plan names all hosts of a place."""
+def _list_changed_hosts(base: Plan | None, plan: Plan | None) -> dict[str, object]:
+    """List only the hosts that differ, since a plan names all hosts of a place."""
     known = {} if base is None else base.wanted
     hosts = {} if plan is None else plan.wanted
     return {h: w._asdict() for h, w in hosts.items() if known.get(h) != w}
--- a/tests/authority/test_lease.py
+++ b/tests/authority/test_lease.py
@@ -17,16 +17,16 @@
 from radishtally.authority.lease import LeaseCore
 from radishtally.authority.lease_events import (
     Command,
-    Contend,
     Event,
-    Gained,
+    FencingOutdated,
+    LeaseGained,
+    LeaseLost,
     LeaseTerms,
-    LostLease,
-    Outdated,
     ReadFailed,
     ReadLease,
     Resign,
     RowRead,
+    SetContending,
     Tick,
     WakeAt,
     WriteLease,
@@ -79,10 +79,10 @@
         if isinstance(command, ReadLease | WriteLease):
             assert self.call is None and self.reply is None, "two calls under way"
             self.call = command
-        if isinstance(command, Gained):
+        if isinstance(command, LeaseGained):
             assert not self.gained or command.fencing > self.gained[-1]
             self.gained.append(command.fencing)
-        if isinstance(command, LostLease):
+        if isinstance(command, LeaseLost):
             self.lost.append(command.cause)
 
     def serve(self, fate: str, time: float) -> None:
@@ -171,12 +171,12 @@
     def refuse_number(self, name: str) -> None:
         contender = self.contenders[name]
         if contender.holds(self.time):
-            contender.handle(Outdated(contender.core.fencing), self.time)
+            contender.handle(FencingOutdated(contender.core.fencing), self.time)
             assert not contender.holds(self.time)
 
     @rule(name=st.sampled_from(NAMES), contends=st.booleans())
     def contend(self, name: str, contends: bool) -> None:
-        self.contenders[name].handle(Contend(contends), self.time)
+        self.contenders[name].handle(SetContending(contends), self.time)
 
     @rule(
         name=st.sampled_from(NAMES),
@@ -333,7 +333,7 @@
     commands = first.core.handle(Tick(), 3.0)
     assert isinstance(commands[-1], WriteLease)
     assert first.core.handle(Tick(), 4.0) == [WakeAt(9.0)]
-    assert first.core.handle(Tick(), 9.0) == [LostLease("not renewed in time")]
+    assert first.core.handle(Tick(), 9.0) == [LeaseLost("not renewed in time")]
 
 
 def test_renewal_that_answers_after_the_lapse_takes_a_new_number(contend) -> None:
@@ -355,12 +355,12 @@
 def test_number_that_was_refused_is_replaced_by_a_new_one(contend) -> None:
     first = contend("a")
     first.step(0.0)
-    first.handle(Outdated(1), 1.0)
+    first.handle(FencingOutdated(1), 1.0)
     assert first.lost == ["fencing number out of date"]
     assert not first.holds(1.0)
     first.step(1.0)
     assert first.gained == [1, 2]
-    first.handle(Outdated(1), 2.0)
+    first.handle(FencingOutdated(1), 2.0)
     assert first.holds(2.0)
 
 
@@ -370,7 +370,7 @@
     first, second = contend("a"), contend("c")
     first.step(0.0)
     second.step(0.0)
-    first.handle(Outdated(1), 1.0)
+    first.handle(FencingOutdated(1), 1.0)
     run_until(second, 1.0, 10.0)
     assert not second.holds(10.0)
     run_until(second, 10.5, 13.0)
@@ -384,7 +384,7 @@
     first.step(0.0)
     run_until(second, 0.0, 13.0)
     assert second.holds(13.0)
-    first.core.handle(Outdated(1), first.read_clock(13.0))
+    first.core.handle(FencingOutdated(1), first.read_clock(13.0))
     first.step(13.5)
     assert not first.holds(13.5)
     assert second.holds(13.5)
@@ -394,7 +394,7 @@
 # them were enough: each look is a call to the store.
 def test_process_that_does_not_contend_makes_no_calls(contend) -> None:
     first = contend("a")
-    first.handle(Contend(False), 0.0)
+    first.handle(SetContending(False), 0.0)
     for second in range(60):
         first.handle(Tick(), float(second))
         assert first.call is None
@@ -405,7 +405,7 @@
 def test_holder_that_no_longer_contends_keeps_its_lease(contend) -> None:
     first = contend("a")
     first.step(0.0)
-    first.handle(Contend(False), 1.0)
+    first.handle(SetContending(False), 1.0)
     run_until(first, 1.0, 30.0)
     assert first.gained == [1]
     assert first.lost == []
@@ -417,9 +417,9 @@
     first, second = contend("a"), contend("c")
     first.step(0.0)
     second.step(0.0)
-    second.handle(Contend(False), 1.0)
+    second.handle(SetContending(False), 1.0)
     run_until(first, 1.0, 60.0)
-    second.handle(Contend(True), 60.0)
+    second.handle(SetContending(True), 60.0)
     second.step(60.0)
     assert first.holds(60.0)
     assert not second.holds(60.0)
--- a/tests/authority/test_lease_driver.py
+++ b/tests/authority/test_lease_driver.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from radishtally.authority.lease_driver import READERS, LeaseDriver
+from radishtally.authority.lease_driver import FULL_RATE_CONTENDERS, LeaseDriver
 from radishtally.authority.lease_events import LeaseTerms
 from radishtally.outcome import Error, Ok, Result
 from radishtally.store.core import Key, Row, TableError, Unavailable, Unclear, Write
@@ -17,7 +17,8 @@
 # Calls to the store grow with the gateways though one of them looking is enough. Nor
 # may they look so seldom that a row renewed in between seems to have lapsed.
 @pytest.mark.parametrize(
-    ("contenders", "seconds"), [(1, 2.0), (READERS, 2.0), (8, 4.0), (330, 5.5)]
+    ("contenders", "seconds"),
+    [(1, 2.0), (FULL_RATE_CONTENDERS, 2.0), (8, 4.0), (330, 5.5)],
 )
 def test_contenders_share_the_looks_at_the_lease(
     contenders: int, seconds: float
@@ -90,7 +91,7 @@
         table.holder, table.era = holder, 2
         holder.start()
         while not holder._core.row.is_current:
-            assert holder._core._busy
+            assert holder._core._call_in_flight
             await asyncio.sleep(0)
         assert table.reads == 2
         await holder.stop()
--- a/tests/authority/test_lease_eras.py
+++ b/tests/authority/test_lease_eras.py
@@ -11,13 +11,13 @@
 from radishtally.authority.lease_events import (
     LEASE,
     RELEASED,
-    Contend,
     EraEntered,
+    FencingOutdated,
     LeaseValue,
-    Outdated,
     ReadLease,
     Resign,
     RowRead,
+    SetContending,
     Tick,
     WriteLease,
 )
@@ -161,11 +161,11 @@
     def refuse_number(self, name: str) -> None:
         contender = self.contenders[name]
         if contender.holds(self.time):
-            contender.handle(Outdated(contender.core.fencing), self.time)
+            contender.handle(FencingOutdated(contender.core.fencing), self.time)
 
     @rule(name=st.sampled_from(NAMES), contends=st.booleans())
     def contend(self, name: str, contends: bool) -> None:
-        self.contenders[name].handle(Contend(contends), self.time)
+        self.contenders[name].handle(SetContending(contends), self.time)
 
     @rule(
         name=st.sampled_from(NAMES),
--- a/tests/authority/test_lease_model.py
+++ b/tests/authority/test_lease_model.py
@@ -16,10 +16,10 @@
 from radishtally.audit.core import make_audit_put
 from radishtally.authority.lease import LeaseCore
 from radishtally.authority.lease_events import (
-    Contend,
+    FencingOutdated,
     LeaseTerms,
-    Outdated,
     Resign,
+    SetContending,
     Tick,
     WriteLease,
 )
@@ -173,13 +173,13 @@
     def refuse_number(self, name: str, place: str) -> None:
         slot = self.processes[name].slots.get(place)
         if slot is not None and slot.holds(self.time):
-            slot.handle(Outdated(slot.core.fencing), self.time)
+            slot.handle(FencingOutdated(slot.core.fencing), self.time)
 
     @rule(name=names, place=places, contends=st.booleans())
     def contend(self, name: str, place: str, contends: bool) -> None:
         slot = self.processes[name].slots.get(place)
         if slot is not None:
-            slot.handle(Contend(contends), self.time)
+            slot.handle(SetContending(contends), self.time)
 
     @rule(name=names, place=places, terms=st.sampled_from([TERMS, LONG_TERMS]))
     def change_terms(self, name: str, place: str, terms: LeaseTerms) -> None:
@@ -278,7 +278,7 @@
             for place in PLACES:
                 if place not in slots:
                     self.take_up(name, place)
-                slots[place].handle(Contend(True), self.time)
+                slots[place].handle(SetContending(True), self.time)
         self.run_seconds(awake, round(QUIET_SECONDS))
         for place in PLACES:
             held = [slot for slot in self.list_slots(place) if slot.holds(self.time)]
--- a/tests/authority/test_lease_retaken.py
+++ b/tests/authority/test_lease_retaken.py
@@ -6,8 +6,8 @@
 
 from radishtally.authority.lease import LeaseCore
 from radishtally.authority.lease_events import (
-    Contend,
     Resign,
+    SetContending,
     Tick,
 )
 from radishtally.store.ids import WriteIds
@@ -104,7 +104,7 @@
     first.step(4.0)
     assert first.holds(4.0)
     assert first.rows.apply([write.put], write.write_id).is_error()
-    second.core.handle(Contend(True), second.read_clock(5.0))
+    second.core.handle(SetContending(True), second.read_clock(5.0))
     second.step(5.0)
     assert not second.holds(5.0)
     assert first.gained == [1, 2]
--- a/tests/authority/test_lease_stalls.py
+++ b/tests/authority/test_lease_stalls.py
@@ -7,14 +7,14 @@
 from radishtally.authority.lease import LeaseCore
 from radishtally.authority.lease_events import (
     LEASE,
-    Misread,
     ReadLease,
+    RowInvalid,
     RowRead,
     Tick,
     WriteLease,
     WriteSettled,
 )
-from radishtally.authority.lease_value import MAX_GRANTED_SECONDS, MAX_NUMBER
+from radishtally.authority.lease_value import MAX_GRANTED_SECONDS, MAX_SAFE_INTEGER
 from radishtally.outcome import Ok
 from radishtally.store.core import Key, Put, Row
 from radishtally.store.ids import WriteIds
@@ -148,7 +148,7 @@
     "fraction": {"fencing": 7.5},
     "truth value": {"fencing": True},
     "negative number": {"fencing": -1},
-    "number that is far too high": {"fencing": MAX_NUMBER + 1},
+    "number that is far too high": {"fencing": MAX_SAFE_INTEGER + 1},
     "time that is far too long": {"granted": MAX_GRANTED_SECONDS + 1},
     "no time": {"granted": float("nan")},
     "era of another type": {"era": "1"},
@@ -171,7 +171,7 @@
         for command in core.handle(Tick(), now):
             if isinstance(command, ReadLease):
                 found = core.handle(RowRead(rows.read(KEY), now), now)
-                told += [one for one in found if isinstance(one, Misread)]
+                told += [one for one in found if isinstance(one, RowInvalid)]
                 write = next((o for o in found if isinstance(o, WriteLease)), None)
                 if write is not None:
                     assert rows.apply([write.put], write.write_id).is_ok()
@@ -186,4 +186,4 @@
     core = LeaseCore(PLACE, "a", WriteIds("a-1"), TERMS)
     core.handle(Tick(), 0.0)
     core.handle(RowRead(Row(KEY, 41, "foreign", {}), 0.0), 0.0)
-    assert core.row.find_number() == 42
+    assert core.row.choose_fencing() == 42
--- a/tests/authority/test_orders.py
+++ b/tests/authority/test_orders.py
@@ -154,7 +154,7 @@
             assert self.in_flight is None, "two orders in flight"
             assert self.drain == "drained", "an order would cut requests short"
             age = self.now - self.plan_read_at
-            assert age < TERMS.fresh, "an order without the plan row just read"
+            assert age < TERMS.max_read_age, "an order without the plan row just read"
             self.in_flight = command
             self.unsent = True
 
