--- a/tests/authority/test_lease.py
+++ b/tests/authority/test_lease.py
@@ -1,4 +1,4 @@
-"""Test the planner lease."""
+"""Tests of the planner lease's core."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -47,12 +47,12 @@
 MAX_CALLS = 20
 SERVED = "served"
 REPLY_LOST = "reply lost"
-LATE = "late"
+DELAYED = "late"
 REFUSED = "refused"
 
 
 class Contender:
-    """Run one lease core on a clock of its own against shared rows."""
+    """Run one lease core against shared rows, on a skewed and drifting clock."""
 
     def __init__(self, name: str, rows: Rows, gained: list[int]) -> None:
         self.core = LeaseCore(PLACE, name, WriteIds(f"{name}-1"), TERMS)
@@ -62,7 +62,7 @@
         self.gained = gained
         self.call: ReadLease | WriteLease | None = None
         self.reply: Event | None = None
-        self.late: list[WriteLease] = []
+        self.delayed: list[WriteLease] = []
         self.lost: list[str] = []
 
     def read_clock(self, time: float) -> float:
@@ -77,7 +77,7 @@
 
     def execute(self, command: Command) -> None:
         if isinstance(command, ReadLease | WriteLease):
-            assert self.call is None and self.reply is None, "two calls under way"
+            assert self.call is None and self.reply is None, "two calls in flight"
             self.call = command
         if isinstance(command, LeaseGained):
             assert not self.gained or command.fencing > self.gained[-1]
@@ -86,18 +86,18 @@
             self.lost.append(command.cause)
 
     def serve(self, fate: str, time: float) -> None:
-        """Let the table meet the call; the reply waits until it is delivered."""
+        """Handle the call at the table; the reply waits for deliver()."""
         call, self.call = self.call, None
         if isinstance(call, ReadLease):
-            failed = fate in (REFUSED, LATE)
+            failed = fate in (REFUSED, DELAYED)
             row = RowRead(self.rows.read(call.key), self.read_clock(time))
             self.reply = ReadFailed() if failed else row
             return
         if fate == REFUSED:
             self.reply = WriteSettled(call.write_id, Error(Unavailable("")))
             return
-        if fate == LATE:
-            self.late.append(call)
+        if fate == DELAYED:
+            self.delayed.append(call)
             self.reply = WriteSettled(call.write_id, Error(Unclear("")))
             return
         result = self.rows.apply([call.put], call.write_id)
@@ -110,7 +110,7 @@
         self.handle(reply, time)
 
     def step(self, time: float) -> None:
-        """Do all that can be done at this time, with a table that works."""
+        """Do everything possible at this time, with a working table."""
         self.handle(Tick(), time)
         for _ in range(MAX_CALLS):
             if self.call is None and self.reply is None:
@@ -118,11 +118,11 @@
             if self.call is not None:
                 self.serve(SERVED, time)
             self.deliver(time)
-        raise AssertionError("calls the table without end")
+        raise AssertionError("the contender keeps calling the table")
 
 
 class PlanWrite(NamedTuple):
-    """Hold a plan that a holder decided on and has not sent yet."""
+    """Represent a plan that a holder has decided on and not yet sent."""
 
     fencing: int
     check: Check
@@ -130,11 +130,11 @@
 
 @settings(max_examples=300, stateful_step_count=60)
 class LeaseMachine(RuleBasedStateMachine):
-    """Pause contenders at any step, lose replies and let writes arrive late.
+    """Pause contenders at any step, lose replies and delay writes.
 
-    What must not be seen: two planners that both may give orders, or a plan of the
-    former one in force after the later one took over. A contender does nothing until
-    a rule picks it, so every one is paused between any two steps.
+    Guards against two planners that may both give orders, and against a plan of the
+    former planner in force after the next one took over. A contender acts only when a
+    rule picks it, so each is paused between any two of its steps.
     """
 
     def __init__(self) -> None:
@@ -159,28 +159,28 @@
         if self.contenders[name].holds(self.time):
             self.contenders[name].handle(Resign(), self.time)
             restarted = Contender(name, self.rows, self.gained)
-            restarted.late = self.contenders[name].late
+            restarted.delayed = self.contenders[name].delayed
             call = self.contenders[name].call
             if isinstance(call, WriteLease):
-                restarted.late.append(call)
+                restarted.delayed.append(call)
             core = LeaseCore(PLACE, name, WriteIds(f"{name}-{self.time}"), TERMS)
             restarted.core = core
             self.contenders[name] = restarted
 
     @rule(name=st.sampled_from(NAMES))
-    def refuse_number(self, name: str) -> None:
+    def refuse_fencing(self, name: str) -> None:
         contender = self.contenders[name]
         if contender.holds(self.time):
             contender.handle(FencingOutdated(contender.core.fencing), self.time)
             assert not contender.holds(self.time)
 
     @rule(name=st.sampled_from(NAMES), contends=st.booleans())
-    def contend(self, name: str, contends: bool) -> None:
+    def set_contending(self, name: str, contends: bool) -> None:
         self.contenders[name].handle(SetContending(contends), self.time)
 
     @rule(
         name=st.sampled_from(NAMES),
-        fate=st.sampled_from([SERVED, REPLY_LOST, LATE, REFUSED]),
+        fate=st.sampled_from([SERVED, REPLY_LOST, DELAYED, REFUSED]),
     )
     def serve(self, name: str, fate: str) -> None:
         if self.contenders[name].call is not None:
@@ -192,10 +192,10 @@
             self.contenders[name].deliver(self.time)
 
     @rule(name=st.sampled_from(NAMES))
-    def land_late_write(self, name: str) -> None:
-        late = self.contenders[name].late
-        if late:
-            write = late.pop(0)
+    def apply_delayed_write(self, name: str) -> None:
+        delayed = self.contenders[name].delayed
+        if delayed:
+            write = delayed.pop(0)
             self.rows.apply([write.put], write.write_id)
 
     @rule(name=st.sampled_from(NAMES), seconds=st.integers(1, 14))
@@ -217,7 +217,7 @@
     @precondition(lambda self: self.plans)
     @rule(last=st.booleans())
     def write_plan(self, last: bool) -> None:
-        """Send a plan, however long ago it was decided on."""
+        """Send a plan, no matter how long ago it was decided on."""
         fencing, check = self.plans.pop(-1 if last else 0)
         row = self.rows.read(make_plan_key(PLACE))
         rev = ABSENT if row is None else row.rev
@@ -245,7 +245,7 @@
 
 
 @pytest.fixture
-def contend(rows: Rows) -> Callable[[str], Contender]:
+def make_contender(rows: Rows) -> Callable[[str], Contender]:
     gained: list[int] = []
     return lambda name: Contender(name, rows, gained)
 
@@ -257,23 +257,25 @@
         time += 0.5
 
 
-def test_first_contender_gains_with_fencing_one(contend) -> None:
-    first = contend("a")
+def test_first_contender_gains_lease_with_fencing_one(make_contender) -> None:
+    first = make_contender("a")
     first.step(0.0)
     assert first.gained == [1]
     assert first.holds(8.9)
     assert not first.holds(9.0)
 
 
-def test_renewed_lease_is_kept_with_its_fencing(contend) -> None:
-    first = contend("a")
+def test_renewed_lease_is_kept_with_its_fencing(make_contender) -> None:
+    first = make_contender("a")
     run_until(first, 0.0, 60.0)
     assert first.gained == [1]
     assert first.lost == []
 
 
-def test_contender_takes_over_after_watching_the_whole_time(contend) -> None:
-    first, second = contend("a"), contend("c")
+def test_contender_takes_over_after_observing_the_row_for_a_whole_lease(
+    make_contender,
+) -> None:
+    first, second = make_contender("a"), make_contender("c")
     first.step(0.0)
     run_until(second, 0.0, 10.5)
     assert not second.holds(10.5)
@@ -282,8 +284,8 @@
     assert first.gained == [1, 2]
 
 
-def test_resigned_lease_is_taken_over_at_once(contend) -> None:
-    first, second = contend("a"), contend("c")
+def test_resigned_lease_is_taken_over_at_once(make_contender) -> None:
+    first, second = make_contender("a"), make_contender("c")
     first.step(0.0)
     second.step(0.0)
     first.handle(Resign(), 1.0)
@@ -294,11 +296,13 @@
     assert second.holds(2.0)
 
 
-def test_store_down_ends_the_lease_and_not_the_process(contend) -> None:
-    # The planner's orders stop a margin before its lease ends, since it can't renew.
-    # Once the store is back it takes the lease again, under a new fencing number,
-    # because others may have acted in between.
-    first = contend("a")
+def test_lease_lapses_while_the_store_is_down_and_is_regained_afterwards(
+    make_contender,
+) -> None:
+    # A planner that can't renew stops giving orders a margin before its lease ends.
+    # When the store is back, it gains the lease again under a new fencing token,
+    # because other planners may have acted in between.
+    first = make_contender("a")
     first.step(0.0)
     for second in range(1, 13):
         first.handle(Tick(), float(second))
@@ -310,11 +314,13 @@
     assert first.gained == [1, 2]
 
 
-@pytest.mark.parametrize("fate", [REPLY_LOST, LATE])
-def test_unclear_takeover_is_settled_by_reading(contend, fate: str) -> None:
-    # The reply to the first write of the lease is lost. Whether the row stands is
-    # read and told by the write id; the time counts from before the lost write.
-    first = contend("a")
+@pytest.mark.parametrize("fate", [REPLY_LOST, DELAYED])
+def test_takeover_with_lost_reply_is_resolved_by_a_read(
+    make_contender, fate: str
+) -> None:
+    # The reply to the first write of the lease is lost. A read of the row shows by the
+    # write id whether it took effect; the lease counts from before that write.
+    first = make_contender("a")
     first.handle(Tick(), 0.0)
     first.serve(SERVED, 0.0)
     first.deliver(0.0)
@@ -327,8 +333,8 @@
     assert not first.holds(9.0)
 
 
-def test_busy_holder_still_asks_to_be_woken_at_its_end(contend) -> None:
-    first = contend("a")
+def test_holder_with_a_call_in_flight_wakes_when_its_lease_ends(make_contender) -> None:
+    first = make_contender("a")
     first.step(0.0)
     commands = first.core.handle(Tick(), 3.0)
     assert isinstance(commands[-1], WriteLease)
@@ -336,11 +342,13 @@
     assert first.core.handle(Tick(), 9.0) == [LeaseLost("not renewed in time")]
 
 
-def test_renewal_that_answers_after_the_lapse_takes_a_new_number(contend) -> None:
-    # The reply to a renewal comes after the holder has told its planner that the lease
-    # is lost. The row is still its own, but the planner has dropped its intentions:
-    # it goes on only under a new fencing number, so nothing old passes for new.
-    first = contend("a")
+def test_renewal_confirmed_after_the_lapse_gets_a_new_fencing_token(
+    make_contender,
+) -> None:
+    # The reply to a renewal comes after the holder has reported the loss of the lease.
+    # The row is still its own, but the planner has dropped its state, so it continues
+    # only under a new fencing token; nothing sent under the old one may count as new.
+    first = make_contender("a")
     first.step(0.0)
     first.handle(Tick(), 3.0)
     first.serve(SERVED, 3.0)
@@ -352,8 +360,8 @@
     assert first.gained == [1, 2]
 
 
-def test_number_that_was_refused_is_replaced_by_a_new_one(contend) -> None:
-    first = contend("a")
+def test_refused_fencing_token_is_replaced_by_a_new_one(make_contender) -> None:
+    first = make_contender("a")
     first.step(0.0)
     first.handle(FencingOutdated(1), 1.0)
     assert first.lost == ["fencing number out of date"]
@@ -364,10 +372,12 @@
     assert first.holds(2.0)
 
 
-# Two holders order one engine in turns: the one whose number was refused has written
-# that it let the lease go, and another one takes it at once.
-def test_no_other_one_takes_over_at_once_when_a_number_is_refused(contend) -> None:
-    first, second = contend("a"), contend("c")
+# Guards against two holders that give orders to one engine in turns: a holder whose
+# fencing token was refused releases the lease, and another contender gains it at once.
+def test_other_contender_waits_for_the_lapse_after_a_refused_token(
+    make_contender,
+) -> None:
+    first, second = make_contender("a"), make_contender("c")
     first.step(0.0)
     second.step(0.0)
     first.handle(FencingOutdated(1), 1.0)
@@ -377,10 +387,10 @@
     assert second.holds(13.0)
 
 
-# The number was refused because another one has taken the lease over: nothing is
-# ordered until that one's time has passed.
-def test_refused_holder_waits_where_another_one_has_taken_over(contend) -> None:
-    first, second = contend("a"), contend("c")
+# The token was refused because another process has taken over the lease. The refused
+# holder must wait until that lease has lapsed.
+def test_refused_holder_waits_if_another_process_has_taken_over(make_contender) -> None:
+    first, second = make_contender("a"), make_contender("c")
     first.step(0.0)
     run_until(second, 0.0, 13.0)
     assert second.holds(13.0)
@@ -390,20 +400,20 @@
     assert second.holds(13.5)
 
 
-# Each of 68 processes looked at the lease in turn, ten times a minute, though ten of
-# them were enough: each look is a call to the store.
-def test_process_that_does_not_contend_makes_no_calls(contend) -> None:
-    first = contend("a")
+# Guards against needless load on the store: each of 68 processes read the lease ten
+# times a minute, although ten of the processes would have been enough.
+def test_process_that_does_not_contend_makes_no_calls(make_contender) -> None:
+    first = make_contender("a")
     first.handle(SetContending(False), 0.0)
     for second in range(60):
         first.handle(Tick(), float(second))
         assert first.call is None
 
 
-# A holder stops giving orders without need: that others may take over from now on is no
-# reason to let the lease lapse.
-def test_holder_that_no_longer_contends_keeps_its_lease(contend) -> None:
-    first = contend("a")
+# Guards against a holder that lets its lease lapse only because it has stopped
+# contending for future leases.
+def test_holder_that_no_longer_contends_keeps_its_lease(make_contender) -> None:
+    first = make_contender("a")
     first.step(0.0)
     first.handle(SetContending(False), 1.0)
     run_until(first, 1.0, 30.0)
@@ -411,10 +421,10 @@
     assert first.lost == []
 
 
-# Two processes give orders: one that had long not looked took over at once by the row
-# as it had stood then, which its holder had renewed ever since.
-def test_process_that_contends_again_goes_by_a_new_look(contend) -> None:
-    first, second = contend("a"), contend("c")
+# Guards against two holders: a process that had not read the row for long takes over at
+# once, by an old copy of a row that its holder has renewed ever since.
+def test_process_that_contends_again_reads_the_row_first(make_contender) -> None:
+    first, second = make_contender("a"), make_contender("c")
     first.step(0.0)
     second.step(0.0)
     second.handle(SetContending(False), 1.0)
--- a/tests/authority/test_lease_driver.py
+++ b/tests/authority/test_lease_driver.py
@@ -1,4 +1,4 @@
-"""Tests of driving a lease."""
+"""Tests of the lease driver."""
 
 import asyncio
 
@@ -14,13 +14,13 @@
 TERMS = LeaseTerms(granted=6.0, margin=0.5, renew_every=2.0, read_every=2.0)
 
 
-# Calls to the store grow with the gateways though one of them looking is enough. Nor
-# may they look so seldom that a row renewed in between seems to have lapsed.
+# Reads of the lease row must not grow with the number of gateways, as one reader is
+# enough. Neither may reads become so rare that a row renewed in between seems lapsed.
 @pytest.mark.parametrize(
     ("contenders", "seconds"),
     [(1, 2.0), (FULL_RATE_CONTENDERS, 2.0), (8, 4.0), (330, 5.5)],
 )
-def test_contenders_share_the_looks_at_the_lease(
+def test_read_interval_grows_with_the_number_of_contenders(
     contenders: int, seconds: float
 ) -> None:
     holder = LeaseDriver(
@@ -31,12 +31,12 @@
 
 
 class RestoredTable:
-    """Tell of a new era with a call's answer, as the store's client does."""
+    """Report a new era along with a call's answer, as the store's client does."""
 
     def __init__(self) -> None:
         self.holder: LeaseDriver | None = None
         self.era = 0
-        """Era that the next answer is the first to tell of."""
+        """Era that the next answer reveals; 0 for none."""
         self.reads = 0
         self.written: list[str] = []
 
@@ -56,9 +56,9 @@
         return Error(Unclear("reply lost"))
 
 
-# A write of the earlier era is sent again in the new one until its outcome is known,
-# and may be carried out there; no look at the lease is made meanwhile.
-def test_write_of_an_earlier_era_is_not_sent_again() -> None:
+# Guards against a write from the earlier era that is retried in the new one until its
+# outcome is known: it may take effect there, and the row is not read meanwhile.
+def test_write_of_an_earlier_era_is_not_retried() -> None:
     async def play_on() -> None:
         table = RestoredTable()
         holder = LeaseDriver(
@@ -80,9 +80,9 @@
     run(play_on())
 
 
-# The lease is never looked at again, or by two calls at once: the look whose answer
-# told of the new era is ended by it, and hands its outcome in all the same.
-def test_call_that_tells_of_an_era_is_over_with_it() -> None:
+# Guards against a row that is never read again, or read by two calls at once: the read
+# whose answer reveals the new era is ended by it, but still reports its outcome.
+def test_read_that_reveals_a_new_era_is_ended_by_it() -> None:
     async def play_on() -> None:
         table = RestoredTable()
         holder = LeaseDriver(
--- a/tests/authority/test_lease_eras.py
+++ b/tests/authority/test_lease_eras.py
@@ -1,4 +1,4 @@
-"""Test the planner lease where the store is restored from an older copy."""
+"""Tests of the planner lease across restores of the store from an older copy."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,7 @@
 from radishtally.store.core import Key, Put, Row
 from radishtally.store.ids import WriteIds
 from tests.authority.test_lease import (
-    LATE,
+    DELAYED,
     NAMES,
     PLACE,
     REFUSED,
@@ -40,10 +40,10 @@
 
 
 class EraRows(Rows):
-    """Hold rows, take copies of them, and come back from one in a new era.
+    """Store rows, copy them, and restore the copy in a new era.
 
-    A write's condition is the row's count of writes alone: it holds by chance more
-    often than with versions of the store, which other rows move too.
+    A write's condition is only the row's revision. It holds by chance more often than
+    it would with store-wide versions, which writes of other rows advance too.
     """
 
     def __init__(self) -> None:
@@ -57,24 +57,24 @@
         return None if row is None else row._replace(era=self.era)
 
     def copy(self) -> None:
-        """Remember the rows as they stand."""
+        """Copy the current rows."""
         self._copy = dict(self.rows)
 
     def restore(self) -> None:
-        """Lose all that was written since the copy."""
+        """Lose everything written since the copy and start a new era."""
         self.rows = dict(self._copy)
         self.era += 1
 
 
 class EraContender(Contender):
-    """Contend at a store that tells its eras; a new one ends the call under way."""
+    """Contend at a store that reports its era; a new one ends the call in flight."""
 
     def __init__(self, name: str, rows: EraRows, gained: list[int]) -> None:
         super().__init__(name, rows, gained)
         self.era = 0
 
     def serve(self, fate: str, time: float) -> None:
-        """Let the table meet the call; an answer from a new era tells only that."""
+        """Handle the call at the table; the first of an era reveals only the era."""
         answers = fate == SERVED or (
             fate == REPLY_LOST and isinstance(self.call, ReadLease)
         )
@@ -84,28 +84,28 @@
         call, self.call = self.call, None
         if isinstance(call, WriteLease):
             self.rows.apply([call.put], call.write_id)
-        self.learn(time)
+        self.observe_era(time)
 
     def deliver(self, time: float) -> None:
         if self.reply is not None:
             super().deliver(time)
 
-    def learn(self, time: float) -> None:
-        """Take the store's era, as any answer to this process tells it."""
+    def observe_era(self, time: float) -> None:
+        """Enter the store's current era, as any answer to this process reveals it."""
         if self.era == self.rows.era:
             return
-        self.drop_call()
+        self.abandon_call()
         self.era = self.rows.era
         self.handle(EraEntered(self.era), time)
 
-    def drop_call(self) -> None:
+    def abandon_call(self) -> None:
         if isinstance(self.call, WriteLease):
-            self.late.append(self.call)
+            self.delayed.append(self.call)
         self.call = self.reply = None
 
     def restart(self, time: float) -> None:
-        """Begin anew as another process of this host, which knows nothing."""
-        self.drop_call()
+        """Restart as a new process on this host, without any state."""
+        self.abandon_call()
         self.era = 0
         incarnation = f"{self.core.key.sk}-{time}"
         self.core = LeaseCore(PLACE, "host", WriteIds(incarnation), TERMS)
@@ -113,11 +113,11 @@
 
 @settings(max_examples=400, stateful_step_count=60)
 class EraMachine(RuleBasedStateMachine):
-    """Restore the store at any step, pause and restart contenders, land writes late.
+    """Restore the store at any step, pause and restart contenders, delay writes.
 
-    What must not be seen: two holders that both may give orders, or a holder whose
-    fencing number is not above those of all holders before it. A contender does nothing
-    until a rule picks it, and learns of a new era by a rule or by its next answer.
+    Guards against two holders that may both give orders, and against a holder whose
+    fencing token is not above those of all earlier holders. A contender acts only when
+    a rule picks it, and learns of a new era by a rule or by its next answer.
     """
 
     def __init__(self) -> None:
@@ -141,8 +141,8 @@
         self.rows.restore()
 
     @rule(name=st.sampled_from(NAMES))
-    def learn(self, name: str) -> None:
-        self.contenders[name].learn(self.time)
+    def observe_era(self, name: str) -> None:
+        self.contenders[name].observe_era(self.time)
 
     @rule(name=st.sampled_from(NAMES))
     def tick(self, name: str) -> None:
@@ -158,18 +158,18 @@
         self.contenders[name].restart(self.restarts)
 
     @rule(name=st.sampled_from(NAMES))
-    def refuse_number(self, name: str) -> None:
+    def refuse_fencing(self, name: str) -> None:
         contender = self.contenders[name]
         if contender.holds(self.time):
             contender.handle(FencingOutdated(contender.core.fencing), self.time)
 
     @rule(name=st.sampled_from(NAMES), contends=st.booleans())
-    def contend(self, name: str, contends: bool) -> None:
+    def set_contending(self, name: str, contends: bool) -> None:
         self.contenders[name].handle(SetContending(contends), self.time)
 
     @rule(
         name=st.sampled_from(NAMES),
-        fate=st.sampled_from([SERVED, REPLY_LOST, LATE, REFUSED]),
+        fate=st.sampled_from([SERVED, REPLY_LOST, DELAYED, REFUSED]),
     )
     def serve(self, name: str, fate: str) -> None:
         if self.contenders[name].call is not None:
@@ -180,25 +180,25 @@
         self.contenders[name].deliver(self.time)
 
     @rule(name=st.sampled_from(NAMES))
-    def land_late_write(self, name: str) -> None:
-        late = self.contenders[name].late
-        if late:
-            write = late.pop(0)
+    def apply_delayed_write(self, name: str) -> None:
+        delayed = self.contenders[name].delayed
+        if delayed:
+            write = delayed.pop(0)
             self.rows.apply([write.put], write.write_id)
 
     @rule(
         names=st.lists(st.sampled_from(NAMES), min_size=1, unique=True),
         seconds=st.sampled_from([1, 3, 9, 12, 14]),
     )
-    def run_some(self, names: list[str], seconds: int) -> None:
-        """Let some contenders run undisturbed while the others are paused."""
+    def run_undisturbed(self, names: list[str], seconds: int) -> None:
+        """Run some contenders without faults while the others are paused."""
         for _ in range(seconds):
             self.time += 1.0
             for name in names:
-                self.run_on(self.contenders[name])
+                self.run_contender(self.contenders[name])
                 self.check_one_holder()
 
-    def run_on(self, contender: EraContender) -> None:
+    def run_contender(self, contender: EraContender) -> None:
         if contender.call is not None:
             contender.serve(SERVED, self.time)
         contender.deliver(self.time)
@@ -220,7 +220,7 @@
 
 
 @pytest.fixture
-def contend(rows: EraRows) -> Callable[[str], EraContender]:
+def make_contender(rows: EraRows) -> Callable[[str], EraContender]:
     gained: list[int] = []
     return lambda name: EraContender(name, rows, gained)
 
@@ -239,18 +239,17 @@
     return Put(KEY, dict(value), expect)
 
 
-def take_lease(contender: EraContender) -> float:
-    """Let a contender gain the lease of a new store, and say when."""
+def gain_lease(contender: EraContender) -> float:
+    """Let a contender gain the lease of a new store; return the time."""
     run_until(contender, 0.0, 12.0)
     assert contender.holds(12.0)
     return 12.0
 
 
-# Two processes give orders. The row of one that ended is lost with the store's newest
-# writes, and another one that holds on writes it anew between two looks: the count of
-# writes is the same again. A contender that goes by the count takes the lease over
-# from a holder that had just written.
-def test_row_of_equal_count_and_another_writer_has_not_stood() -> None:
+# Guards against two holders. A restore loses the row of a holder that ended, and
+# another process writes a new row between two reads, with the same revision. A
+# contender that compares only revisions takes over from a holder that has just written.
+def test_row_with_equal_revision_from_another_writer_counts_as_changed() -> None:
     rows = Rows()
     second = Contender("a", rows, [])
     rows.apply([make_put("c", 1, 0, era=0)], "c-1-1")
@@ -263,20 +262,20 @@
     assert second.holds(22.0)
 
 
-# Two processes give orders: one holds the lease, the store comes back from a copy that
-# lacks its row, and what stands there is released, the other one's own or nothing, all
-# of which let that one take over at once.
+# Guards against two holders: the store is restored from a copy without the holder's
+# row. The row found there is released, the contender's own, or absent, and each of
+# these normally allows a takeover at once.
 @pytest.mark.parametrize("copied", ["released", "own", "absent"])
 def test_row_of_an_earlier_era_is_not_taken_over_at_once(
-    rows, contend, copied: str
+    rows, make_contender, copied: str
 ) -> None:
-    first, second = contend("a"), contend("b")
+    first, second = make_contender("a"), make_contender("b")
     if copied == "released":
         rows.apply([make_put("c", 1, 0, RELEASED)], "c-1-1")
     if copied == "own":
         rows.apply([make_put("b", 1, 0)], "b-1-1")
     rows.copy()
-    start = take_lease(first)
+    start = gain_lease(first)
     second.step(start)
     rows.restore()
     second.step(start + 0.5)
@@ -287,16 +286,15 @@
     assert second.holds(start + 14.0)
 
 
-# Two processes give orders: a contender saw a row that then was taken over and renewed.
-# The store comes back with that row, and by its first sight it has long stood.
-def test_row_that_came_back_has_not_stood_since_it_was_first_seen(
-    rows, contend
-) -> None:
-    first, second = contend("a"), contend("b")
+# Guards against two holders: a contender read a row that was then taken over and
+# renewed. A restore brings that row back, and counted from its first read it has been
+# unchanged for long enough.
+def test_restored_row_does_not_count_from_its_first_read(rows, make_contender) -> None:
+    first, second = make_contender("a"), make_contender("b")
     rows.apply([make_put("c", 1, 0)], "c-1-1")
     rows.copy()
     second.step(0.0)
-    start = take_lease(first)
+    start = gain_lease(first)
     rows.restore()
     second.step(start)
     assert not second.holds(start)
@@ -304,10 +302,12 @@
     assert not second.holds(start + 9.0)
 
 
-# Two processes give orders: the row was taken over and came back between two looks of
-# another contender, which has watched it all the while as far as it can tell.
-def test_row_that_came_back_between_two_looks_has_not_stood(rows, contend) -> None:
-    first, second = contend("a"), contend("b")
+# Guards against two holders: the row was taken over and restored between two reads of
+# another contender, to which it seems unchanged all the time.
+def test_row_restored_between_two_reads_does_not_count_as_unchanged(
+    rows, make_contender
+) -> None:
+    first, second = make_contender("a"), make_contender("b")
     rows.apply([make_put("c", 1, 0)], "c-1-1")
     rows.copy()
     for half in range(22):
@@ -322,23 +322,23 @@
     assert not second.holds(16.0)
 
 
-# Two processes give orders: a contender has watched a row for long enough and is paused
-# before it takes the lease over. The store is restored meanwhile, and the row renewed.
-def test_watch_of_an_earlier_era_is_not_gone_by(rows, contend) -> None:
-    first, second = contend("a"), contend("b")
-    start = take_lease(first)
+# Guards against two holders: a contender has observed a row for long enough and is
+# paused before its takeover. Meanwhile the store is restored and the row renewed.
+def test_observation_of_an_earlier_era_allows_no_takeover(rows, make_contender) -> None:
+    first, second = make_contender("a"), make_contender("b")
+    start = gain_lease(first)
     second.step(start)
     rows.restore()
-    second.learn(start + 13.0)
+    second.observe_era(start + 13.0)
     assert second.call == ReadLease(KEY)
 
 
-# Two processes give orders: a takeover was on its way when the store went away, is
-# carried out in the new era, as its condition holds by chance, and is found by the one
-# who sent it, who counts it as done while the last holder's time runs.
-def test_late_write_of_an_earlier_era_gives_nobody_the_lease(rows, contend) -> None:
-    first, second = contend("a"), contend("b")
-    start = take_lease(first)
+# Guards against two holders: a takeover was in flight when the store was restored. Its
+# condition holds by chance in the new era, so the write takes effect. Its sender reads
+# the row and counts the takeover as done while the last holder's lease still runs.
+def test_delayed_write_of_an_earlier_era_grants_no_lease(rows, make_contender) -> None:
+    first, second = make_contender("a"), make_contender("b")
+    start = gain_lease(first)
     run_until(second, start, start + 10.5)
     second.handle(Tick(), start + 12.0)
     second.serve(SERVED, start + 12.0)
@@ -348,8 +348,8 @@
     run_until(first, start + 12.0, start + 12.0)
     assert first.holds(start + 12.0)
     rows.restore()
-    second.learn(start + 12.5)
-    (write,) = second.late
+    second.observe_era(start + 12.5)
+    (write,) = second.delayed
     assert rows.apply([write.put], write.write_id).is_ok()
     run_until(second, start + 12.5, start + 20.0)
     assert first.holds(start + 20.0)
@@ -358,12 +358,14 @@
     assert second.holds(start + 26.0)
 
 
-# Roles stay as they are for a lease time at each handover: a lease that was given up in
-# the present era is free, as its holder has waited out all that came before.
-def test_lease_released_in_the_present_era_is_taken_over_at_once(rows, contend) -> None:
-    first, second = contend("a"), contend("b")
+# Guards against a handover that stalls planning for a whole lease: a lease released in
+# the current era is free at once, as its holder has waited out all earlier ones.
+def test_lease_released_in_the_current_era_is_taken_over_at_once(
+    rows, make_contender
+) -> None:
+    first, second = make_contender("a"), make_contender("b")
     rows.restore()
-    start = take_lease(first)
+    start = gain_lease(first)
     second.step(start)
     first.handle(Resign(), start)
     first.serve(SERVED, start)
@@ -372,20 +374,20 @@
     assert second.holds(start + 2.0)
 
 
-# Two processes give orders: a process that starts right after a restore finds no row,
-# since the holder's is lost, and can't know that it ever stood.
-def test_process_that_starts_waits_where_the_store_tells_eras(contend) -> None:
-    first = contend("a")
+# Guards against two holders: a process that starts right after a restore finds no row,
+# because the holder's row is lost, and can't know that there ever was one.
+def test_started_process_waits_if_the_store_reports_eras(make_contender) -> None:
+    first = make_contender("a")
     run_until(first, 0.0, 10.5)
     assert not first.holds(10.5)
     run_until(first, 11.0, 12.0)
     assert first.holds(12.0)
 
 
-# Two processes give orders: the last holder's lease is longer than a contender's own
-# terms say, as those were changed. Its row has been seen, but is lost.
-def test_longest_lease_that_was_seen_is_waited_out(rows, contend) -> None:
-    first = contend("a")
+# Guards against two holders: the last holder's lease is longer than the contender's own
+# terms, which were changed. Its row was read once, but is lost.
+def test_longest_lease_that_was_read_is_waited_out(rows, make_contender) -> None:
+    first = make_contender("a")
     rows.copy()
     rows.apply([make_put("c", 1, 0, granted=30.0)], "c-1-1")
     first.step(0.0)
@@ -396,13 +398,13 @@
     assert first.holds(34.0)
 
 
-# A contender goes by a row that is gone: an answer of the earlier era is handed in
-# after the new one was entered.
+# Guards against a contender that uses a row that is gone: an answer of the earlier era
+# is reported after the new era was entered.
 @pytest.mark.parametrize("asked_at", [0.5, 1.0])
-def test_row_of_an_earlier_era_that_comes_late_is_passed_over(
-    contend, asked_at: float
+def test_late_read_of_an_earlier_era_is_ignored(
+    make_contender, asked_at: float
 ) -> None:
-    first = contend("a")
+    first = make_contender("a")
     first.handle(EraEntered(2), 1.0)
     put = make_put("c", 1, 0, RELEASED)
     row = Row(KEY, 1, "c-1-1", put.value, era=1)
@@ -411,10 +413,10 @@
     assert not first.core.row.is_current
 
 
-# A lease is never given out again: a call's answer that came after the new era was
-# entered ended another call in its place, or was waited for without end.
-def test_era_ends_the_call_under_way_and_asks_anew(contend) -> None:
-    first = contend("a")
+# Guards against a lease that is never granted again: a reply that arrived after the new
+# era was entered was taken for that of another call, or was awaited forever.
+def test_new_era_ends_the_call_in_flight_and_reads_again(make_contender) -> None:
+    first = make_contender("a")
     first.handle(Tick(), 0.0)
     (read,) = first.core.handle(EraEntered(2), 1.0)
     assert isinstance(read, ReadLease)
--- a/tests/authority/test_lease_model.py
+++ b/tests/authority/test_lease_model.py
@@ -1,4 +1,4 @@
-"""Play the lease of several places between processes that come, go and stall."""
+"""Model test: leases of several places among processes that start, stop and stall."""
 
 from collections.abc import Iterator
 from typing import Final, NamedTuple
@@ -26,32 +26,32 @@
 from radishtally.authority.plan import make_next_plan, make_plan_key, make_plan_writes
 from radishtally.store.core import ABSENT, Check
 from radishtally.store.ids import WriteIds
-from tests.authority.test_lease import LATE, NAMES, REFUSED, REPLY_LOST, SERVED
+from tests.authority.test_lease import DELAYED, NAMES, REFUSED, REPLY_LOST, SERVED
 from tests.authority.test_lease_eras import EraContender, EraRows
 
 PLACES: Final = ("salt-lake", "howrah")
 TERMS: Final = LeaseTerms(granted=10.0, margin=1.0, renew_every=3.0, read_every=1.0)
 LONG_TERMS: Final = TERMS._replace(granted=15.0)
-QUIET_SECONDS: Final = 2 * (LONG_TERMS.granted + LONG_TERMS.margin) + 4.0
-"""Time in which a place has a planner again: a lease that stands is waited out, once
-more where what was watched does not count, and a few looks are made."""
-CALLS_A_SECOND: Final = 3
+RECOVERY_SECONDS: Final = 2 * (LONG_TERMS.granted + LONG_TERMS.margin) + 4.0
+"""Time within which a place has a planner again: one existing lease is waited out, a
+second time if the first observation did not count, plus a few reads."""
+CALLS_PER_SECOND: Final = 3
 
 names = st.sampled_from(NAMES)
 places = st.sampled_from(PLACES)
-fates = st.sampled_from([SERVED, REPLY_LOST, LATE, REFUSED])
+fates = st.sampled_from([SERVED, REPLY_LOST, DELAYED, REFUSED])
 
 
 class Process(NamedTuple):
-    """Hold what lives as long as one start of a process."""
+    """Represent the state that lives as long as one run of a process."""
 
     ids: WriteIds
-    slots: dict[str, "Slot"]
+    contenders: dict[str, "PlaceContender"]
     """Contenders of this process by place."""
 
 
-class Slot(EraContender):
-    """Contend for one place; a process may drop it and begin another one."""
+class PlaceContender(EraContender):
+    """Contend for one place; a process may drop it and start another one."""
 
     def __init__(
         self, name: str, place: str, ids: WriteIds, rows: EraRows, gained: list[int]
@@ -61,7 +61,7 @@
 
 
 class PlanWrite(NamedTuple):
-    """Hold a plan that a holder decided on and has not sent yet."""
+    """Represent a plan that a holder has decided on and not yet sent."""
 
     place: str
     fencing: int
@@ -71,13 +71,14 @@
 class LeaseModel(RuleBasedStateMachine):
     """Drop, kill, stall and restore at any step; lose, delay and reorder calls.
 
-    What must not be seen: two planners of a place that may both give orders, a number
-    that is given twice or falls, a plan of a former holder in force, a place that has
-    no planner though all is quiet. A process does nothing until a rule picks it.
+    Guards against two planners of a place that may both give orders, a fencing token
+    that is granted twice or decreases, a plan of a former holder in force, and a place
+    without a planner after all faults have ended. A process acts only when a rule picks
+    it.
     """
 
     era = 0
-    """Era of the store at the beginning; 0 for one that tells none."""
+    """Era of the store at the start; 0 for a store that reports none."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -87,119 +88,121 @@
         self.rows = EraRows()
         self.rows.era = self.era
         self.gained: dict[str, list[int]] = {place: [] for place in PLACES}
-        self.late: list[WriteLease] = []
+        self.delayed: list[WriteLease] = []
         self.plans: list[PlanWrite] = []
         self.processes = {name: self.start() for name in NAMES}
         for name in NAMES:
             for place in PLACES:
-                self.take_up(name, place)
+                self.add_contender(name, place)
 
     def start(self) -> Process:
         self.starts += 1
         return Process(WriteIds(f"start-{self.starts}"), {})
 
-    def list_slots(self, place: str) -> Iterator[Slot]:
+    def list_contenders(self, place: str) -> Iterator[PlaceContender]:
         for process in self.processes.values():
-            if place in process.slots:
-                yield process.slots[place]
+            if place in process.contenders:
+                yield process.contenders[place]
 
-    def take_up(self, name: str, place: str) -> None:
+    def add_contender(self, name: str, place: str) -> None:
         process = self.processes[name]
-        slot = Slot(name, place, process.ids, self.rows, self.gained[place])
-        process.slots[place] = slot
+        contender = PlaceContender(
+            name, place, process.ids, self.rows, self.gained[place]
+        )
+        process.contenders[place] = contender
 
-    def end(self, slot: Slot) -> None:
-        """Let a contender go; what it has sent may still arrive."""
-        slot.drop_call()
-        self.late += slot.late
+    def abandon(self, contender: PlaceContender) -> None:
+        """Drop a contender; the writes it has sent may still arrive."""
+        contender.abandon_call()
+        self.delayed += contender.delayed
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 2.9, 5.0, 9.5, 12.0]))
     def stall_all(self, seconds: float) -> None:
         self.time += seconds
 
     @rule(name=names, place=places)
-    def drop_or_take_up(self, name: str, place: str) -> None:
-        slot = self.processes[name].slots.pop(place, None)
-        if slot is None:
-            self.take_up(name, place)
+    def drop_or_add_contender(self, name: str, place: str) -> None:
+        contender = self.processes[name].contenders.pop(place, None)
+        if contender is None:
+            self.add_contender(name, place)
             return
-        slot.handle(Resign(), self.time)
-        assert not slot.holds(self.time)
-        self.end(slot)
+        contender.handle(Resign(), self.time)
+        assert not contender.holds(self.time)
+        self.abandon(contender)
 
     @rule(name=names)
     def kill(self, name: str) -> None:
-        """End a process and start another one, which knows nothing."""
-        for slot in self.processes[name].slots.values():
-            self.end(slot)
+        """Kill a process and start a new one without any state."""
+        for contender in self.processes[name].contenders.values():
+            self.abandon(contender)
         self.processes[name] = self.start()
         for place in PLACES:
-            self.take_up(name, place)
+            self.add_contender(name, place)
 
     @rule(name=names, place=places)
     def tick(self, name: str, place: str) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is not None:
-            slot.handle(Tick(), self.time)
+        contender = self.processes[name].contenders.get(place)
+        if contender is not None:
+            contender.handle(Tick(), self.time)
 
     @rule(name=names, place=places, fate=fates)
     def serve(self, name: str, place: str, fate: str) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is not None and slot.call is not None:
-            slot.serve(fate, self.time)
+        contender = self.processes[name].contenders.get(place)
+        if contender is not None and contender.call is not None:
+            contender.serve(fate, self.time)
 
     @rule(name=names, place=places)
     def deliver(self, name: str, place: str) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is not None:
-            slot.deliver(self.time)
+        contender = self.processes[name].contenders.get(place)
+        if contender is not None:
+            contender.deliver(self.time)
 
     @rule(name=names, place=places)
-    def hand_over_late(self, name: str, place: str) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is not None:
-            self.late += slot.late
-            slot.late.clear()
+    def collect_delayed_writes(self, name: str, place: str) -> None:
+        contender = self.processes[name].contenders.get(place)
+        if contender is not None:
+            self.delayed += contender.delayed
+            contender.delayed.clear()
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.delayed)
     @rule(last=st.booleans(), arrives=st.booleans())
-    def settle_late(self, last: bool, arrives: bool) -> None:
-        """Let a write that was under way arrive or be lost for good."""
-        write = self.late.pop(-1 if last else 0)
+    def settle_delayed_write(self, last: bool, arrives: bool) -> None:
+        """Apply a write that was in flight, or lose it for good."""
+        write = self.delayed.pop(-1 if last else 0)
         if arrives:
             self.rows.apply([write.put], write.write_id)
 
     @rule(name=names, place=places)
-    def refuse_number(self, name: str, place: str) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is not None and slot.holds(self.time):
-            slot.handle(FencingOutdated(slot.core.fencing), self.time)
+    def refuse_fencing(self, name: str, place: str) -> None:
+        contender = self.processes[name].contenders.get(place)
+        if contender is not None and contender.holds(self.time):
+            contender.handle(FencingOutdated(contender.core.fencing), self.time)
 
     @rule(name=names, place=places, contends=st.booleans())
-    def contend(self, name: str, place: str, contends: bool) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is not None:
-            slot.handle(SetContending(contends), self.time)
+    def set_contending(self, name: str, place: str, contends: bool) -> None:
+        contender = self.processes[name].contenders.get(place)
+        if contender is not None:
+            contender.handle(SetContending(contends), self.time)
 
     @rule(name=names, place=places, terms=st.sampled_from([TERMS, LONG_TERMS]))
     def change_terms(self, name: str, place: str, terms: LeaseTerms) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is not None:
-            slot.core.terms = terms
+        contender = self.processes[name].contenders.get(place)
+        if contender is not None:
+            contender.core.terms = terms
 
     @rule(name=names, place=places)
     def decide_plan(self, name: str, place: str) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is None:
+        contender = self.processes[name].contenders.get(place)
+        if contender is None:
             return
-        check = slot.core.make_check(slot.read_clock(self.time))
+        check = contender.core.make_check(contender.read_clock(self.time))
         if check is not None:
-            self.plans.append(PlanWrite(place, slot.core.fencing, check))
+            self.plans.append(PlanWrite(place, contender.core.fencing, check))
 
     @precondition(lambda self: self.plans)
     @rule(last=st.booleans())
     def write_plan(self, last: bool) -> None:
-        """Send a plan, however long ago it was decided on."""
+        """Send a plan, no matter how long ago it was decided on."""
         place, fencing, check = self.plans.pop(-1 if last else 0)
         row = self.rows.read(make_plan_key(place))
         plan = make_next_plan(place, None, fencing, "mix", {})
@@ -213,97 +216,105 @@
             assert lease.value["fencing"] == fencing, "plan of a former holder"
 
     @rule(
-        awake=st.lists(names, min_size=1, unique=True),
+        running=st.lists(names, min_size=1, unique=True),
         seconds=st.sampled_from([1, 3, 9, 12, 14]),
     )
-    def run_some(self, awake: list[str], seconds: int) -> None:
-        """Let some processes run undisturbed while the others stall."""
-        self.run_seconds(awake, seconds)
+    def run_undisturbed(self, running: list[str], seconds: int) -> None:
+        """Run some processes without faults while the others stall."""
+        self.run_seconds(running, seconds)
 
     @rule(place=places, name=names, other=names, seconds=st.sampled_from([1, 3, 9]))
-    def come_back_to_lost_writes(
+    def recontend_with_lost_writes(
         self, place: str, name: str, other: str, seconds: int
     ) -> None:
-        """Drop a contender whose lease has lapsed, and take it back too soon.
+        """Drop a contender whose lease has lapsed, and start it again right away.
 
-        The table shows it the lease, and loses what it writes.
+        The table shows it the lease row, and loses its writes.
         """
-        slot = self.processes[name].slots.get(place)
-        if slot is None:
+        contender = self.processes[name].contenders.get(place)
+        if contender is None:
             return
-        if slot.holds(self.time):
+        if contender.holds(self.time):
             self.time += TERMS.granted
-        if slot.holds(self.time):
+        if contender.holds(self.time):
             return
-        self.end(slot)
-        self.take_up(name, place)
+        self.abandon(contender)
+        self.add_contender(name, place)
         for _ in range(seconds):
             self.time += 1.0
-            self.lose_writes(self.processes[name].slots[place])
+            self.lose_writes(self.processes[name].contenders[place])
             self.run_second([] if other == name else [other])
 
-    def lose_writes(self, slot: Slot) -> None:
-        slot.handle(Tick(), self.time)
-        for _ in range(CALLS_A_SECOND):
-            if slot.call is None:
+    def lose_writes(self, contender: PlaceContender) -> None:
+        contender.handle(Tick(), self.time)
+        for _ in range(CALLS_PER_SECOND):
+            if contender.call is None:
                 return
-            fate = LATE if isinstance(slot.call, WriteLease) else SERVED
-            slot.serve(fate, self.time)
-            slot.deliver(self.time)
+            fate = DELAYED if isinstance(contender.call, WriteLease) else SERVED
+            contender.serve(fate, self.time)
+            contender.deliver(self.time)
 
     @rule(place=places, name=names, other=names, seconds=st.sampled_from([3, 9, 12]))
     def stall_in_call(self, place: str, name: str, other: str, seconds: int) -> None:
-        """Stall a process between a call and its reply, while another one runs."""
-        slot = self.processes[name].slots.get(place)
-        if slot is None or other == name:
+        """Stall a process between a call and its reply while another process runs."""
+        contender = self.processes[name].contenders.get(place)
+        if contender is None or other == name:
             return
-        if slot.holds(self.time):
+        if contender.holds(self.time):
             self.time += TERMS.renew_every
-        slot.handle(Tick(), self.time)
-        if slot.call is not None:
-            slot.serve(SERVED, self.time)
+        contender.handle(Tick(), self.time)
+        if contender.call is not None:
+            contender.serve(SERVED, self.time)
         self.run_seconds([other], seconds)
-        slot.deliver(self.time)
+        contender.deliver(self.time)
         self.run_seconds([other], round(TERMS.renew_every))
 
-    def run_seconds(self, awake: list[str], seconds: int) -> None:
+    def run_seconds(self, running: list[str], seconds: int) -> None:
         for _ in range(seconds):
-            self.run_second(awake)
+            self.run_second(running)
 
-    @rule(awake=st.lists(names, min_size=1, unique=True))
-    def calm_down(self, awake: list[str]) -> None:
-        """Leave some processes undisturbed until each place has a planner."""
-        for name in awake:
-            slots = self.processes[name].slots
+    @rule(running=st.lists(names, min_size=1, unique=True))
+    def run_until_planned(self, running: list[str]) -> None:
+        """Run some processes without faults until each place has a planner."""
+        for name in running:
+            contenders = self.processes[name].contenders
             for place in PLACES:
-                if place not in slots:
-                    self.take_up(name, place)
-                slots[place].handle(SetContending(True), self.time)
-        self.run_seconds(awake, round(QUIET_SECONDS))
+                if place not in contenders:
+                    self.add_contender(name, place)
+                contenders[place].handle(SetContending(True), self.time)
+        self.run_seconds(running, round(RECOVERY_SECONDS))
         for place in PLACES:
-            held = [slot for slot in self.list_slots(place) if slot.holds(self.time)]
-            assert held, f"nobody plans for {place}"
-
-    def run_second(self, awake: list[str]) -> None:
+            holders = [
+                contender
+                for contender in self.list_contenders(place)
+                if contender.holds(self.time)
+            ]
+            assert holders, f"no process plans for {place}"
+
+    def run_second(self, running: list[str]) -> None:
         self.time += 1.0
-        for name in awake:
-            for slot in self.processes[name].slots.values():
-                if slot.call is not None:
-                    slot.serve(SERVED, self.time)
-                slot.deliver(self.time)
-                if slot.call is None:
-                    slot.step(self.time)
+        for name in running:
+            for contender in self.processes[name].contenders.values():
+                if contender.call is not None:
+                    contender.serve(SERVED, self.time)
+                contender.deliver(self.time)
+                if contender.call is None:
+                    contender.step(self.time)
                 self.check_one_holder()
 
     @invariant()
     def check_one_holder(self) -> None:
         for place in PLACES:
-            held = [slot for slot in self.list_slots(place) if slot.holds(self.time)]
-            assert len(held) <= 1, f"{len(held)} processes may give orders"
+            holders = [
+                contender
+                for contender in self.list_contenders(place)
+                if contender.holds(self.time)
+            ]
+            assert len(holders) <= 1, f"{len(holders)} processes may give orders"
 
 
 class RestoredLeaseModel(LeaseModel):
-    """Play the same at a store that tells its era and comes back from older copies."""
+    """Run the same model with a store that reports eras and is restored from copies."""
 
     era = 1
 
@@ -313,16 +324,16 @@
 
     @rule()
     def restore(self) -> None:
-        # Plans that were decided on in the earlier era are refused by the table's
-        # client, by the era of their rows.
+        # The table's client refuses plans decided on in the earlier era, by the era of
+        # their rows.
         self.plans.clear()
         self.rows.restore()
 
     @rule(name=names, place=places)
-    def learn(self, name: str, place: str) -> None:
-        slot = self.processes[name].slots.get(place)
-        if slot is not None:
-            slot.learn(self.time)
+    def observe_era(self, name: str, place: str) -> None:
+        contender = self.processes[name].contenders.get(place)
+        if contender is not None:
+            contender.observe_era(self.time)
 
 
 BOUNDS: Final = settings(max_examples=200, stateful_step_count=60)
@@ -334,7 +345,7 @@
 
 @pytest.fixture(params=[LeaseModel, RestoredLeaseModel])
 def model(request: pytest.FixtureRequest) -> LeaseModel:
-    """Give a model in which one process plans for both places, watched by another."""
+    """Build a model in which one process plans for both places, observed by another."""
     model = request.param()
     while not all(model.gained.values()):
         model.run_seconds(["a"], 1)
@@ -342,41 +353,50 @@
     return model
 
 
-# Two planners under one number: the one that came back took its old row for a write
-# that was lost, and whoever takes over by right is given the same number.
+# Guards against two planners with one fencing token: a contender that started again
+# took its old row for its lost write, and the rightful successor got the same token.
 @pytest.mark.parametrize("seconds", [1, 3])
-def test_numbers_rise_past_one_that_came_back_to_lost_writes(model, seconds) -> None:
-    model.come_back_to_lost_writes("salt-lake", "a", "b", seconds)
-    model.run_seconds(["b"], round(QUIET_SECONDS))
-    [held] = [slot for slot in model.list_slots("salt-lake") if slot.holds(model.time)]
-    assert held is model.processes["b"].slots["salt-lake"]
-
-
-# Two planners: the one whose renewal was answered late counts its time from the answer.
+def test_successor_of_a_contender_with_lost_writes_gets_a_higher_token(
+    model, seconds
+) -> None:
+    model.recontend_with_lost_writes("salt-lake", "a", "b", seconds)
+    model.run_seconds(["b"], round(RECOVERY_SECONDS))
+    [holders] = [
+        contender
+        for contender in model.list_contenders("salt-lake")
+        if contender.holds(model.time)
+    ]
+    assert holders is model.processes["b"].contenders["salt-lake"]
+
+
+# Guards against two planners: a holder whose renewal was answered late counts its lease
+# from the answer.
 @pytest.mark.parametrize("seconds", [3, 9, 12])
-def test_one_that_stalled_in_its_renewal_holds_for_no_longer(model, seconds) -> None:
+def test_holder_that_stalled_during_renewal_holds_no_longer(model, seconds) -> None:
     model.stall_in_call("salt-lake", "a", "b", seconds)
-    model.run_seconds(["b"], round(QUIET_SECONDS))
+    model.run_seconds(["b"], round(RECOVERY_SECONDS))
     model.check_one_holder()
-    assert any(slot.holds(model.time) for slot in model.list_slots("salt-lake"))
+    assert any(
+        contender.holds(model.time) for contender in model.list_contenders("salt-lake")
+    )
 
 
-# Two planners: the reply to the first write of a lease came late, and the lease was
-# counted from the reply.
-def test_one_that_stalled_as_it_took_over_holds_for_no_longer() -> None:
+# Guards against two planners: the reply to the first write of a lease came late, and
+# the lease was counted from the reply.
+def test_contender_that_stalled_during_takeover_holds_no_longer() -> None:
     model = LeaseModel()
-    slot = model.processes["a"].slots["salt-lake"]
-    slot.handle(Tick(), model.time)
-    slot.serve(SERVED, model.time)
-    slot.deliver(model.time)
-    assert isinstance(slot.call, WriteLease)
+    contender = model.processes["a"].contenders["salt-lake"]
+    contender.handle(Tick(), model.time)
+    contender.serve(SERVED, model.time)
+    contender.deliver(model.time)
+    assert isinstance(contender.call, WriteLease)
     model.stall_in_call("salt-lake", "a", "b", 12)
-    assert model.processes["b"].slots["salt-lake"].holds(model.time)
+    assert model.processes["b"].contenders["salt-lake"].holds(model.time)
 
 
-# Two planners: the row of the holder is lost with the store's newest writes, and one
-# that sees an older row, or its own late write, plans as well.
-def test_one_holder_over_a_restore_and_a_late_write() -> None:
+# Guards against two planners: a restore loses the holder's row, and a process that
+# reads an older row, or its own delayed write, plans as well.
+def test_one_holder_across_a_restore_and_a_delayed_write() -> None:
     model = RestoredLeaseModel()
     model.copy()
     model.run_seconds(["a", "b"], 13)
@@ -384,12 +404,16 @@
     for seconds in (1, 3, 9):
         model.run_seconds(["b"], seconds)
         model.run_seconds(["a"], 1)
-    model.run_seconds(["a", "b", "c"], round(QUIET_SECONDS))
-    assert any(slot.holds(model.time) for slot in model.list_slots("salt-lake"))
+    model.run_seconds(["a", "b", "c"], round(RECOVERY_SECONDS))
+    assert any(
+        contender.holds(model.time) for contender in model.list_contenders("salt-lake")
+    )
 
 
-# A place has no planner though all is quiet after its holder was killed.
+# Guards against a place that stays without a planner after its holder was killed.
 def test_place_has_a_planner_after_its_holder_was_killed(model) -> None:
     model.kill("a")
-    model.run_seconds(["b"], round(QUIET_SECONDS))
-    assert any(slot.holds(model.time) for slot in model.list_slots("salt-lake"))
+    model.run_seconds(["b"], round(RECOVERY_SECONDS))
+    assert any(
+        contender.holds(model.time) for contender in model.list_contenders("salt-lake")
+    )
--- a/tests/authority/test_lease_retaken.py
+++ b/tests/authority/test_lease_restart.py
@@ -1,4 +1,4 @@
-"""Test contenders that are dropped and begin anew in the same process."""
+"""Tests of contenders that are dropped and started again in the same process."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 )
 from radishtally.store.ids import WriteIds
 from tests.authority.test_lease import (
-    LATE,
+    DELAYED,
     PLACE,
     REPLY_LOST,
     SERVED,
@@ -24,26 +24,26 @@
 
 
 class Process(Contender):
-    """Contend for a place, and begin anew with the ids of the same process."""
+    """Contend for a place; a restarted contender keeps the process's write ids."""
 
     def __init__(self, name: str, rows: Rows, gained: list[int]) -> None:
         super().__init__(name, rows, gained)
         self.name = name
         self.ids = WriteIds(f"{name}-1")
-        self.begin()
+        self.restart()
 
-    def begin(self) -> None:
-        """Begin to contend, knowing nothing of the lease."""
+    def restart(self) -> None:
+        """Start to contend, without any state of the lease."""
         self.core = LeaseCore(PLACE, self.name, self.ids, TERMS)
 
     def drop(self, time: float) -> None:
-        """Give the lease up, and end the call that is under way."""
+        """Release the lease and abandon the call in flight."""
         self.handle(Resign(), time)
         self.call = self.reply = None
 
 
 @pytest.fixture
-def begin() -> Callable[[str], Process]:
+def make_process() -> Callable[[str], Process]:
     rows, gained = Rows(), []
     return lambda name: Process(name, rows, gained)
 
@@ -53,19 +53,19 @@
     process.deliver(time)
 
 
-# Two planners order roles in turn under one fencing number: one of them has begun anew
-# and takes its old row, which has long lapsed, for a write of its own that was lost.
-def test_old_row_is_not_taken_for_a_lost_write(begin) -> None:
-    first, second = begin("a"), begin("c")
+# Guards against two planners that order roles in turn under one fencing token: a
+# restarted contender takes its old, lapsed row for its own write whose reply was lost.
+def test_old_row_is_not_taken_for_a_lost_write(make_process) -> None:
+    first, second = make_process("a"), make_process("c")
     first.step(0.0)
     run_until(second, 0.1, 9.4)
     first.handle(Tick(), 9.5)
     assert first.lost == ["not renewed in time"]
     first.drop(9.5)
-    first.begin()
+    first.restart()
     first.handle(Tick(), 10.0)
     serve(first, SERVED, 10.0)
-    serve(first, LATE, 10.0)
+    serve(first, DELAYED, 10.0)
     serve(first, SERVED, 10.6)
     assert not first.holds(10.6)
     first.call = None
@@ -75,13 +75,15 @@
     assert first.gained == [1, 2]
 
 
-# A holder is succeeded at once by itself: its first write after it began anew had
-# taken effect, though the reply was lost.
-def test_new_row_is_known_by_its_id_after_the_contender_began_anew(begin) -> None:
-    first = begin("a")
+# The first write after the restart took effect, though its reply was lost. The
+# contender must recognize the row by its write id and hold the lease at once.
+def test_new_row_is_recognized_by_its_write_id_after_a_restart(
+    make_process,
+) -> None:
+    first = make_process("a")
     first.step(0.0)
     first.drop(1.0)
-    first.begin()
+    first.restart()
     first.handle(Tick(), 2.0)
     serve(first, SERVED, 2.0)
     serve(first, REPLY_LOST, 2.0)
@@ -90,17 +92,17 @@
     assert first.gained == [1, 2]
 
 
-# The row says for its whole time that somebody plans: a late write of a contender that
-# was dropped comes after the row by which it gave the lease up.
-def test_late_write_of_a_dropped_contender_gives_nobody_the_lease(begin) -> None:
-    first, second = begin("a"), begin("c")
+# Guards against a row that names a holder for a whole lease though nobody plans: a
+# delayed write of a dropped contender arrives after the row that released the lease.
+def test_delayed_write_of_a_dropped_contender_grants_no_lease(make_process) -> None:
+    first, second = make_process("a"), make_process("c")
     first.step(0.0)
     second.step(0.0)
     first.handle(Tick(), 3.0)
-    first.serve(LATE, 3.0)
-    [write] = first.late
+    first.serve(DELAYED, 3.0)
+    [write] = first.delayed
     first.drop(3.5)
-    first.begin()
+    first.restart()
     first.step(4.0)
     assert first.holds(4.0)
     assert first.rows.apply([write.put], write.write_id).is_error()
--- a/tests/authority/test_lease_stalls.py
+++ b/tests/authority/test_lease_stalls.py
@@ -1,4 +1,4 @@
-"""Test contenders that are stopped for a while, or can't reach the table."""
+"""Tests of contenders that stall, can't reach the table, or read an invalid row."""
 
 from collections.abc import Callable
 
@@ -29,7 +29,7 @@
 from tests.common import Rows
 
 KEY = Key(LEASE, PLACE)
-WAIT = TERMS.granted + TERMS.margin
+WAIT_SECONDS = TERMS.granted + TERMS.margin
 VALUE = {
     "holder": "x",
     "incarnation": "x-1",
@@ -46,7 +46,7 @@
 
 
 @pytest.fixture
-def contend(rows: Rows) -> Callable[[str], Contender]:
+def make_contender(rows: Rows) -> Callable[[str], Contender]:
     gained: list[int] = []
     return lambda name: Contender(name, rows, gained)
 
@@ -54,7 +54,7 @@
 def run_together(
     contenders: list[Contender], start: float, end: float, fate: str = SERVED
 ) -> None:
-    """Let contenders run in turn, with a table that meets all calls in one way."""
+    """Run contenders in turn, with a table that handles all calls in the same way."""
     time = start
     while time <= end:
         for contender in contenders:
@@ -65,26 +65,26 @@
         time += 0.5
 
 
-# Planners change for nothing and roles stand still meanwhile: a contender wakes before
-# the holder that stalled together with it, and counts the stall as time it has watched.
+# Guards against a needless change of planner, during which no roles change: a contender
+# resumes before the holder that stalled with it, and counts the stall as observed time.
 @pytest.mark.parametrize("watched", [0.5, 5.0, 9.0])
 @pytest.mark.parametrize("first_awake", ["a", "c"])
-def test_holder_that_stalled_as_well_keeps_its_lease(
-    contend, watched: float, first_awake: str
+def test_holder_that_stalled_with_its_contender_keeps_the_lease(
+    make_contender, watched: float, first_awake: str
 ) -> None:
-    first, second = contend("a"), contend("c")
+    first, second = make_contender("a"), make_contender("c")
     run_together([first, second], 0.0, watched)
     assert first.holds(watched)
-    awake = watched + 14.0
+    resumed_at = watched + 14.0
     order = [first, second] if first_awake == "a" else [second, first]
-    run_together(order, awake, awake + 30.0)
+    run_together(order, resumed_at, resumed_at + 30.0)
     assert first.gained == [1, 2]
-    assert first.holds(awake + 30.0)
+    assert first.holds(resumed_at + 30.0)
 
 
-# The same behind an outage of the table, which nobody reaches for longer than a lease.
-def test_holder_keeps_its_lease_over_an_outage(contend) -> None:
-    first, second = contend("a"), contend("c")
+# The same after an outage of the table that lasts longer than a lease.
+def test_holder_keeps_its_lease_across_an_outage(make_contender) -> None:
+    first, second = make_contender("a"), make_contender("c")
     run_together([first, second], 0.0, 5.0)
     run_together([second, first], 5.5, 25.0, REFUSED)
     run_together([second, first], 25.5, 60.0)
@@ -92,12 +92,13 @@
     assert first.gained == [1, 2]
 
 
-# A place has no planner for good: nobody ever watches the dead holder's row for a whole
-# lease, as each look after an outage starts the count anew.
-def test_dead_holder_is_succeeded_at_a_table_that_is_away_every_other_while(
-    contend,
+# Guards against a place that never gets a planner again: each read after an outage
+# resets the observed time, so no contender observes the dead holder's row for a whole
+# lease.
+def test_dead_holder_is_succeeded_despite_recurring_outages_of_the_table(
+    make_contender,
 ) -> None:
-    first, second = contend("a"), contend("b")
+    first, second = make_contender("a"), make_contender("b")
     first.step(0.0)
     time = 0.0
     while time < 60.0:
@@ -107,18 +108,18 @@
     assert second.holds(time - 6.0) or second.gained == [1, 2]
 
 
-# A place has no planner for longer than a lease and its margin, though the one who
-# watches the dead holder's row looks as it should.
-def test_dead_holder_is_succeeded_after_a_whole_lease(contend) -> None:
-    first, second = contend("a"), contend("b")
+# Guards against a place that has no planner for longer than a lease and its margin,
+# although a contender reads the dead holder's row regularly.
+def test_dead_holder_is_succeeded_after_a_whole_lease(make_contender) -> None:
+    first, second = make_contender("a"), make_contender("b")
     first.step(0.0)
-    run_together([second], 0.0, (WAIT + TERMS.read_every) / second.rate + 0.5)
+    run_together([second], 0.0, (WAIT_SECONDS + TERMS.read_every) / second.rate + 0.5)
     assert second.gained == [1, 2]
 
 
-# The lease is written by what was seen before the process stalled.
-def test_contender_that_wakes_looks_before_it_takes_over(contend) -> None:
-    first, second = contend("a"), contend("b")
+# Guards against a takeover based on what was read before the process stalled.
+def test_contender_that_resumes_reads_the_row_before_a_takeover(make_contender) -> None:
+    first, second = make_contender("a"), make_contender("b")
     first.step(0.0)
     run_until(second, 0.0, 11.0)
     assert not second.holds(11.0)
@@ -126,10 +127,10 @@
     assert second.call == ReadLease(KEY)
 
 
-# A look that was asked for before the stall is given after it, and passes for one that
-# shows the row as it stands.
-def test_look_from_before_a_stall_is_not_taken_for_a_new_one(contend) -> None:
-    first, second = contend("a"), contend("b")
+# Guards against a read sent before a stall and answered after it that is taken for the
+# current row.
+def test_read_from_before_a_stall_does_not_count_as_current(make_contender) -> None:
+    first, second = make_contender("a"), make_contender("b")
     first.step(0.0)
     run_until(second, 0.0, 9.0)
     second.handle(Tick(), 10.5)
@@ -143,46 +144,49 @@
 
 
 FAULTS = {
-    "no holder": {"holder": None},
-    "another type": {"granted": "10"},
+    "missing holder": {"holder": None},
+    "wrong type": {"granted": "10"},
     "fraction": {"fencing": 7.5},
-    "truth value": {"fencing": True},
+    "boolean": {"fencing": True},
     "negative number": {"fencing": -1},
-    "number that is far too high": {"fencing": MAX_SAFE_INTEGER + 1},
-    "time that is far too long": {"granted": MAX_GRANTED_SECONDS + 1},
-    "no time": {"granted": float("nan")},
-    "era of another type": {"era": "1"},
+    "token too high": {"fencing": MAX_SAFE_INTEGER + 1},
+    "duration too long": {"granted": MAX_GRANTED_SECONDS + 1},
+    "duration not a number": {"granted": float("nan")},
+    "era of wrong type": {"era": "1"},
 }
 
 
-# Planning ends for good at every contender: the row of another writer is crashed on, or
-# its number or time is believed.
+# Guards against planning that ends for good: a foreign writer's row crashes every
+# contender, or they accept its fencing token or lease duration.
 @pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS.keys())
-def test_row_of_another_writer_names_no_holder(fault: dict) -> None:
+def test_invalid_row_is_reported_once_and_taken_over(fault: dict) -> None:
     core = LeaseCore(PLACE, "a", WriteIds("a-1"), TERMS)
     changed = {**VALUE, **fault}
     value = {name: part for name, part in changed.items() if part is not None}
-    rows, told = Rows(), []
+    rows, reported = Rows(), []
     rows.apply([Put(KEY, value, 0)], "foreign")
     now = 0.0
     while not core.holds(now):
         now += 0.5
-        assert now < 2 * WAIT, "nobody ever plans again"
+        assert now < 2 * WAIT_SECONDS, "no contender ever gains the lease"
         for command in core.handle(Tick(), now):
             if isinstance(command, ReadLease):
                 found = core.handle(RowRead(rows.read(KEY), now), now)
-                told += [one for one in found if isinstance(one, RowInvalid)]
-                write = next((o for o in found if isinstance(o, WriteLease)), None)
+                reported += [item for item in found if isinstance(item, RowInvalid)]
+                write = next(
+                    (item for item in found if isinstance(item, WriteLease)), None
+                )
                 if write is not None:
                     assert rows.apply([write.put], write.write_id).is_ok()
                     core.handle(settle(write), now)
-    assert len(told) == 1
-    assert now >= WAIT
+    assert len(reported) == 1
+    assert now >= WAIT_SECONDS
     assert core.fencing == 2
 
 
-# A row lost its number with its content: the next holder gets one that another one had.
-def test_number_is_above_all_that_a_misread_row_may_have_held() -> None:
+# Guards against a fencing token that is granted twice: an invalid row has lost its
+# token.
+def test_new_token_is_above_any_that_an_invalid_row_may_have_held() -> None:
     core = LeaseCore(PLACE, "a", WriteIds("a-1"), TERMS)
     core.handle(Tick(), 0.0)
     core.handle(RowRead(Row(KEY, 41, "foreign", {}), 0.0), 0.0)
--- a/tests/authority/test_orders.py
+++ b/tests/authority/test_orders.py
@@ -1,4 +1,4 @@
-"""Test the orders that an agent gives to its engine."""
+"""Tests of the orders that an agent gives to its engine."""
 
 from typing import NamedTuple
 
@@ -43,9 +43,9 @@
 PLACE = "salt-lake"
 TERMS = OrderTimings()
 CHANGE_SECONDS = 0.5
-"""Shorter than the settle time, so that a late order can meet an engine at rest."""
+"""Shorter than the settle time, so that a delayed order can reach an idle engine."""
 MIXED = Wanted("mixed", "gown", "1")
-WANTS = (
+WANTED_STATES = (
     MIXED,
     Wanted("decode", "gown", "1"),
     Wanted("prefill", "gown", "2"),
@@ -53,47 +53,47 @@
 )
 
 
-class Wire(NamedTuple):
-    """Hold an order that is on its way to the engine."""
+class SentOrder(NamedTuple):
+    """Represent an order in flight to the engine."""
 
     order: SendOrder
     sent_at: float
 
 
 class FakeEngine:
-    """Take orders as the interface says."""
+    """Handle orders as the engine interface specifies."""
 
     def __init__(self, checks_fencing: bool) -> None:
         self.checks_fencing = checks_fencing
         self.state = EngineStatus("mixed", "gown", "1", (), False, "e-0", 0)
-        self.ends_at = 0.0
-        self.next: EngineStatus | None = None
-        self.known: set[str] = set()
+        self.change_ends_at = 0.0
+        self.pending_state: EngineStatus | None = None
+        self.known_order_ids: set[str] = set()
         self.accepted: list[SendOrder] = []
-        self.up = True
+        self.reachable = True
 
-    def settle(self, now: float) -> None:
-        if self.next is not None and now >= self.ends_at:
-            self.state = self.next._replace(fencing=self.state.fencing)
-            self.next = None
+    def finish_change(self, now: float) -> None:
+        if self.pending_state is not None and now >= self.change_ends_at:
+            self.state = self.pending_state._replace(fencing=self.state.fencing)
+            self.pending_state = None
 
     def read(self, now: float) -> EngineStatus:
-        self.settle(now)
-        return self.state._replace(changing=self.next is not None)
+        self.finish_change(now)
+        return self.state._replace(changing=self.pending_state is not None)
 
-    def take(self, order: SendOrder, now: float) -> OrderAnswered:
-        self.settle(now)
-        if order.order_id in self.known:
+    def handle_order(self, order: SendOrder, now: float) -> OrderAnswered:
+        self.finish_change(now)
+        if order.order_id in self.known_order_ids:
             return OrderAnswered(order.order_id, ACCEPTED)
-        if self.next is not None:
+        if self.pending_state is not None:
             return OrderAnswered(order.order_id, BUSY)
         if self.checks_fencing and order.fencing < self.state.fencing:
             return OrderAnswered(order.order_id, STALE, self.state.fencing)
         self.state = self.state._replace(fencing=max(order.fencing, self.state.fencing))
         self.accepted.append(order)
-        self.known.add(order.order_id)
-        self.next = self._change(order)
-        self.ends_at = now + CHANGE_SECONDS
+        self.known_order_ids.add(order.order_id)
+        self.pending_state = self._change(order)
+        self.change_ends_at = now + CHANGE_SECONDS
         return OrderAnswered(order.order_id, ACCEPTED)
 
     def _change(self, order: SendOrder) -> EngineStatus:
@@ -106,15 +106,15 @@
         return self.state._replace(adapters=adapters)
 
     def crash(self) -> None:
-        """Come back as started at first, with no memory of orders."""
+        """Restart in the initial state, without any knowledge of earlier orders."""
         number = int(self.state.incarnation[2:]) + 1
         self.state = EngineStatus("mixed", "gown", "1", (), False, f"e-{number}", 0)
-        self.next = None
-        self.known = set()
+        self.pending_state = None
+        self.known_order_ids = set()
 
 
 class World:
-    """Run one agent's core, its engine and the plan row."""
+    """Simulate one agent's core, its engine and the plan row."""
 
     def __init__(self, checks_fencing: bool = False) -> None:
         self.now = 0.0
@@ -123,10 +123,10 @@
         self.plan: Plan | None = None
         self.store_up = True
         self.plan_read_at = float("-inf")
-        self.wires: list[Wire] = []
+        self.sent_orders: list[SentOrder] = []
         self.in_flight: SendOrder | None = None
         self.unsent = False
-        self.asked: dict[type, float] = {}
+        self.pending_reads: dict[type, float] = {}
         self.replies: list[Event] = []
         self.drain = ""
         self.log: list[Command] = []
@@ -142,8 +142,10 @@
     def execute(self, command: Command) -> None:
         self.log.append(command)
         if isinstance(command, ReadPlan | ReadEngine):
-            assert type(command) not in self.asked, "asked twice"
-            self.asked[type(command)] = self.now
+            assert type(command) not in self.pending_reads, (
+                "two reads of one kind in flight"
+            )
+            self.pending_reads[type(command)] = self.now
         if isinstance(command, StartDrain):
             assert self.drain == ""
             self.drain = "draining"
@@ -152,40 +154,42 @@
             self.drain = ""
         if isinstance(command, SendOrder):
             assert self.in_flight is None, "two orders in flight"
-            assert self.drain == "drained", "an order would cut requests short"
+            assert self.drain == "drained", "an order to an engine that is not drained"
             age = self.now - self.plan_read_at
-            assert age < TERMS.max_read_age, "an order without the plan row just read"
+            assert age < TERMS.max_read_age, (
+                "an order based on an outdated read of the plan"
+            )
             self.in_flight = command
             self.unsent = True
 
     def send(self) -> None:
-        """Put the order on its way, unless the agent was paused for too long."""
+        """Send the order, unless the agent was paused for too long."""
         order = self.in_flight
         self.unsent = False
         if self.now >= order.send_before:
-            self.answer(OrderAnswered(order.order_id, NOT_SENT))
+            self.deliver_answer(OrderAnswered(order.order_id, NOT_SENT))
             return
-        self.wires.append(Wire(order, self.now))
+        self.sent_orders.append(SentOrder(order, self.now))
 
-    def answer(self, event: OrderAnswered) -> None:
+    def deliver_answer(self, event: OrderAnswered) -> None:
         self.in_flight = None
         self.handle(event)
 
-    def arrive(self, wire: Wire) -> None:
-        self.wires.remove(wire)
+    def deliver_order(self, sent: SentOrder) -> None:
+        self.sent_orders.remove(sent)
         newest = max(
             (o.order_id.split("-")[1] for o in self.engine.accepted), default="0"
         )
         count = len(self.engine.accepted)
-        answer = self.engine.take(wire.order, self.now)
+        answer = self.engine.handle_order(sent.order, self.now)
         if len(self.engine.accepted) > count:
-            number = int(wire.order.order_id.split("-")[1])
-            assert number >= int(newest), "an older plan's order undid a newer one"
+            number = int(sent.order.order_id.split("-")[1])
+            assert number >= int(newest), "an order of an older plan undid a newer one"
         if self.in_flight is not None and self.in_flight.order_id == answer.order_id:
-            self.answer(answer)
+            self.deliver_answer(answer)
 
     def read_plan(self) -> None:
-        asked_at = self.asked.pop(ReadPlan)
+        asked_at = self.pending_reads.pop(ReadPlan)
         if not self.store_up:
             self.handle(PlanUnreadable())
             return
@@ -193,13 +197,15 @@
         self.handle(PlanRead(self.plan, asked_at))
 
     def read_engine(self) -> None:
-        asked_at = self.asked.pop(ReadEngine)
-        if not self.engine.up:
+        asked_at = self.pending_reads.pop(ReadEngine)
+        if not self.engine.reachable:
             self.handle(EngineUnreachable())
             return
-        # An engine that answers has read what was sent to it long enough before.
-        for wire in [w for w in self.wires if w.sent_at <= self.now - TERMS.settle]:
-            self.arrive(wire)
+        # An engine that answers has read every order sent a settle time before.
+        for sent in [
+            w for w in self.sent_orders if w.sent_at <= self.now - TERMS.settle
+        ]:
+            self.deliver_order(sent)
         self.handle(EngineRead(self.engine.read(self.now), asked_at))
 
     def finish_drain(self) -> None:
@@ -207,21 +213,21 @@
         self.handle(Drained())
 
     def step(self, sends: bool = True) -> None:
-        """Do all that can be done at this time."""
+        """Do everything possible at this time."""
         self.handle(Tick())
         for _ in range(20):
             if self.drain == "draining":
                 self.finish_drain()
-            elif ReadEngine in self.asked:
+            elif ReadEngine in self.pending_reads:
                 self.read_engine()
-            elif ReadPlan in self.asked:
+            elif ReadPlan in self.pending_reads:
                 self.read_plan()
             elif self.unsent and not sends:
                 return
             elif self.in_flight is not None and self.unsent:
                 self.send()
             elif self.in_flight is not None:
-                self.arrive(self.wires[-1])
+                self.deliver_order(self.sent_orders[-1])
             else:
                 return
 
@@ -232,11 +238,11 @@
             self.step()
 
     def restart_agent(self) -> None:
-        """Lose the agent; the host's port lets a new one start only after it."""
+        """Replace the agent; the host's port keeps two agents from running at once."""
         self.core = OrderCore(HOST, TERMS)
         self.in_flight = None
         self.unsent = False
-        self.asked = {}
+        self.pending_reads = {}
         self.drain = ""
 
     def count_orders(self) -> int:
@@ -245,11 +251,11 @@
 
 @settings(max_examples=300, stateful_step_count=50)
 class OrderMachine(RuleBasedStateMachine):
-    """Lose orders and replies, crash engines half-way, replace agents, change plans.
+    """Lose orders and replies, crash engines midway, replace agents, change plans.
 
-    What must not be seen: an order of an older plan that takes effect after one of a
-    newer plan, two orders at once, an order to an engine with work, or an engine that
-    never becomes what the plan wants although all faults are over.
+    Guards against an order of an older plan that takes effect after one of a newer
+    plan, two orders in flight, an order to an engine with work, and an engine that
+    never reaches the wanted state after all faults have ended.
     """
 
     @initialize(checks=st.booleans())
@@ -265,7 +271,11 @@
     def run_undisturbed(self, seconds: float) -> None:
         self.world.run(seconds)
 
-    @rule(wanted=st.sampled_from(WANTS), takeover=st.booleans(), hint=st.booleans())
+    @rule(
+        wanted=st.sampled_from(WANTED_STATES),
+        takeover=st.booleans(),
+        hint=st.booleans(),
+    )
     def write_plan(self, wanted: Wanted, takeover: bool, hint: bool) -> None:
         plan = self.world.plan
         fencing = 1 if plan is None else plan.fencing + takeover
@@ -275,12 +285,12 @@
 
     @rule()
     def read_plan(self) -> None:
-        if ReadPlan in self.world.asked:
+        if ReadPlan in self.world.pending_reads:
             self.world.read_plan()
 
     @rule()
     def read_engine(self) -> None:
-        if ReadEngine in self.world.asked:
+        if ReadEngine in self.world.pending_reads:
             self.world.read_engine()
 
     @precondition(lambda self: self.world.drain == "draining")
@@ -294,19 +304,19 @@
         order = self.world.in_flight
         self.world.send()
         if unclear and self.world.in_flight is order:
-            self.world.answer(OrderAnswered(order.order_id, UNCLEAR))
+            self.world.deliver_answer(OrderAnswered(order.order_id, UNCLEAR))
 
-    @precondition(lambda self: self.world.wires)
+    @precondition(lambda self: self.world.sent_orders)
     @rule(newest=st.booleans())
-    def arrive(self, newest: bool) -> None:
-        self.world.arrive(self.world.wires[-1 if newest else 0])
+    def deliver_order(self, newest: bool) -> None:
+        self.world.deliver_order(self.world.sent_orders[-1 if newest else 0])
 
-    @precondition(lambda self: self.world.wires)
+    @precondition(lambda self: self.world.sent_orders)
     @rule()
     def lose_order(self) -> None:
-        wire = self.world.wires.pop(0)
-        if self.world.in_flight == wire.order:
-            self.world.answer(OrderAnswered(wire.order.order_id, UNCLEAR))
+        sent = self.world.sent_orders.pop(0)
+        if self.world.in_flight == sent.order:
+            self.world.deliver_answer(OrderAnswered(sent.order.order_id, UNCLEAR))
 
     @rule()
     def crash_engine(self) -> None:
@@ -316,9 +326,9 @@
     def restart_agent(self) -> None:
         self.world.restart_agent()
 
-    @rule(wanted=st.sampled_from(WANTS), dies=st.booleans())
-    def leave_order_on_its_way(self, wanted: Wanted, dies: bool) -> None:
-        """Let the agent die, or its reply get lost, just after it sent an order."""
+    @rule(wanted=st.sampled_from(WANTED_STATES), dies=st.booleans())
+    def lose_answer_to_sent_order(self, wanted: Wanted, dies: bool) -> None:
+        """Kill the agent, or lose the answer, right after an order was sent."""
         world = self.world
         for _ in range(20):
             if world.in_flight is not None and world.unsent:
@@ -332,7 +342,7 @@
         if dies:
             world.restart_agent()
         elif world.in_flight is order:
-            world.answer(OrderAnswered(order.order_id, UNCLEAR))
+            world.deliver_answer(OrderAnswered(order.order_id, UNCLEAR))
         world.write_plan(wanted, world.plan.fencing)
 
     @rule()
@@ -360,15 +370,15 @@
     return World()
 
 
-def run_to_order(world: World, wanted: Wanted = WANTS[1]) -> SendOrder:
-    """Run until an order leaves the core, and hold it there."""
+def run_to_order(world: World, wanted: Wanted = WANTED_STATES[1]) -> SendOrder:
+    """Run until the core gives an order, and leave it unsent."""
     world.write_plan(wanted)
     for _ in range(100):
         world.now += 0.2
         world.handle(Tick())
-        if ReadEngine in world.asked:
+        if ReadEngine in world.pending_reads:
             world.read_engine()
-        if ReadPlan in world.asked:
+        if ReadPlan in world.pending_reads:
             world.read_plan()
         if world.drain == "draining":
             world.finish_drain()
@@ -377,7 +387,7 @@
     raise AssertionError("no order")
 
 
-def test_engine_that_is_as_wanted_gets_no_order(world: World) -> None:
+def test_engine_in_the_wanted_state_gets_no_order(world: World) -> None:
     world.write_plan(MIXED)
     world.run(40.0)
     assert world.count_orders() == 0
@@ -385,21 +395,21 @@
 
 
 def test_order_follows_drain_and_is_recorded(world: World) -> None:
-    world.write_plan(WANTS[1])
+    world.write_plan(WANTED_STATES[1])
     world.run(20.0)
     kinds = [type(c) for c in world.log if not isinstance(c, ReadPlan | ReadEngine)]
     kinds = [kind for kind in kinds if kind is not WakeAt]
     assert kinds == [StartDrain, SendOrder, RecordAudit, EndDrain]
 
 
-def test_first_order_waits_for_orders_of_a_dead_predecessor(world: World) -> None:
-    # An agent dies right after it sent an order by plan 1. Its successor reads plan 2.
-    # Were it to order at once, the old order could arrive after its own and undo it.
+def test_first_order_waits_until_a_dead_agents_order_has_settled(world: World) -> None:
+    # An agent dies right after it sent an order of plan 1; its successor reads plan 2.
+    # An immediate order could be undone by the old one, if that arrives later.
     old = run_to_order(world)
     world.send()
     world.restart_agent()
     begin = world.now
-    new = run_to_order(world, WANTS[2])
+    new = run_to_order(world, WANTED_STATES[2])
     assert world.now - begin >= TERMS.settle
     assert [order.order_id for order in world.engine.accepted] == [old.order_id]
     assert new.order_id != old.order_id
@@ -408,23 +418,23 @@
 def test_order_after_an_unclear_one_waits_until_that_one_has_settled(
     world: World,
 ) -> None:
-    # The reply to an order is lost, and the order itself is late. A new plan comes.
-    # Were its order given at once, the late one would undo it afterwards.
+    # The answer to an order is lost, the order itself is delayed, and a new plan comes.
+    # An immediate order of the new plan would be undone by the delayed one.
     old = run_to_order(world)
     world.send()
-    world.answer(OrderAnswered(old.order_id, UNCLEAR))
+    world.deliver_answer(OrderAnswered(old.order_id, UNCLEAR))
     begin = world.now
-    new = run_to_order(world, WANTS[2])
+    new = run_to_order(world, WANTED_STATES[2])
     assert world.now - begin >= TERMS.settle
     assert [order.order_id for order in world.engine.accepted] == [old.order_id]
     assert new.order_id != old.order_id
 
 
-def test_plan_in_hand_gives_no_order_once_something_newer_was_seen(
+def test_plan_gives_no_order_after_the_engine_reported_a_higher_token(
     world: World,
 ) -> None:
-    # The plan in hand has been carried out. Then the engine shows that it took orders
-    # under a higher fencing number; bringing it back to the old plan would undo them.
+    # The current plan has been carried out. Then the engine reports a higher fencing
+    # token, so it has accepted newer orders, which an order of this plan would undo.
     world.write_plan(MIXED, fencing=3)
     world.run(10.0)
     world.handle(HintReceived())
@@ -434,35 +444,35 @@
     assert not any(isinstance(c, StartDrain | SendOrder) for c in world.log)
 
 
-def test_plan_that_is_older_than_one_seen_gives_no_order(world: World) -> None:
+def test_plan_older_than_one_already_read_gives_no_order(world: World) -> None:
     world.write_plan(MIXED, fencing=5)
     world.run(5.0)
-    world.plan = Plan(PLACE, 1, 4, "late", {HOST: WANTS[1]})
+    world.plan = Plan(PLACE, 1, 4, "late", {HOST: WANTED_STATES[1]})
     world.handle(HintReceived())
     world.run(60.0)
     assert world.count_orders() == 0
 
 
-def test_engine_that_saw_a_higher_fencing_number_gets_no_order(world: World) -> None:
-    world.write_plan(WANTS[1], fencing=3)
+def test_engine_with_a_higher_fencing_token_gets_no_order(world: World) -> None:
+    world.write_plan(WANTED_STATES[1], fencing=3)
     world.engine.state = world.engine.state._replace(fencing=4)
     world.run(60.0)
     assert world.count_orders() == 0
-    world.write_plan(WANTS[1], fencing=4)
+    world.write_plan(WANTED_STATES[1], fencing=4)
     world.run(60.0)
     assert world.engine.read(world.now).role == "decode"
 
 
-def test_store_away_ends_a_drain_for_an_order(world: World) -> None:
-    # The engine is being emptied when the store goes away. The order can't be given
-    # then, and an engine held empty serves nobody: it takes work again.
-    world.write_plan(WANTS[1])
+def test_unavailable_store_ends_the_drain_for_an_order(world: World) -> None:
+    # The store fails while the engine is draining for an order. The order can't be
+    # given then, and a drained engine would sit idle, so the engine accepts work again.
+    world.write_plan(WANTED_STATES[1])
     while world.drain != "draining":
         world.now += 0.2
         world.handle(Tick())
-        if ReadEngine in world.asked:
+        if ReadEngine in world.pending_reads:
             world.read_engine()
-        if ReadPlan in world.asked:
+        if ReadPlan in world.pending_reads:
             world.read_plan()
     world.store_up = False
     world.run(10.0)
@@ -473,9 +483,9 @@
     assert world.engine.read(world.now).role == "decode"
 
 
-def test_order_that_left_too_late_is_not_sent(world: World) -> None:
-    # The agent is paused between its decision and the sending; the plan it read is
-    # old when it wakes. It reads again and orders by the plan in force.
+def test_expired_order_is_not_sent(world: World) -> None:
+    # The agent is paused between deciding on an order and sending it, and the plan that
+    # it read is outdated when it resumes. It reads again and follows the plan in force.
     order = run_to_order(world)
     world.now += 60.0
     world.write_plan(MIXED)
@@ -486,8 +496,8 @@
     assert world.drain == ""
 
 
-def test_engine_that_crashed_half_way_is_ordered_again(world: World) -> None:
-    world.write_plan(WANTS[1])
+def test_engine_that_crashed_midway_is_ordered_again(world: World) -> None:
+    world.write_plan(WANTED_STATES[1])
     while not world.engine.accepted:
         world.run(0.2)
     world.engine.crash()
@@ -496,39 +506,39 @@
     assert len({order.order_id for order in world.engine.accepted}) == 2
 
 
-def test_engine_that_knows_the_order_and_lost_its_effect_is_ordered_anew(
+def test_engine_that_was_changed_back_gets_an_order_with_a_new_id(
     world: World,
 ) -> None:
-    # The order is carried out, and later the engine is changed back by somebody else.
-    # A repeat under the same name would be answered as done and do nothing for ever.
-    world.write_plan(WANTS[1])
+    # The order is carried out, and later something else changes the engine back. A
+    # retry with the same order id would be answered as done and never take effect.
+    world.write_plan(WANTED_STATES[1])
     world.run(20.0)
     world.engine.state = world.engine.state._replace(role="mixed")
     world.run(20.0)
     assert world.engine.read(world.now).role == "decode"
 
 
-def test_repeat_of_an_unclear_order_has_the_same_name(world: World) -> None:
+def test_retry_of_an_unclear_order_has_the_same_id(world: World) -> None:
     first = run_to_order(world)
-    world.answer(OrderAnswered(first.order_id, UNCLEAR))
+    world.deliver_answer(OrderAnswered(first.order_id, UNCLEAR))
     while world.in_flight is None:
         world.now += 0.2
         world.handle(Tick())
-        if ReadEngine in world.asked:
+        if ReadEngine in world.pending_reads:
             world.read_engine()
-        if ReadPlan in world.asked:
+        if ReadPlan in world.pending_reads:
             world.read_plan()
     assert world.in_flight.order_id == first.order_id
 
 
 @pytest.mark.parametrize("failures", [1, 3])
-def test_rejected_order_returns_the_engine_and_backs_off(
+def test_rejected_order_ends_the_drain_and_backs_off(
     world: World, failures: int
 ) -> None:
     for _ in range(failures):
         order = run_to_order(world)
         world.plan = world.plan._replace(number=1)
-        world.answer(OrderAnswered(order.order_id, REJECTED))
+        world.deliver_answer(OrderAnswered(order.order_id, REJECTED))
         assert world.drain == ""
     failed = [c for c in world.log if isinstance(c, RecordAudit)]
     assert [c.what for c in failed] == ["engine:order-failed"] * failures
@@ -537,12 +547,12 @@
 @pytest.mark.parametrize(
     ("wanted", "kinds"),
     [
-        (WANTS[1], [ROLE]),
-        (WANTS[2], [MODEL, ROLE]),
-        (WANTS[3], [ROLE, "adapter"]),
+        (WANTED_STATES[1], [ROLE]),
+        (WANTED_STATES[2], [MODEL, ROLE]),
+        (WANTED_STATES[3], [ROLE, "adapter"]),
     ],
 )
-def test_steps_go_one_after_the_other(
+def test_steps_are_ordered_one_after_the_other(
     world: World, wanted: Wanted, kinds: list[str]
 ) -> None:
     world.write_plan(wanted)
--- a/tests/authority/test_plan_store.py
+++ b/tests/authority/test_plan_store.py
@@ -1,4 +1,4 @@
-"""Test the lease's driver and the plans and drains that are kept in the table."""
+"""Tests of the lease driver, and of plans and drains in the table."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 PLACE = "salt-lake"
 LONG = LeaseTerms(granted=60.0, read_every=0.05)
-"""A busy machine does not make this lease lapse."""
+"""Long enough not to lapse when the machine is busy."""
 SHORT = LeaseTerms(granted=0.6, margin=0.1, renew_every=0.1, read_every=0.05)
 WANTED = {"h1": Wanted("decode", "gown", "1", ("silk",))}
 OTHER = {"h1": Wanted("mixed", "gown", "1"), "h2": Wanted("mixed", "gown", "1")}
@@ -24,7 +24,7 @@
 
 
 class FixedLease:
-    """Believe in a lease as it once was, as a paused holder does."""
+    """Return a fixed view of the lease, as a paused holder has it."""
 
     def __init__(self, fencing: int, rev: int) -> None:
         self.fencing: int | None = fencing
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def lease(table: MemoryTable) -> FixedLease:
-    """Give a lease whose row stands at revision 1."""
+    """Return a lease whose row is at revision 1."""
     run(table.transact([make_lease_put(0)], "w"))
     return FixedLease(1, 1)
 
@@ -74,7 +74,7 @@
     )
 
 
-def test_lease_is_handed_on_when_its_holder_stops(table: MemoryTable) -> None:
+def test_lease_is_handed_over_when_its_holder_stops(table: MemoryTable) -> None:
     async def play() -> list[str]:
         seen: list[str] = []
         first, second = (make_holder(table, name, seen) for name in ("a", "b"))
@@ -91,7 +91,7 @@
     assert run(play()) == expected
 
 
-def test_lease_lapses_while_the_store_is_away(table: MemoryTable) -> None:
+def test_lease_lapses_while_the_store_is_unavailable(table: MemoryTable) -> None:
     async def play() -> list[str]:
         seen: list[str] = []
         holder = make_holder(table, "a", seen, SHORT)
@@ -143,9 +143,9 @@
 def test_plan_of_a_paused_holder_has_no_effect(
     table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
-    # A planner decides, is paused, and its lease goes to another one. It wakes, still
-    # believes it holds the lease, and writes its plan: the lease row has moved on, so
-    # neither the plan nor its audit entry stands.
+    # A planner decides and is paused, and another one takes over its lease. It resumes
+    # with its old view of the lease and writes its plan. The lease row has moved on, so
+    # neither the plan nor its audit entry is written.
     async def play() -> None:
         await table.transact([make_lease_put(1)], "takeover")
         result = await plans.write_plan(PLACE, None, WANTED, "mix", lease)
@@ -156,11 +156,11 @@
     run(play())
 
 
-def test_plan_meets_a_renewal_of_its_own_lease(
+def test_plan_is_written_despite_a_renewal_of_its_own_lease(
     table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
-    # The lease is renewed between the check and the write. That is no loss of
-    # authority: the plan goes again under the renewed revision.
+    # The lease is renewed between the check and the write. Its holder is the same, so
+    # the plan is written in a second attempt under the renewed revision.
     class Renewed(FixedLease):
         def make_check(self) -> Check | None:
             check = super().make_check()
@@ -195,7 +195,7 @@
     assert isinstance(result.error, NotHeld)
 
 
-def test_plan_is_refused_while_the_store_is_away(
+def test_plan_is_refused_while_the_store_is_unavailable(
     table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
     table.down = True
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("lost", [0, 1])
-def test_drain_is_kept_with_its_audit_entry(
+def test_drain_is_written_with_its_audit_entry(
     table: MemoryTable, plans: PlanStore, lost: int
 ) -> None:
     async def play() -> None:
@@ -220,8 +220,8 @@
     run(play())
 
 
-# The audit trail misses a plan: one process plans for two places in one millisecond,
-# and both plans have the same number.
+# Guards against a plan that is missing from the audit trail: one process plans for two
+# places in the same millisecond, and both plans have the same number.
 def test_plans_of_two_places_in_one_millisecond_are_both_recorded(
     table: MemoryTable, plans: PlanStore, lease: FixedLease
 ) -> None:
