--- a/radishtally/membership/__init__.py
+++ b/radishtally/membership/__init__.py
@@ -1,1 +1,1 @@
-"""What a process knows about the hosts."""
+"""Membership: which hosts exist, and which of them may be given work."""
--- a/radishtally/membership/core.py
+++ b/radishtally/membership/core.py
@@ -1,4 +1,4 @@
-"""What this process knows about the hosts, and what it makes of it."""
+"""Track the hosts and derive the state of each from the host list and the links."""
 
 from collections.abc import Iterable, Mapping
 from functools import singledispatch
@@ -25,22 +25,23 @@
 LIVE: Final = "live"
 LEAVING: Final = "leaving"
 UNREACHABLE: Final = "unreachable"
-"""Cut off from here; others may well use the host."""
+"""No link from this process; other processes may still reach the host."""
 GONE: Final = "gone"
 
-SILENT_SECONDS: Final = 120.0
-"""Silence after which a link counts as dead here. A link itself finds out much sooner
-and goes down; with very many links the heartbeats of idle ones are this far apart."""
-UNLISTED_SECONDS: Final = 30.0
-"""Time off the list after which a host without a link is gone."""
-LIST_LAG_SECONDS: Final = 15.0
-"""Longest time that the list may be behind."""
-WORD_SECONDS: Final = 30.0
-"""Age up to which a peer's word counts."""
+LINK_SILENCE_TIMEOUT_SECONDS: Final = 120.0
+"""Silence after which the membership takes a link for dead. A link itself detects a
+failure much sooner and closes. With very many links, the heartbeats of idle ones are
+this far apart."""
+UNLISTED_GRACE_SECONDS: Final = 30.0
+"""Time off the host list after which a host without a link is removed."""
+MAX_LIST_LAG_SECONDS: Final = 15.0
+"""Maximum staleness of the host list."""
+PEER_REPORT_TTL_SECONDS: Final = 30.0
+"""Age up to which a peer's report counts."""
 
 
 class FaultLocation:
-    """Tell whose fault it is that a host is out of reach."""
+    """Locate the fault that makes a host unreachable from this process."""
 
     LOCAL: Final = "ours"
     REMOTE: Final = "theirs"
@@ -48,18 +49,18 @@
 
 
 class Member:
-    """Hold what is known about one host."""
+    """Track the state of one host."""
 
     __slots__ = (
         "address",
         "heard_at",
         "incarnation",
-        "left",
+        "left_incarnation",
         "links",
         "listed_leaving",
         "place",
         "state",
-        "trusted_until",
+        "ignore_listed_leaving_until",
         "unlisted_since",
         "upstream",
     )
@@ -70,36 +71,39 @@
         self.address = address
         self.state = UNREACHABLE
         self.incarnation = ""
-        self.left: str | None = None
-        """Incarnation that said it leaves."""
+        self.left_incarnation: str | None = None
+        """Incarnation that announced that it leaves."""
         self.links = 0
-        """Links that are up: a new one may come before the old one is seen to go."""
+        """Open links; a new one may open before the old one is found to be closed."""
         self.heard_at = 0.0
         self.listed_leaving = False
-        self.trusted_until = 0.0
-        """Until then the list's leaving may mean the predecessor."""
+        self.ignore_listed_leaving_until = 0.0
+        """Until then, listed leaving may still refer to the previous incarnation."""
         self.unlisted_since: float | None = None
 
     def is_reachable(self, now: float) -> bool:
-        """Tell whether a link is up and not silent."""
-        return self.links > 0 and now - self.heard_at < SILENT_SECONDS
+        """Return whether a link is up and not silent."""
+        return self.links > 0 and now - self.heard_at < LINK_SILENCE_TIMEOUT_SECONDS
 
     def is_leaving(self, now: float) -> bool:
-        """Tell whether the host takes no new work."""
-        if self.left is not None:
+        """Return whether the host accepts no new work."""
+        if self.left_incarnation is not None:
             return True
-        return self.listed_leaving and now >= self.trusted_until
+        return self.listed_leaving and now >= self.ignore_listed_leaving_until
 
     def is_gone(self, now: float) -> bool:
-        """Tell whether the host may be forgotten."""
+        """Return whether the host may be removed."""
         if self.unlisted_since is None:
             return False
         if self.is_reachable(now):
             return False
-        return self.left is not None or now - self.unlisted_since >= UNLISTED_SECONDS
+        return (
+            self.left_incarnation is not None
+            or now - self.unlisted_since >= UNLISTED_GRACE_SECONDS
+        )
 
     def find_state(self, now: float) -> str:
-        """Work the state out of what is known."""
+        """Derive the host's state."""
         if self.is_gone(now):
             return GONE
         if self.is_leaving(now):
@@ -108,16 +112,16 @@
 
 
 class Membership:
-    """Hold what is known about all hosts."""
+    """Track the state of all hosts."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
         self.configured: dict[str, str] | None = None
-        """Upstream by host, once a configuration is known."""
-        self._words: dict[str, tuple[float, frozenset[str]]] = {}
+        """Upstream by host; None until a configuration is known."""
+        self._peer_reports: dict[str, tuple[float, frozenset[str]]] = {}
 
     def find_usable(self, now: float, upstream: str | None = None) -> set[str]:
-        """Find the hosts that may be offered work, of one upstream or of all."""
+        """Find the hosts that may be given work, of one upstream or of all."""
         return {
             host
             for host, member in self.members.items()
@@ -127,7 +131,7 @@
         }
 
     def list_unreachable(self, now: float) -> tuple[str, ...]:
-        """List the hosts that are cut off from here, to tell the peers."""
+        """List the hosts unreachable from this process, to report them to peers."""
         return tuple(
             host
             for host, member in self.members.items()
@@ -135,24 +139,28 @@
         )
 
     def locate_fault(self, host: str, now: float) -> str:
-        """Tell by the peers' words whether it is our link or the host that is down."""
-        words = [said for at, said in self._words.values() if now - at < WORD_SECONDS]
-        cut_off = sum(host in said for said in words)
-        if 2 * cut_off < len(words):
+        """Decide by a majority of peer reports whether the fault is local or remote."""
+        reports = [
+            unreachable
+            for at, unreachable in self._peer_reports.values()
+            if now - at < PEER_REPORT_TTL_SECONDS
+        ]
+        cut_off = sum(host in unreachable for unreachable in reports)
+        if 2 * cut_off < len(reports):
             return FaultLocation.LOCAL
-        if 2 * cut_off > len(words):
+        if 2 * cut_off > len(reports):
             return FaultLocation.REMOTE
         return FaultLocation.UNCLEAR
 
-    def note_word(self, word: PeerReport, now: float) -> None:
-        """Remember a peer's word."""
-        self._words[word.peer] = (now, frozenset(word.unreachable))
-        for peer, (at, _) in list(self._words.items()):
-            if now - at >= WORD_SECONDS:
-                del self._words[peer]
+    def record_peer_report(self, report: PeerReport, now: float) -> None:
+        """Record a peer's report and drop expired ones."""
+        self._peer_reports[report.peer] = (now, frozenset(report.unreachable))
+        for peer, (at, _) in list(self._peer_reports.items()):
+            if now - at >= PEER_REPORT_TTL_SECONDS:
+                del self._peer_reports[peer]
 
     def refresh(self, hosts: Iterable[str], cause: str, now: float) -> list[Change]:
-        """Work out the states anew and return those that changed."""
+        """Derive the states of these hosts again and return the changes."""
         changes: list[Change] = []
         for host in hosts:
             member = self.members[host]
@@ -173,20 +181,20 @@
 
 @singledispatch
 def handle(event: object, membership: Membership, now: float) -> list[Change]:
-    """Take in one event and return what it changed."""
+    """Handle one event and return the resulting changes."""
     raise TypeError(f"unknown event: {type(event).__name__}")
 
 
 @handle.register
 def _(event: HostListRead, membership: Membership, now: float) -> list[Change]:
-    # A list that can't be read or is empty says nothing about the hosts. Taken at its
-    # word it would empty every pool at once; kept, the links still show who is there.
+    # An unreadable or empty list says nothing about the hosts. Applied, it would empty
+    # every pool at once; ignored, the links still show which hosts are there.
     if not event.hosts:
         return []
     listed = {item.host: item for item in event.hosts}
     changes: list[Change] = []
     for item in listed.values():
-        changes.extend(take_listed(item, membership))
+        changes.extend(apply_listed_host(item, membership))
     for host, member in membership.members.items():
         if host in listed:
             member.unlisted_since = None
@@ -200,8 +208,8 @@
 def _(event: LinkUp, membership: Membership, now: float) -> list[Change]:
     changes: list[Change] = []
     if event.host not in membership.members:
-        # The list lags: the host is there before it is listed.
-        changes.append(add_unlisted(event.host, membership, now))
+        # The list is stale: the host is up before it is listed.
+        changes.append(add_unlisted_host(event.host, membership, now))
     member = membership.members[event.host]
     if event.incarnation != member.incarnation:
         start_incarnation(member, event.incarnation, now)
@@ -226,7 +234,7 @@
     if member is None:
         return []
     member.heard_at = now
-    return membership.refresh([event.host], "heard again", now)
+    return membership.refresh([event.host], "traffic resumed", now)
 
 
 @handle.register
@@ -234,27 +242,29 @@
     member = membership.members.get(event.host)
     if member is None:
         return []
-    # Read late from an old link, the predecessor's word would hold for its successor.
+    # A late announcement from an old link is about the previous incarnation.
     if event.incarnation and event.incarnation != member.incarnation:
         return []
-    # The list goes on showing the host as live for some seconds. The process itself
-    # knows better, and only its successor can take the word back.
-    member.left = member.incarnation
+    # The list may show the host as live for some more seconds. The process's own
+    # announcement takes precedence, and only a new incarnation revokes it.
+    member.left_incarnation = member.incarnation
     member.heard_at = now
-    return membership.refresh([event.host], f"said it leaves: {event.reason}", now)
+    return membership.refresh(
+        [event.host], f"announced that it leaves: {event.reason}", now
+    )
 
 
 @handle.register
 def _(event: ConfigurationApplied, membership: Membership, now: float) -> list[Change]:
     membership.configured = {item.host: item.upstream for item in event.servers}
-    fill_in({item.host: item for item in event.servers}, membership)
+    fill_missing_upstreams({item.host: item for item in event.servers}, membership)
     return []
 
 
 @handle.register
 def _(event: PeerReport, membership: Membership, now: float) -> list[Change]:
-    # A peer may be cut off itself: its word never takes a host out of use here.
-    membership.note_word(event, now)
+    # The peer itself may be cut off, so its report never takes a host out of use here.
+    membership.record_peer_report(event, now)
     return []
 
 
@@ -263,8 +273,8 @@
     return membership.refresh(list(membership.members), "silence", now)
 
 
-def take_listed(item: ListedHost, membership: Membership) -> list[Change]:
-    """Take over a line of the list."""
+def apply_listed_host(item: ListedHost, membership: Membership) -> list[Change]:
+    """Apply one entry of the host list."""
     changes: list[Change] = []
     member = membership.members.get(item.host)
     if member is None:
@@ -280,8 +290,8 @@
     return changes
 
 
-def add_unlisted(host: str, membership: Membership, now: float) -> HostAdded:
-    """Add a host that is not on the list yet."""
+def add_unlisted_host(host: str, membership: Membership, now: float) -> HostAdded:
+    """Add a host that is not listed yet."""
     member = Member("", "", "")
     member.unlisted_since = now
     membership.members[host] = member
@@ -291,18 +301,20 @@
 
 
 def start_incarnation(member: Member, incarnation: str, now: float) -> None:
-    """Forget what the host's former process said."""
+    """Reset what the host's previous incarnation announced."""
     restarted = member.incarnation != ""
     member.incarnation = incarnation
-    member.left = None
-    # The list may still show the former process as leaving. It is not believed for as
-    # long as it can lag; what it still says then is about the new process.
+    member.left_incarnation = None
+    # The list may still show the previous incarnation as leaving. That is ignored for
+    # the list's maximum staleness; after it, the listed state is the new incarnation's.
     if restarted:
-        member.trusted_until = now + LIST_LAG_SECONDS
+        member.ignore_listed_leaving_until = now + MAX_LIST_LAG_SECONDS
 
 
-def fill_in(servers: Mapping[str, ConfiguredHost], membership: Membership) -> None:
-    """Give place and upstream to hosts that no list has described yet."""
+def fill_missing_upstreams(
+    servers: Mapping[str, ConfiguredHost], membership: Membership
+) -> None:
+    """Fill in place and upstream of hosts that have not been listed yet."""
     for host, member in membership.members.items():
         server = servers.get(host)
         if server is None or member.upstream:
--- a/radishtally/membership/events.py
+++ b/radishtally/membership/events.py
@@ -1,4 +1,4 @@
-"""Events that the membership takes and changes that it gives."""
+"""Events that the membership handles and changes that it returns."""
 
 from typing import NamedTuple
 
@@ -6,41 +6,41 @@
 
 
 class HostListRead(NamedTuple):
-    """Bring the platform's list; empty where it could not be read."""
+    """Event: the platform's host list was read; empty if it could not be read."""
 
     hosts: tuple[ListedHost, ...]
 
 
 class LinkUp(NamedTuple):
-    """Say that a link to the host is up and its Hello was read."""
+    """Event: a link to the host is up and its Hello was received."""
 
     host: str
     incarnation: str
 
 
 class LinkDown(NamedTuple):
-    """Say that a link to the host is gone."""
+    """Event: a link to the host has closed."""
 
     host: str
 
 
 class TrafficReceived(NamedTuple):
-    """Say that something came in over a link of the host."""
+    """Event: data arrived over a link of the host."""
 
     host: str
 
 
 class LeaveAnnounced(NamedTuple):
-    """Bring the host's own word that it takes no new work."""
+    """Event: the host has announced that it accepts no new work."""
 
     host: str
     reason: str
     incarnation: str = ""
-    """Process that said so; empty if that is not known."""
+    """Process that announced it; empty if unknown."""
 
 
 class ConfiguredHost(NamedTuple):
-    """Describe an upstream's host as configured."""
+    """Represent a host of an upstream in the configuration."""
 
     host: str
     place: str
@@ -48,30 +48,30 @@
 
 
 class ConfigurationApplied(NamedTuple):
-    """Say that a configuration is in force."""
+    """Event: a configuration has come into force."""
 
     servers: tuple[ConfiguredHost, ...]
 
 
 class PeerReport(NamedTuple):
-    """Bring a peer's word on which hosts it can't reach."""
+    """Event: a peer has reported the hosts that it can't reach."""
 
     peer: str
     unreachable: tuple[str, ...]
 
 
 class Tick(NamedTuple):
-    """Say that time has passed."""
+    """Event: time has passed."""
 
 
 class HostAdded(NamedTuple):
-    """Say that a host became known."""
+    """Change: a host was added."""
 
     host: str
 
 
 class StateChanged(NamedTuple):
-    """Say that a host's state changed."""
+    """Change: a host moved from one state to another."""
 
     host: str
     before: str
@@ -80,7 +80,7 @@
 
 
 class AddressChanged(NamedTuple):
-    """Say that a host is listed under a new address."""
+    """Change: a host is listed under a new address."""
 
     host: str
     address: str
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of the membership."""
+"""Tests of the membership core."""
 
 import pytest
 from hypothesis import given
@@ -7,8 +7,8 @@
 from radishtally.membership.core import (
     GONE,
     LEAVING,
+    LINK_SILENCE_TIMEOUT_SECONDS,
     LIVE,
-    SILENT_SECONDS,
     UNREACHABLE,
     FaultLocation,
     Membership,
@@ -39,11 +39,11 @@
 
 LIST = make_listed("a")
 UP = LinkUp("a", "one")
-SILENT = 1 + SILENT_SECONDS
+SILENT = 1 + LINK_SILENCE_TIMEOUT_SECONDS
 
 
 def play(*events, membership=None):
-    """Play (event, time) pairs and give the state of host a after each."""
+    """Handle (event, time) pairs and return the state of host a after each."""
     membership = membership or Membership()
     states = []
     for event, now in events:
@@ -59,7 +59,7 @@
         pytest.param(
             [(LIST, 0), (UP, 1), (LinkDown("a"), 2), (UP, 3)],
             [UNREACHABLE, LIVE, UNREACHABLE, LIVE],
-            id="link",
+            id="link down and up",
         ),
         pytest.param(
             [(LIST, 0), (UP, 1), (Tick(), SILENT), (TrafficReceived("a"), 20)],
@@ -69,12 +69,12 @@
         pytest.param(
             [(LIST, 0), (UP, 1), (UP, 2), (LinkDown("a"), 3)],
             [UNREACHABLE, LIVE, LIVE, LIVE],
-            id="new link before the old one goes",
+            id="new link before the old one closes",
         ),
         pytest.param(
             [(LIST, 0), (UP, 1), (LeaveAnnounced("a", "stop"), 2), (LIST, 3), (UP, 4)],
             [UNREACHABLE, LIVE, LEAVING, LEAVING, LEAVING],
-            id="leaving beats the lagging list",
+            id="announced leaving overrides the stale list",
         ),
         pytest.param(
             [
@@ -84,7 +84,7 @@
                 (LinkUp("a", "two"), 3),
             ],
             [UNREACHABLE, LIVE, LEAVING, LIVE],
-            id="a successor takes the word back",
+            id="new incarnation revokes leaving",
         ),
         pytest.param(
             [
@@ -94,7 +94,7 @@
                 (LeaveAnnounced("a", "stop", "one"), 2.1),
             ],
             [UNREACHABLE, LIVE, LIVE, LIVE],
-            id="late word of the predecessor",
+            id="late announcement of the previous incarnation",
         ),
         pytest.param(
             [(LIST, 0), (UP, 1), (make_listed("a", state="leaving"), 2)],
@@ -111,7 +111,7 @@
                 (TrafficReceived("a"), 18.1),
             ],
             [UNREACHABLE, LIVE, LEAVING, LIVE, LIVE, LEAVING],
-            id="a successor beats the list for as long as it can lag",
+            id="new incarnation overrides listed leaving while the list may be stale",
         ),
         pytest.param(
             [(LIST, 0), (UP, 1), (make_listed("b"), 2), (TrafficReceived("a"), 90)],
@@ -121,7 +121,7 @@
         pytest.param(
             [(LIST, 0), (UP, 1), (make_listed("b"), 2), (LinkDown("a"), 33)],
             [UNREACHABLE, LIVE, LIVE, GONE],
-            id="unlisted for a while and the link goes",
+            id="unlisted for the grace time and the link closes",
         ),
         pytest.param(
             [(LIST, 0), (make_listed("b"), 2), (Tick(), 31), (Tick(), 33)],
@@ -162,7 +162,7 @@
                 (LeaveAnnounced("a", "stop"), 2),
             ],
             [GONE, GONE, GONE],
-            id="words about a stranger",
+            id="events of an unknown host",
         ),
     ],
 )
@@ -219,7 +219,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "verdict"),
+    ("reports", "location"),
     [
         ([(), (), ("a",)], FaultLocation.LOCAL),
         ([("a",), ("a",), ()], FaultLocation.REMOTE),
@@ -227,21 +227,22 @@
         ([], FaultLocation.UNCLEAR),
     ],
 )
-def test_peers_tell_whose_fault_it_is(words, verdict):
+def test_peer_reports_locate_the_fault(reports, location):
     membership = Membership()
     play((LIST, 0), membership=membership)
-    for number, word in enumerate(words):
-        handle(PeerReport(f"entry-{number}", word), membership, 0.0)
-    assert membership.locate_fault("a", 1.0) == verdict
+    for number, report in enumerate(reports):
+        handle(PeerReport(f"entry-{number}", report), membership, 0.0)
+    assert membership.locate_fault("a", 1.0) == location
     assert membership.locate_fault("a", 100.0) == FaultLocation.UNCLEAR
     assert membership.list_unreachable(1.0) == ("a",)
 
 
 @given(st.lists(st.sampled_from(["e1", "e2", "e3", "e4"])))
 def test_no_peer_takes_a_host_out_of_use(peers):
-    """Some entries are cut off from a host that this one reaches.
+    """Some entries can't reach a host that this one reaches.
 
-    Were their word taken, one entry's bad cable would take the host from all callers.
+    If their reports counted, one entry's bad cable would take the host out of use for
+    all callers.
     """
     membership = Membership()
     play((LIST, 0), (UP, 1), membership=membership)
@@ -267,7 +268,7 @@
 
 
 @given(st.lists(st.tuples(EVENTS, st.floats(0, 20)), max_size=40))
-def test_a_host_that_said_it_leaves_is_not_used_until_a_successor_comes(steps):
+def test_a_leaving_host_is_not_used_until_a_new_incarnation_links(steps):
     membership = Membership()
     now, left = 0.0, {}
     for event, passed in steps:
