--- a/radishtally/store/settle.py
+++ b/radishtally/store/settle.py
@@ -20,8 +20,8 @@
     Write,
 )
 
-FIRST_PAUSE_SECONDS: Final = 0.05
-MAX_PAUSE_SECONDS: Final = 1.0
+INITIAL_BACKOFF_SECONDS: Final = 0.05
+MAX_BACKOFF_SECONDS: Final = 1.0
 
 Verdict = Result[None, TableError]
 
@@ -40,7 +40,7 @@
     """
     unclear: Unclear | None = None
     unclear_in = 0
-    pause = FIRST_PAUSE_SECONDS
+    pause = INITIAL_BACKOFF_SECONDS
     while (left := deadline - clock()) > 0:
         era = _get_era(table)
         result = await _transact_within(table, writes, write_id, left)
@@ -64,7 +64,7 @@
             unclear_in = era if unclear is None else unclear_in
             unclear = error
         await asyncio.sleep(min(random.uniform(0.5, 1) * pause, deadline - clock()))
-        pause = min(2 * pause, MAX_PAUSE_SECONDS)
+        pause = min(2 * pause, MAX_BACKOFF_SECONDS)
     return Error(unclear or Unavailable("deadline passed before the write was sent"))
 
 
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -39,7 +39,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch):
-    monkeypatch.setattr(settle, "FIRST_PAUSE_SECONDS", 0.0)
+    monkeypatch.setattr(settle, "INITIAL_BACKOFF_SECONDS", 0.0)
 
 
 @pytest.fixture
--- a/tests/store/test_settle.py
+++ b/tests/store/test_settle.py
@@ -34,7 +34,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch):
-    monkeypatch.setattr(settle, "FIRST_PAUSE_SECONDS", 0.0)
+    monkeypatch.setattr(settle, "INITIAL_BACKOFF_SECONDS", 0.0)
 
 
 def write(table, writes):
