--- a/radishtally/gateway/bounds.py
+++ b/radishtally/gateway/bounds.py
@@ -29,7 +29,7 @@
     return every_second * RETRY_PART / gateways
 
 
-def find_gathering(bounds: Bounds, gateways: int | None) -> float:
+def find_gather_seconds(bounds: Bounds, gateways: int | None) -> float:
     """Find how long one of some gateways may gather changes of the store.
 
     A host whose entry is gone gets no request once its time to drain is over, and may
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -14,7 +14,7 @@
 from radishtally.direct.hosts import DirectHosts
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.bounds import (
-    find_gathering,
+    find_gather_seconds,
     find_retry_floor,
     make_lease_terms,
     mark_bounds,
@@ -180,7 +180,7 @@
         tasks = [*more, *map(asyncio.create_task, parts)]
         await asyncio.wait(tasks, timeout=UNLOAD_SECONDS)
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Take settings that were read again; addresses stay until the next start."""
         known = self.settings.bounds
         fixed = msgspec.structs.replace(settings, bounds=known)
@@ -208,12 +208,12 @@
         self.lease.share_reads(count)
         self._share_retries()
 
-    def find_gathering(self) -> float:
+    def find_gather_seconds(self) -> float:
         """Find how long changes of the store may be gathered before more are asked for.
 
         Until the other gateways are listed, all of them may be starting at once.
         """
-        return find_gathering(self.settings.bounds, self._gateways)
+        return find_gather_seconds(self.settings.bounds, self._gateways)
 
     def _share_retries(self) -> None:
         bounds = self.settings.bounds
@@ -292,13 +292,13 @@
         named = configuration.upstreams
         return [host for host in self.members if host.upstream in named]
 
-    def apply(self, changes: list[HostChange]) -> None:
+    def apply_changes(self, changes: list[HostChange]) -> None:
         """Take what became of the upstreams' hosts."""
         for change in changes:
             carry_out(change, self)
         self.metrics.set_missing(self.members.count_missing())
 
-    def count_unreadable(self, count: int) -> None:
+    def set_unreadable_count(self, count: int) -> None:
         """Take how many entries of the list can't be read."""
         self.metrics.set_unreadable(count)
 
@@ -314,10 +314,10 @@
         if not changes:
             return
         log_message("upstream:leaving", upstream_host=asked.host)
-        self.apply(changes)
+        self.apply_changes(changes)
 
     def _take_report(self, asked: Instance, report: EngineReport) -> None:
-        self.apply(self.members.take_report(asked, report))
+        self.apply_changes(self.members.take_report(asked, report))
 
     def route(
         self, method: str, target: str, asked: CallerRequest, body: bytes
--- a/radishtally/gateway/members.py
+++ b/radishtally/gateway/members.py
@@ -151,7 +151,7 @@
             if self._entered_at is not None and self._instances.get(host) == instance:
                 # Unchanged in an older copy, it is known from a later write.
                 count = max(count, self._beats.get(host, 0))
-            changes += self.set(instance, count)
+            changes += self.update(instance, count)
         self._doubts = doubts
         self._review_at = now + REVIEW_SECONDS if doubts else float("inf")
         self._entered_at = None
@@ -187,7 +187,7 @@
         shown = instance._replace(started_ms=known.started_ms)
         return shown != known and beats <= self._beats.get(host, 0)
 
-    def set(self, instance: Instance, beats: int = 0) -> list[HostChange]:
+    def update(self, instance: Instance, beats: int = 0) -> list[HostChange]:
         """Take one entry; one of a start that has ended says nothing."""
         host = instance.host
         if self.starts.is_ended(host, instance.started_ms):
@@ -287,7 +287,7 @@
                 changes.append(self._forget(instance.host, now))
         return changes
 
-    def reject(self, host: str, now: float) -> list[HostChange]:
+    def remove_unreadable(self, host: str, now: float) -> list[HostChange]:
         """Take that a host's entry is there and names no host any more."""
         self._doubts.pop(host, None)
         return [self._forget(host, now)] if host in self._instances else []
@@ -321,7 +321,7 @@
         """Count the hosts that the list lacks and that are kept all the same."""
         return len(self._missing)
 
-    def list_doubted(self) -> list[str]:
+    def list_unconfirmed(self) -> list[str]:
         """List the hosts whose entries of an older copy say nothing."""
         return list(self._doubts)
 
--- a/tests/adapter/test_outages.py
+++ b/tests/adapter/test_outages.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from radishtally.gateway.bounds import find_gathering
+from radishtally.gateway.bounds import find_gather_seconds
 from radishtally.gateway.config import Bounds
 from radishtally.gateway.members import MASS_REMOVAL_SHARE, HostChange, Members
 from radishtally.outcome import Error, Ok, Result
@@ -150,13 +150,13 @@
         self.runtime = Runtime()
         self.gateways = gateways
 
-    def find_gathering(self) -> float:
-        return find_gathering(BOUNDS, self.gateways)
+    def find_gather_seconds(self) -> float:
+        return find_gather_seconds(BOUNDS, self.gateways)
 
-    def count_unreadable(self, count: int) -> None:
+    def set_unreadable_count(self, count: int) -> None:
         assert count == 0
 
-    def apply(self, changes: list[HostChange]) -> None:
+    def apply_changes(self, changes: list[HostChange]) -> None:
         """Take changes; the members hold them already."""
 
 
--- a/tests/adapter/test_restored.py
+++ b/tests/adapter/test_restored.py
@@ -15,7 +15,7 @@
 from adapter.store import Page, StoreClient, StoredRow
 from adapter.watch import TableWatch, Watcher
 
-from radishtally.gateway.bounds import find_gathering
+from radishtally.gateway.bounds import find_gather_seconds
 from radishtally.gateway.members import HostChange, Members
 from radishtally.outcome import Error, Ok, Result
 from radishtally.routes.config import FleetConfiguration
@@ -180,13 +180,13 @@
         if before:
             self.members.enter_era(self.loop.time())
 
-    def find_gathering(self) -> float:
-        return find_gathering(BOUNDS, self.gateways)
+    def find_gather_seconds(self) -> float:
+        return find_gather_seconds(BOUNDS, self.gateways)
 
-    def count_unreadable(self, count: int) -> None:
+    def set_unreadable_count(self, count: int) -> None:
         assert count == 0
 
-    def apply(self, changes: list[HostChange]) -> None:
+    def apply_changes(self, changes: list[HostChange]) -> None:
         self.changes += changes
 
     def configure(self, configuration: Any, *, is_rewritten: bool = False) -> None:
--- a/tests/adapter/test_settings_file.py
+++ b/tests/adapter/test_settings_file.py
@@ -25,7 +25,7 @@
         self.runtime = Runtime()
         self.taken = asyncio.Event()
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         self.taken.set()
 
     async def run(self) -> None:
--- a/tests/adapter/test_watch.py
+++ b/tests/adapter/test_watch.py
@@ -208,13 +208,13 @@
         self.changes: list[HostChange] = []
         self.unreadable = 0
 
-    def count_unreadable(self, count: int) -> None:
+    def set_unreadable_count(self, count: int) -> None:
         self.unreadable = count
 
-    def find_gathering(self) -> float:
+    def find_gather_seconds(self) -> float:
         return 0.0
 
-    def apply(self, changes: list[HostChange]) -> None:
+    def apply_changes(self, changes: list[HostChange]) -> None:
         self.changes += changes
 
 
--- a/tests/gateway/test_bounds.py
+++ b/tests/gateway/test_bounds.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from radishtally.gateway.bounds import find_gathering
+from radishtally.gateway.bounds import find_gather_seconds
 from radishtally.gateway.config import Bounds
 from radishtally.gateway.members import MISSING_GRACE_SECONDS
 
@@ -17,7 +17,7 @@
 # calls away. Together they ask as often as few, for as long as the bounds allow.
 def test_gateways_gather_the_longer_the_more_they_are() -> None:
     bounds = make_bounds(4_000.0)
-    few, many = (find_gathering(bounds, count) for count in (4, 68))
+    few, many = (find_gather_seconds(bounds, count) for count in (4, 68))
     assert many == pytest.approx(17 * few)
 
 
@@ -27,5 +27,5 @@
 def test_host_that_left_is_known_in_time(drain_ms: float) -> None:
     bounds = make_bounds(drain_ms)
     for gateways in (1, MANY, None):
-        late = find_gathering(bounds, gateways) + MISSING_GRACE_SECONDS
+        late = find_gather_seconds(bounds, gateways) + MISSING_GRACE_SECONDS
         assert late < max(drain_ms / 1000, MISSING_GRACE_SECONDS + 0.001)
--- a/tests/gateway/test_members.py
+++ b/tests/gateway/test_members.py
@@ -37,9 +37,9 @@
 
 def test_draining_is_passed_on() -> None:
     members = Members()
-    members.set(A)
+    members.update(A)
     leaving = make_instance("a", is_draining=True)
-    assert members.set(leaving) == [HostUpdated(leaving)]
+    assert members.update(leaving) == [HostUpdated(leaving)]
 
 
 # Callers are refused everywhere: the store was away, hosts could not renew their
@@ -50,7 +50,7 @@
     missed = members.replace([], 10.0, True)
     assert describe(missed) == ["HostMissing a", "HostMissing b"]
     assert members.count_missing() == 2
-    assert describe(members.set(A)) == ["HostReturned a"]
+    assert describe(members.update(A)) == ["HostReturned a"]
     assert members.expire(10.0 + MISSING_GRACE_SECONDS - 0.1, False) == []
     assert describe(members.expire(10.0 + MISSING_GRACE_SECONDS, False)) == [
         "HostRemoved b"
@@ -63,7 +63,7 @@
 def test_removed_host_is_given_up_within_what_a_leaving_one_may_get() -> None:
     drain_seconds, late_seconds = 2.0, 0.3
     members = Members()
-    members.set(A)
+    members.update(A)
     members.remove(["a"], 5.0, True)
     gone = members.expire(5.0 + drain_seconds - late_seconds, False)
     assert describe(gone) == ["HostRemoved a"]
@@ -71,7 +71,7 @@
 
 def test_removal_that_is_read_just_after_an_outage_waits_too() -> None:
     members = Members()
-    members.set(A)
+    members.update(A)
     assert describe(members.remove(["a"], 5.0, True)) == ["HostMissing a"]
     assert describe(members.expire(5.0 + MISSING_GRACE_SECONDS, False)) == [
         "HostRemoved a"
@@ -102,11 +102,11 @@
     older = A._replace(started_ms=started_ms)
     members = Members()
     members.replace([older, B], 0.0, False, {"a": 3, "b": 3})
-    members.set(DRAINING._replace(started_ms=started_ms), 9)
+    members.update(DRAINING._replace(started_ms=started_ms), 9)
     members.enter_era(20.0)
     assert members.replace([older, B], 21.0, True, {"a": 5, "b": 5}) == []
-    assert members.list_doubted() == ["a"]
-    assert members.set(older, 11) == [HostUpdated(older)]
+    assert members.list_unconfirmed() == ["a"]
+    assert members.update(older, 11) == [HostUpdated(older)]
     assert members.next_review() == float("inf")
 
 
@@ -114,12 +114,12 @@
 def test_role_is_not_undone_by_an_older_copy() -> None:
     before, after = A._replace(role=PREFILL), A._replace(role=DECODE)
     members = Members()
-    members.set(before, 3)
-    members.set(after, 9)
+    members.update(before, 3)
+    members.update(after, 9)
     members.enter_era(20.0)
     assert members.replace([before], 21.0, True, {"a": 8}) == []
     assert members.replace([after], 22.5, False, {"a": 10}) == []
-    assert members.list_doubted() == []
+    assert members.list_unconfirmed() == []
 
 
 # An engine is taken for a role that it left: a first copy showed it as it is, from an
@@ -127,9 +127,9 @@
 def test_count_that_is_known_is_not_taken_back_by_a_copy() -> None:
     now_again, between = A._replace(role=PREFILL), A._replace(role=DECODE)
     members = Members()
-    members.set(now_again, 3)
-    members.set(between, 7)
-    members.set(now_again, 9)
+    members.update(now_again, 3)
+    members.update(between, 7)
+    members.update(now_again, 9)
     members.enter_era(20.0)
     assert members.replace([now_again], 21.0, True, {"a": 4}) == []
     members.enter_era(25.0)
@@ -143,7 +143,7 @@
     members.replace([A, B], 0.0, False, {"a": 30, "b": 30})
     members.enter_era(20.0)
     assert members.replace([A, B], 21.0, True, {"a": 10, "b": 10}) == []
-    assert members.list_doubted() == []
+    assert members.list_unconfirmed() == []
     assert members.next_review() == float("inf")
 
 
@@ -156,9 +156,9 @@
     assert describe(members.remove(["b"], 10.0, False)) == ["HostRemoved b"]
     members.enter_era(20.0)
     assert members.replace([A, B], 21.0, True, {"a": 40, "b": 40}) == []
-    assert members.list_doubted() == ["b"]
+    assert members.list_unconfirmed() == ["b"]
     assert members.next_review() == 21.0 + REVIEW_SECONDS
-    assert members.set(B, 41) == [HostUpdated(B)]
+    assert members.update(B, 41) == [HostUpdated(B)]
 
 
 # A host that lives stays without work for good: its entry had lapsed and it was given
@@ -196,7 +196,7 @@
     members.enter_era(20.0)
     members.replace([A, B], 21.0, True)
     assert members.remove(["b"], 24.0, False) == []
-    assert members.list_doubted() == []
+    assert members.list_unconfirmed() == []
 
 
 # A host that has started again after its removal waits for seconds: the doubt about
@@ -208,14 +208,14 @@
     members.remove(["b"], 10.0, False)
     members.enter_era(20.0)
     assert HostUpdated(second) in members.replace([A, second], 21.0, True, {"b": 1})
-    assert members.list_doubted() == []
+    assert members.list_unconfirmed() == []
 
 
 def test_count_of_an_earlier_start_says_nothing_of_the_next() -> None:
     first, second = (B._replace(started_ms=started_ms) for started_ms in (5, 9))
     report = EngineReport(DECODE, 0, False, 9)
     members = Members()
-    members.set(first._replace(is_draining=True), 50)
+    members.update(first._replace(is_draining=True), 50)
     members.take_report(first, report)
     members.enter_era(20.0)
     shown = second._replace(role=PREFILL)
@@ -254,21 +254,21 @@
     members = Members()
     hosts = [make_instance(f"h{n}") for n in range(MAX_REMEMBERED + 5)]
     for instance in [A, *hosts]:
-        members.set(instance)
+        members.update(instance)
         members.remove([instance.host], 5.0, False)
         members.expire(5.0 + MISSING_GRACE_SECONDS, False)
     members.enter_era(5.0 + REMEMBER_SECONDS / 2)
     members.replace([A, *hosts], 40.0, True)
-    assert len(members.list_doubted()) == MAX_REMEMBERED
+    assert len(members.list_unconfirmed()) == MAX_REMEMBERED
     members.enter_era(7.0 + REMEMBER_SECONDS)
     members.replace([A, *hosts], 70.0, True)
-    assert members.list_doubted() == []
+    assert members.list_unconfirmed() == []
 
 
 # Where the store tells no eras, an entry holds whatever its count says.
 def test_without_a_restore_the_newest_answer_holds() -> None:
     members = Members()
-    members.set(DRAINING, 9)
+    members.update(DRAINING, 9)
     assert members.replace([A], 1.0, False, {"a": 3}) == [HostUpdated(A)]
     members.remove(["a"], 2.0, False)
     members.expire(2.0 + MISSING_GRACE_SECONDS, False)
@@ -285,10 +285,10 @@
     members.replace([A, B], 0.0, False, {"a": 1, "b": 1})
     assert members.take_leaving(A) == [HostUpdated(LEAVING_A)]
     assert members.take_leaving(A) == []
-    assert members.set(A, 2) == []
+    assert members.update(A, 2) == []
     assert members.replace([A, B], 1.0, False, {"a": 3, "b": 3}) == []
     members.remove(["a"], 2.0, False)
-    assert members.set(A, 4) == [HostUpdated(LEAVING_A)]
+    assert members.update(A, 4) == [HostUpdated(LEAVING_A)]
     members.enter_era(3.0)
     members.replace([A, B], 3.0, False, {"a": 1, "b": 1})
     assert LEAVING_A in list(members)
@@ -297,9 +297,9 @@
 def test_new_start_of_a_host_that_left_is_used() -> None:
     members = Members()
     first, second = (A._replace(started_ms=start) for start in (1_000, 2_000))
-    members.set(first)
+    members.update(first)
     members.take_leaving(first)
-    members.set(second)
+    members.update(second)
     assert list(members) == [second]
 
 
@@ -307,8 +307,8 @@
 def test_late_word_of_an_earlier_start_says_nothing() -> None:
     members = Members()
     first, second = (A._replace(started_ms=start) for start in (1_000, 2_000))
-    members.set(first)
-    members.set(second)
+    members.update(first)
+    members.update(second)
     assert members.take_leaving(first) == []
     assert list(members) == [second]
 
@@ -325,7 +325,7 @@
     members = Members()
     for number in range(2 * MAX_REMEMBERED):
         leaving = make_instance(f"h-{number}")
-        members.set(leaving)
+        members.update(leaving)
         members.take_leaving(leaving)
         members.remove([leaving.host], float(number), False)
     assert len(members._leaving) == MAX_REMEMBERED
--- a/tests/gateway/test_members_machine.py
+++ b/tests/gateway/test_members_machine.py
@@ -111,7 +111,7 @@
         self._write(host, is_draining)
         self.apart.pop(host, None)
         self.set_beats[host] = self.beats[host]
-        self._apply(self.members.set(*self.listed[host]))
+        self._apply(self.members.update(*self.listed[host]))
 
     @rule(hosts=SETS_OF_HOSTS)
     def beat(self, hosts: frozenset[str]) -> None:
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -44,7 +44,7 @@
                 gateway.settings.bounds, retry_ratio=1.0, lease_ms=60_000.0
             )
             settings = msgspec.structs.replace(gateway.settings, bounds=bounds)
-            gateway.take_settings(settings)
+            gateway.apply_settings(settings)
             assert before < RETRY_PART * REQUESTS <= count_retries(gateway)
             assert gateway.lease._core.terms.granted >= 60.0
 
@@ -67,7 +67,7 @@
             (first,) = read_marks(gateway)
             assert read_marks(other) == [first]
             bounds = msgspec.structs.replace(gateway.settings.bounds, retry_ratio=1.0)
-            gateway.take_settings(
+            gateway.apply_settings(
                 msgspec.structs.replace(gateway.settings, bounds=bounds)
             )
             (second,) = read_marks(gateway)
@@ -90,7 +90,7 @@
 def change_settings(gateway: Gateway, ratio: float) -> None:
     """Let a gateway read settings that differ in a bound."""
     bounds = msgspec.structs.replace(gateway.settings.bounds, retry_ratio=ratio)
-    gateway.take_settings(msgspec.structs.replace(gateway.settings, bounds=bounds))
+    gateway.apply_settings(msgspec.structs.replace(gateway.settings, bounds=bounds))
 
 
 # A reminder comes twice in one data centre and not at all in another: the settings
--- a/tests/gateway/test_starts.py
+++ b/tests/gateway/test_starts.py
@@ -32,25 +32,25 @@
 # started again under its name, and only the start in its entry tells.
 def test_new_start_in_the_list_is_a_restart() -> None:
     members = Members()
-    assert describe(members.set(make_instance(EARLY))) == ["HostUpdated"]
-    changes = members.set(make_instance(LATE))
+    assert describe(members.update(make_instance(EARLY))) == ["HostUpdated"]
+    changes = members.update(make_instance(LATE))
     assert describe(changes) == ["HostRestarted", "HostUpdated"]
     assert tuple(changes[0]) == ("a", EARLY, LATE, StartSource.LISTED)
-    assert members.set(make_instance(LATE)) == []
+    assert members.update(make_instance(LATE)) == []
 
 
 # A host is taken for restarted again and again, each time losing what it does: its
 # entry is written with the next heartbeat only, and still shows the earlier start.
 def test_list_does_not_take_back_what_a_report_has_shown() -> None:
     members = Members()
-    members.set(make_instance(EARLY, is_draining=True))
+    members.update(make_instance(EARLY, is_draining=True))
     changes = members.take_report(
         make_instance(EARLY, is_draining=True), make_report(LATE, PREFILL)
     )
     assert describe(changes) == ["HostRestarted", "HostUpdated"]
     assert changes[0].source == StartSource.REPORTED
     assert list_known(members) == [make_instance(LATE, role=PREFILL)]
-    assert members.set(make_instance(EARLY, is_draining=True)) == []
+    assert members.update(make_instance(EARLY, is_draining=True)) == []
     assert members.replace([make_instance(EARLY)], 1.0, True) == []
     assert members.replace([make_instance(EARLY)], 2.0, False) == []
     assert list_known(members) == [make_instance(LATE, role=PREFILL)]
@@ -61,8 +61,8 @@
 def test_late_report_does_not_take_back_what_the_list_has_shown() -> None:
     members = Members()
     asked = make_instance(EARLY)
-    members.set(asked)
-    members.set(make_instance(LATE))
+    members.update(asked)
+    members.update(make_instance(LATE))
     assert members.take_report(asked, make_report(EARLY)) == []
     assert list_known(members) == [make_instance(LATE)]
 
@@ -72,17 +72,17 @@
 def test_report_tells_nothing_of_a_start_that_was_not_asked() -> None:
     members = Members()
     asked = make_instance(EARLY)
-    members.set(asked)
-    members.set(make_instance(LATE, address="a:2"))
+    members.update(asked)
+    members.update(make_instance(LATE, address="a:2"))
     assert members.take_report(asked, make_report(7)) == []
     assert list_known(members) == [make_instance(LATE, address="a:2")]
 
 
 def test_new_start_of_a_missing_host_returns_it() -> None:
     members = Members()
-    members.set(make_instance(EARLY))
+    members.update(make_instance(EARLY))
     members.remove(["a"], 1.0, True)
-    changes = members.set(make_instance(LATE, address="a:2"))
+    changes = members.update(make_instance(LATE, address="a:2"))
     assert describe(changes) == ["HostReturned", "HostRestarted", "HostUpdated"]
     assert members.expire(1.0 + MISSING_GRACE_SECONDS, False) == []
 
@@ -90,14 +90,14 @@
 def test_host_that_was_gone_is_back_as_the_same_start_or_another() -> None:
     members = Members()
     for other in ("b", "c", "d", "e"):
-        members.set(make_instance(EARLY)._replace(host=other))
+        members.update(make_instance(EARLY)._replace(host=other))
     for instance, kinds in (
         (make_instance(EARLY), ["HostUpdated"]),
         (make_instance(EARLY), ["HostUpdated"]),
         (make_instance(LATE), ["HostRestarted", "HostUpdated"]),
         (make_instance(EARLY), []),
     ):
-        assert describe(members.set(instance)) == kinds
+        assert describe(members.update(instance)) == kinds
         members.remove(["a"], 1.0, False)
 
 
@@ -105,12 +105,12 @@
 # the one source does and the other one does not.
 def test_start_that_is_told_for_the_first_time_is_no_restart() -> None:
     members = Members()
-    members.set(make_instance(0, is_draining=True))
+    members.update(make_instance(0, is_draining=True))
     assert members.take_report(make_instance(0), make_report(0)) == []
     changes = members.take_report(make_instance(0), make_report(EARLY, PREFILL))
     assert describe(changes) == ["HostUpdated"]
     assert list_known(members) == [make_instance(EARLY, is_draining=True)]
-    assert members.set(make_instance(0, is_draining=True)) == []
+    assert members.update(make_instance(0, is_draining=True)) == []
     assert members.starts.name("a") == Starts().name("a")
 
 
--- a/tests/gateway/test_starts_machine.py
+++ b/tests/gateway/test_starts_machine.py
@@ -129,7 +129,7 @@
         if entry is None:
             self.take(self.members.remove([HOST], self.now, after_outage))
         else:
-            self.take(self.members.set(entry))
+            self.take(self.members.update(entry))
 
     @rule(after_outage=st.booleans())
     def read_whole_list(self, after_outage: bool) -> None:
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -38,7 +38,7 @@
     """Give a gateway so many seconds from the signal to the platform's kill."""
     bounds = msgspec.structs.replace(gateway.settings.bounds, grace_seconds=seconds)
     settings = msgspec.structs.replace(gateway.settings, bounds=bounds)
-    gateway.take_settings(settings)
+    gateway.apply_settings(settings)
 
 
 async def wait_until_idle(front: Front) -> None:
