--- a/radishtally/gateway/recall.py
+++ b/radishtally/gateway/cache_discovery.py
@@ -12,21 +12,21 @@
 from radishtally.outcome import Result
 from radishtally.routing.core import rank
 
-LOOK_SECONDS: Final = 0.1
+ENGINE_POLL_SECONDS: Final = 0.1
 """Time between two looks whether engines are listed yet."""
-LOOKS: Final = 30
+MAX_ENGINE_POLLS: Final = 30
 """Looks after which no engines are waited for: what is listed later has just started,
 and keeps nothing."""
 
 
-class Engines(Protocol):
+class CacheReader(Protocol):
     """Reach engines."""
 
     async def read_kept(self, instance: Instance) -> Result[list[KeptPart], str]:
         """Ask an engine which parts of prompts it keeps."""
 
 
-class Recall:
+class CacheDiscovery:
     """Learn at the start of a gateway which parts of prompts engines keep.
 
     Gateways that all stop at once forget it, and each part would be read again at
@@ -39,7 +39,7 @@
     def __init__(
         self,
         own: str,
-        engines: Engines,
+        engines: CacheReader,
         placement: EnginePlacement,
         list_instances: Callable[[], list[Instance]],
     ) -> None:
@@ -50,19 +50,19 @@
 
     async def run(self, names: Collection[str]) -> None:
         """Ask those engines that fall to this one of some gateways, once each."""
-        for _ in range(LOOKS):
+        for _ in range(MAX_ENGINE_POLLS):
             listed = [item for item in self._list_instances() if item.role]
             if listed:
                 break
-            await asyncio.sleep(LOOK_SECONDS)
-        ours = [item for item in listed if self._is_ours(item, names)]
-        await asyncio.gather(*map(self._ask, ours))
+            await asyncio.sleep(ENGINE_POLL_SECONDS)
+        assigned = [item for item in listed if self._is_assigned(item, names)]
+        await asyncio.gather(*map(self._read_engine, assigned))
 
-    def _is_ours(self, instance: Instance, names: Collection[str]) -> bool:
+    def _is_assigned(self, instance: Instance, names: Collection[str]) -> bool:
         key = xxh3_64_intdigest(instance.host.encode())
         return rank(names, key)[0] == self._own
 
-    async def _ask(self, instance: Instance) -> None:
+    async def _read_engine(self, instance: Instance) -> None:
         kept = await self._engines.read_kept(instance)
         if kept.is_error():
             log_message("recall:engine_unread", engine=instance.host, reason=kept.error)
--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -24,7 +24,7 @@
 from radishtally.stages.keeper import StageKeeper
 
 
-class Parts(Protocol):
+class ChangeTargets(Protocol):
     """Be what knows of hosts in a gateway."""
 
     members: Members
@@ -38,13 +38,13 @@
 
 
 @singledispatch
-def carry_out(change: HostChange, parts: Parts) -> None:
+def apply_change(change: HostChange, targets: ChangeTargets) -> None:
     """Bring one change to all parts."""
     raise TypeError(f"no way to carry out {type(change)}")
 
 
-@carry_out.register
-def _(change: HostUpdated, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostUpdated, targets: ChangeTargets) -> None:
     instance = change.instance
     host = instance.host
     log_message(
@@ -56,17 +56,17 @@
         role=instance.role,
         is_draining=instance.is_draining,
     )
-    parts.hosts.set_instance(instance)
-    parts.placement.set_instance(instance)
+    targets.hosts.set_instance(instance)
+    targets.placement.set_instance(instance)
     live = not instance.is_draining
-    parts.core.set_host(host, instance.data_centre, instance.upstream, live)
-    parts.core.hosts[host].tells_start = instance.started_ms > 0
-    if host not in parts.core.links:
-        _link(instance, parts)
+    targets.core.set_host(host, instance.data_centre, instance.upstream, live)
+    targets.core.hosts[host].tells_start = instance.started_ms > 0
+    if host not in targets.core.links:
+        _start_dispatch(instance, targets)
 
 
-@carry_out.register
-def _(change: HostMissing, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostMissing, targets: ChangeTargets) -> None:
     log_message(
         "upstream:missing",
         upstream_host=change.host,
@@ -75,13 +75,13 @@
     )
 
 
-@carry_out.register
-def _(change: HostReturned, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostReturned, targets: ChangeTargets) -> None:
     log_message("upstream:returned", upstream_host=change.host)
 
 
-@carry_out.register
-def _(change: HostRestarted, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostRestarted, targets: ChangeTargets) -> None:
     host = change.host
     log_message(
         "upstream:restarted",
@@ -90,27 +90,27 @@
         after=change.after,
         source=change.source.value,
     )
-    parts.placement.restart(host)
-    parts.stages.forget(host)
-    parts.core.restart_host(host)
-    parts.core.links.pop(host, None)
+    targets.placement.restart(host)
+    targets.stages.forget(host)
+    targets.core.restart_host(host)
+    targets.core.links.pop(host, None)
 
 
-@carry_out.register
-def _(change: HostRemoved, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostRemoved, targets: ChangeTargets) -> None:
     host = change.host
     log_message("upstream:gone", upstream_host=host)
-    parts.hosts.forget(host)
-    parts.placement.forget(host)
-    parts.core.forget_host(host)
-    parts.core.links.pop(host, None)
+    targets.hosts.forget(host)
+    targets.placement.forget(host)
+    targets.core.forget_host(host)
+    targets.core.links.pop(host, None)
 
 
-def _link(instance: Instance, parts: Parts) -> None:
+def _start_dispatch(instance: Instance, targets: ChangeTargets) -> None:
     """Let a host get work; what is open at an earlier start of it is lost."""
     host = instance.host
-    incarnation = parts.members.starts.name(host)
-    for request in parts.core.list_outdated(host, incarnation):
-        parts.hosts.cancel(Cancel(request.work.request, request.attempt))
+    incarnation = targets.members.starts.name_incarnation(host)
+    for request in targets.core.list_outdated(host, incarnation):
+        targets.hosts.cancel(Cancel(request.work.request, request.attempt))
     hello = Hello(host, instance.data_centre, "", incarnation, 0)
-    parts.handle(events.LinkUp(hello))
+    targets.handle(events.LinkUp(hello))
--- a/radishtally/gateway/commands.py
+++ b/radishtally/gateway/commands.py
@@ -21,7 +21,7 @@
 from radishtally.serving.state import EntryCore
 
 
-class Parts(Protocol):
+class CommandTargets(Protocol):
     """Be what answers requests in a gateway."""
 
     core: EntryCore
@@ -29,70 +29,70 @@
     metrics: GatewayMetrics
     replies: Replies
 
-    def note_refusal(self, request: str, refusal: Refusal) -> None:
+    def record_refusal(self, request: str, refusal: Refusal) -> None:
         """Take note of an answer of the gateway's own."""
 
 
 @singledispatch
-def carry_out_command(command: events.Command, parts: Parts) -> None:
+def execute_command(command: events.Command, targets: CommandTargets) -> None:
     """Bring one decision about to hosts or to its caller."""
     raise TypeError(f"no way to carry out {type(command)}")
 
 
-@carry_out_command.register
-def _(command: events.Send, parts: Parts) -> None:
+@execute_command.register
+def _(command: events.Send, targets: CommandTargets) -> None:
     message = command.message
     if isinstance(message, Offer):
-        terms = parts.core.requests[message.work.request].terms
-        parts.metrics.offered(message.stage)
-        parts.hosts.run(command.host, message, terms)
+        terms = targets.core.requests[message.work.request].terms
+        targets.metrics.count_offer(message.stage)
+        targets.hosts.run(command.host, message, terms)
     elif isinstance(message, Cancel):
-        parts.hosts.cancel(message)
+        targets.hosts.cancel(message)
 
 
-@carry_out_command.register
-def _(command: events.DropKv, parts: Parts) -> None:
-    parts.hosts.drop(command.kv)
+@execute_command.register
+def _(command: events.DropKv, targets: CommandTargets) -> None:
+    targets.hosts.drop(command.kv)
 
 
-@carry_out_command.register
-def _(command: events.Begin, parts: Parts) -> None:
-    parts.metrics.begun(command.request)
-    parts.replies.put(command)
+@execute_command.register
+def _(command: events.Begin, targets: CommandTargets) -> None:
+    targets.metrics.observe_first_part(command.request)
+    targets.replies.put(command)
 
 
-@carry_out_command.register
-def _(command: events.Deliver, parts: Parts) -> None:
-    parts.replies.put(command)
+@execute_command.register
+def _(command: events.Deliver, targets: CommandTargets) -> None:
+    targets.replies.put(command)
 
 
-@carry_out_command.register
-def _(command: events.Finish, parts: Parts) -> None:
+@execute_command.register
+def _(command: events.Finish, targets: CommandTargets) -> None:
     is_good = command.end.status < FIRST_FAILURE
-    parts.metrics.ended(command.request, ANSWERED if is_good else FAILED)
-    parts.replies.put(command)
+    targets.metrics.record_outcome(command.request, ANSWERED if is_good else FAILED)
+    targets.replies.put(command)
 
 
-@carry_out_command.register
-def _(command: events.End, parts: Parts) -> None:
-    parts.metrics.ended(command.request, ANSWERED)
-    parts.replies.put(command)
+@execute_command.register
+def _(command: events.End, targets: CommandTargets) -> None:
+    targets.metrics.record_outcome(command.request, ANSWERED)
+    targets.replies.put(command)
 
 
-@carry_out_command.register
-def _(command: events.Break, parts: Parts) -> None:
-    parts.note_refusal(command.request, command.refusal)
-    parts.metrics.ended(command.request, BROKEN_OFF)
-    parts.replies.put(command)
+@execute_command.register
+def _(command: events.Break, targets: CommandTargets) -> None:
+    targets.record_refusal(command.request, command.refusal)
+    targets.metrics.record_outcome(command.request, BROKEN_OFF)
+    targets.replies.put(command)
 
 
-@carry_out_command.register
-def _(command: events.Refuse, parts: Parts) -> None:
-    parts.note_refusal(command.request, command.refusal)
-    parts.metrics.ended(command.request, REFUSED)
-    parts.replies.put(command)
+@execute_command.register
+def _(command: events.Refuse, targets: CommandTargets) -> None:
+    targets.record_refusal(command.request, command.refusal)
+    targets.metrics.record_outcome(command.request, REFUSED)
+    targets.replies.put(command)
 
 
-@carry_out_command.register
-def _(command: events.Note, parts: Parts) -> None:
+@execute_command.register
+def _(command: events.Note, targets: CommandTargets) -> None:
     log_message("request:step", request=command.request, text=command.text)
--- a/radishtally/gateway/connections.py
+++ b/radishtally/gateway/connections.py
@@ -8,10 +8,10 @@
 
 from aiohttp.web_protocol import RequestHandler
 
-from radishtally.gateway.const import HANDLER_TURNS
+from radishtally.gateway.const import HANDLER_LOOP_ITERATIONS
 
 
-class _Use(NamedTuple):
+class _RequestCount(NamedTuple):
     """Remember what a connection carries, and since when that has not changed."""
 
     changed_at: float
@@ -28,36 +28,37 @@
     ) -> None:
         self._list_open = list_open
         self._clock = clock
-        self._uses: dict[RequestHandler, _Use] = {}
+        self._counts: dict[RequestHandler, _RequestCount] = {}
 
     @contextmanager
-    def use(self, connection: RequestHandler) -> Iterator[None]:
+    def track_request(self, connection: RequestHandler) -> Iterator[None]:
         """Count a request on a connection while it is answered."""
-        self._count(connection, 1)
+        self._change_count(connection, 1)
         try:
             yield
         finally:
-            self._count(connection, -1)
+            self._change_count(connection, -1)
 
     async def close_idle(self) -> int:
         """Close connections that carry no request; count those that do."""
-        await self._close_unused(self._list_open())
-        return sum(map(self._is_used, self._list_open()))
+        await self._close_if_unused(self._list_open())
+        return sum(map(self._is_busy, self._list_open()))
 
-    async def close_long_idle(self, longest: float) -> None:
+    async def close_long_idle(self, max_idle_seconds: float) -> None:
         """Close connections on which no request has come whole for so many seconds."""
         connections = self._list_open()
-        for gone in self._uses.keys() - set(connections):
-            del self._uses[gone]
+        for gone in self._counts.keys() - set(connections):
+            del self._counts[gone]
         now = self._clock()
-        new = _Use(now, 0)
-        await self._close_unused(
+        new = _RequestCount(now, 0)
+        await self._close_if_unused(
             connection
             for connection in connections
-            if now - self._uses.setdefault(connection, new).changed_at > longest
+            if now - self._counts.setdefault(connection, new).changed_at
+            > max_idle_seconds
         )
 
-    async def _close_unused(self, connections: Iterable[RequestHandler]) -> None:
+    async def _close_if_unused(self, connections: Iterable[RequestHandler]) -> None:
         """Close those of some connections on which no request has come.
 
         A request that has been read reaches its handler some turns of the loop later. A
@@ -65,10 +66,10 @@
         runs it. So reading is paused meanwhile, and what shows by then is not closed.
         """
         paused = [connection for connection in connections if self._pause(connection)]
-        for _ in range(HANDLER_TURNS):
+        for _ in range(HANDLER_LOOP_ITERATIONS):
             await asyncio.sleep(0)
         for connection in paused:
-            if not self._is_used(connection):
+            if not self._is_busy(connection):
                 # Its close() reads no more but leaves the connection open: what a
                 # caller sent on it after that would wait for the process to end.
                 connection.force_close()
@@ -78,20 +79,20 @@
     def _pause(self, connection: RequestHandler) -> bool:
         """Stop reading from a connection if it stands and carries no request."""
         transport = connection.transport
-        if transport is None or transport.is_closing() or self._is_used(connection):
+        if transport is None or transport.is_closing() or self._is_busy(connection):
             return False
         transport.pause_reading()
         return True
 
-    def _is_used(self, connection: RequestHandler) -> bool:
-        known = self._uses.get(connection)
+    def _is_busy(self, connection: RequestHandler) -> bool:
+        known = self._counts.get(connection)
         is_open = known is not None and known.open_requests > 0
         return is_open or _is_sending(connection)
 
-    def _count(self, connection: RequestHandler, change: int) -> None:
-        known = self._uses.get(connection)
+    def _change_count(self, connection: RequestHandler, change: int) -> None:
+        known = self._counts.get(connection)
         count = (known.open_requests if known else 0) + change
-        self._uses[connection] = _Use(self._clock(), count)
+        self._counts[connection] = _RequestCount(self._clock(), count)
 
 
 def _is_sending(connection: RequestHandler) -> bool:
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -15,30 +15,30 @@
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.bounds import (
     find_gather_seconds,
-    find_retry_floor,
+    find_min_retry_rate,
+    hash_bounds,
     make_lease_terms,
-    mark_bounds,
 )
-from radishtally.gateway.changes import carry_out
-from radishtally.gateway.commands import carry_out_command
+from radishtally.gateway.cache_discovery import CacheDiscovery
+from radishtally.gateway.changes import apply_change
+from radishtally.gateway.commands import execute_command
 from radishtally.gateway.config import GatewaySettings
 from radishtally.gateway.const import (
-    ASSUMED_GATEWAYS,
+    DEFAULT_GATEWAY_COUNT,
     LEAVE_MARGIN_SECONDS,
     LEAVE_POLL_SECONDS,
-    LEAVE_SECONDS,
-    RETRY_PART,
-    STAGES,
-    UNLOAD_SECONDS,
+    MIN_LEAVE_SECONDS,
+    RETRY_SHARE,
+    SHUTDOWN_TIMEOUT_SECONDS,
+    STAGES_LEASE,
 )
 from radishtally.gateway.core import CallerDialect, CallerRequest
-from radishtally.gateway.endings import Given
-from radishtally.gateway.front import Front
+from radishtally.gateway.endings import Delivery
+from radishtally.gateway.http_frontend import HttpFrontend
 from radishtally.gateway.members import HostChange, Members
 from radishtally.gateway.metrics import GatewayMetrics
 from radishtally.gateway.peers import Peers
-from radishtally.gateway.recall import Recall
-from radishtally.gateway.requests import NAME_IN_USE, STOPPING, Routed, Router
+from radishtally.gateway.requests import NAME_IN_USE, STOPPING, RoutedRequest, Router
 from radishtally.gateway.topology import Site
 from radishtally.limits.retries import RetryBudgets
 from radishtally.links.messages import Message
@@ -73,9 +73,9 @@
         self.placement = placement
         self.replies = Replies()
         self.metrics = GatewayMetrics()
-        self.runtime.on_stall = self.metrics.note_stall
-        self.runtime.describe_beliefs = self._describe_beliefs
-        self._gateways: int | None = None
+        self.runtime.on_stall = self.metrics.count_stall
+        self.runtime.describe_beliefs = self._describe_state
+        self._gateway_count: int | None = None
         """Gateways that share the retries, once they are listed."""
         self.core = EntryCore(
             settings.host,
@@ -83,8 +83,8 @@
             random.Random(),
             placement,
             RetryBudgets(
-                settings.bounds.retry_ratio * RETRY_PART,
-                find_retry_floor(settings.bounds, ASSUMED_GATEWAYS),
+                settings.bounds.retry_ratio * RETRY_SHARE,
+                find_min_retry_rate(settings.bounds, DEFAULT_GATEWAY_COUNT),
             ),
             # A host without an agent says nothing before its answer begins, and that
             # may take as long as its queue: only the deadline bounds it.
@@ -93,10 +93,10 @@
             prompts_run=False,
         )
         self.hosts = DirectHosts(upstreams, self.runtime.guard_call(self._receive))
-        self.hosts.answers.on_doubt = self.metrics.doubted
-        self.hosts.answers.on_notice = self.runtime.guard_call(self.take_notice)
-        self.front = Front(self, callers)
-        self._stop_begun: float | None = None
+        self.hosts.answers.on_doubt = self.metrics.count_doubted_answer
+        self.hosts.answers.on_notice = self.runtime.guard_call(self.handle_notice)
+        self.frontend = HttpFrontend(self, callers)
+        self._stopping_since: float | None = None
         self.lease = make_lease(self)
         self.stages = StageKeeper(
             settings.host,
@@ -105,7 +105,7 @@
             self.lease,
             placement.measure_rate,
         )
-        self.recall = Recall(
+        self.cache_discovery = CacheDiscovery(
             settings.host, self.hosts, placement, self.list_served_hosts
         )
         self.peers = Peers(
@@ -115,7 +115,7 @@
             settings.peer_address,
         )
         placement.observer = self.stages
-        self.stages.on_report = self._take_report
+        self.stages.on_report = self._handle_report
         self.stages.is_out_of_reach = self.core.is_out_of_reach
         self.waker = Waker(lambda: self.handle(events.Tick()))
 
@@ -130,7 +130,7 @@
         self.runtime.watch_loop()
         await self.hosts.start()
         settings = self.settings
-        await self.front.start(
+        await self.frontend.start(
             settings.address, settings.ready_address, settings.metrics_address
         )
         # Others may be there that contend already: the links tell.
@@ -138,47 +138,51 @@
         self.lease.start()
         self.runtime.spawn(self.stages.run())
         self.runtime.spawn(self.peers.run())
-        log_message("gateway:started", address=self.settings.address, mark=self._mark())
+        log_message(
+            "gateway:started",
+            address=self.settings.address,
+            mark=self._publish_settings_hash(),
+        )
         await self.runtime.stopping.wait()
         resigning = self.runtime.spawn(self.lease.stop())
-        await self._leave()
+        await self._drain()
         self.waker.stop()
-        await self._unload(resigning)
+        await self._stop_parts(resigning)
         self.runtime.cancel_tasks()
         log_message("gateway:stopped", open=len(self.replies))
         self.runtime.exit()
 
-    def _describe_beliefs(self) -> dict[str, Any]:
+    def _describe_state(self) -> dict[str, Any]:
         configuration = self.router.configuration
         return {
             "lease": self.lease.describe(),
             "version": None if configuration is None else configuration.version,
         }
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         """Leave in good order: red to the balancer, then out when nothing is open."""
         log_message("gateway:leaving", open=len(self.replies))
-        self._stop_begun = time.monotonic()
-        until = self._stop_begun + self._grace()
+        self._stopping_since = time.monotonic()
+        until = self._stopping_since + self._find_grace_seconds()
         while time.monotonic() < until and not self.runtime.broken:
             await asyncio.sleep(LEAVE_POLL_SECONDS)
-            if time.monotonic() < self._stop_begun + LEAVE_SECONDS:
+            if time.monotonic() < self._stopping_since + MIN_LEAVE_SECONDS:
                 continue
-            if not await self.front.close_idle():
+            if not await self.frontend.close_idle():
                 break
         # What comes in between the last look and the end would be read by nobody.
-        await self.front.stop_listening()
+        await self.frontend.stop_listening()
         await asyncio.sleep(LEAVE_POLL_SECONDS)
-        while await self.front.close_idle() and time.monotonic() < until:
+        while await self.frontend.close_idle() and time.monotonic() < until:
             await asyncio.sleep(LEAVE_POLL_SECONDS)
         self.handle(events.Leave())
         await asyncio.sleep(LEAVE_POLL_SECONDS)
 
-    async def _unload(self, *more: asyncio.Task) -> None:
+    async def _stop_parts(self, *more: asyncio.Task) -> None:
         """Stop the parts together: what hangs would outlast the platform's grace."""
-        parts = self.front.stop(), self.peers.stop(), self.hosts.stop()
+        parts = self.frontend.stop(), self.peers.stop(), self.hosts.stop()
         tasks = [*more, *map(asyncio.create_task, parts)]
-        await asyncio.wait(tasks, timeout=UNLOAD_SECONDS)
+        await asyncio.wait(tasks, timeout=SHUTDOWN_TIMEOUT_SECONDS)
 
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Take settings that were read again; addresses stay until the next start."""
@@ -192,34 +196,34 @@
             grace = known.grace_seconds
             bounds = msgspec.structs.replace(bounds, grace_seconds=grace)
         self.settings = msgspec.structs.replace(self.settings, bounds=bounds)
-        log_message("settings:in_force", mark=self._mark())
+        log_message("settings:in_force", mark=self._publish_settings_hash())
         self.lease.set_terms(make_lease_terms(bounds))
-        self._share_retries()
+        self._update_retry_budget()
 
-    def _mark(self) -> str:
+    def _publish_settings_hash(self) -> str:
         """Mark the settings in force, in the metrics too."""
-        mark = mark_bounds(self.settings.bounds)
+        mark = hash_bounds(self.settings.bounds)
         self.metrics.set_settings(mark)
         return mark
 
-    def count_gateways(self, count: int) -> None:
+    def set_gateway_count(self, count: int) -> None:
         """Take how many gateways share the retries, and the looks at the lease."""
-        self._gateways = count
+        self._gateway_count = count
         self.lease.share_reads(count)
-        self._share_retries()
+        self._update_retry_budget()
 
     def find_gather_seconds(self) -> float:
         """Find how long changes of the store may be gathered before more are asked for.
 
         Until the other gateways are listed, all of them may be starting at once.
         """
-        return find_gather_seconds(self.settings.bounds, self._gateways)
+        return find_gather_seconds(self.settings.bounds, self._gateway_count)
 
-    def _share_retries(self) -> None:
+    def _update_retry_budget(self) -> None:
         bounds = self.settings.bounds
-        ratio = bounds.retry_ratio * RETRY_PART
-        count = self._gateways or ASSUMED_GATEWAYS
-        self.core.budgets.configure(ratio, find_retry_floor(bounds, count))
+        ratio = bounds.retry_ratio * RETRY_SHARE
+        count = self._gateway_count or DEFAULT_GATEWAY_COUNT
+        self.core.budgets.configure(ratio, find_min_retry_rate(bounds, count))
 
     def render_metrics(self) -> bytes:
         """Give the figures of the metrics address."""
@@ -276,7 +280,7 @@
             version=None if configuration is None else configuration.version,
             hosts=len(list(self.members)),
         )
-        self.metrics.note_restore()
+        self.metrics.count_restore()
         self.members.enter_era(read_boot_clock())
         self.peers.enter_era()
 
@@ -295,62 +299,62 @@
     def apply_changes(self, changes: list[HostChange]) -> None:
         """Take what became of the upstreams' hosts."""
         for change in changes:
-            carry_out(change, self)
+            apply_change(change, self)
         self.metrics.set_missing(self.members.count_missing())
 
     def set_unreadable_count(self, count: int) -> None:
         """Take how many entries of the list can't be read."""
         self.metrics.set_unreadable(count)
 
-    def take_notice(self, asked: Instance, notice: Notice) -> None:
+    def handle_notice(self, asked: Instance, notice: Notice) -> None:
         """Take what the head of an answer says of its host."""
-        self.metrics.noticed(notice)
+        self.metrics.count_notice(notice)
         if notice.pause and self.members.is_present(asked):
             self.core.pause_host(asked.host, notice.pause, time.monotonic())
             log_message(
                 "upstream:paused", upstream_host=asked.host, seconds=notice.pause
             )
-        changes = self.members.take_leaving(asked) if notice.is_leaving else []
+        changes = self.members.record_leaving(asked) if notice.is_leaving else []
         if not changes:
             return
         log_message("upstream:leaving", upstream_host=asked.host)
         self.apply_changes(changes)
 
-    def _take_report(self, asked: Instance, report: EngineReport) -> None:
-        self.apply_changes(self.members.take_report(asked, report))
+    def _handle_report(self, asked: Instance, report: EngineReport) -> None:
+        self.apply_changes(self.members.apply_report(asked, report))
 
     def route(
         self, method: str, target: str, asked: CallerRequest, body: bytes
-    ) -> Result[Routed, Refusal]:
+    ) -> Result[RoutedRequest, Refusal]:
         """Find where a request goes."""
         if asked.request in self.replies:
             return Error(NAME_IN_USE)
         routed = self.router.route(method, target, asked, body)
-        if routed.is_ok() and not self._may_finish(routed.ok.timeout):
+        if routed.is_ok() and not self._can_finish(routed.ok.timeout):
             return Error(STOPPING)
         return routed
 
-    def _may_finish(self, timeout: float) -> bool:
+    def _can_finish(self, timeout: float) -> bool:
         """Tell whether a request that comes now will have its answer in time.
 
         Callers whose connections are open when the stop begins go on sending, and
         where few gateways are left the balancer sends to this one all the same. What
         comes late and lasts long would be cut off by the end of the process.
         """
-        if self._stop_begun is None:
+        if self._stopping_since is None:
             return True
-        passed = time.monotonic() - self._stop_begun
-        left = self._grace() - passed
-        return passed < LEAVE_SECONDS or timeout < left
+        passed = time.monotonic() - self._stopping_since
+        left = self._find_grace_seconds() - passed
+        return passed < MIN_LEAVE_SECONDS or timeout < left
 
-    def _grace(self) -> float:
+    def _find_grace_seconds(self) -> float:
         return self.settings.bounds.grace_seconds - LEAVE_MARGIN_SECONDS
 
-    def open(self, routed: Routed) -> asyncio.Queue[Reply]:
+    def open(self, routed: RoutedRequest) -> asyncio.Queue[Reply]:
         """Bring a request in."""
         work = routed.work
         queue = self.replies.open(work.request)
-        self.metrics.opened(routed)
+        self.metrics.record_opened(routed)
         log_message(
             "request:arrived",
             request=work.request,
@@ -365,9 +369,9 @@
         self.handle(events.Arrived(work, deadline, routed.is_streamed, routed.terms))
         return queue
 
-    def note_refusal(self, request: str, refusal: Refusal) -> None:
+    def record_refusal(self, request: str, refusal: Refusal) -> None:
         """Take note of an answer of the gateway's own."""
-        self.metrics.refused(refusal.code, refusal.ran)
+        self.metrics.count_refusal(refusal.code, refusal.ran)
         log_message(
             "request:refused",
             request=request,
@@ -377,12 +381,12 @@
             text=refusal.message,
         )
 
-    def close(self, request: str, given: Given) -> None:
+    def close(self, request: str, given: Delivery) -> None:
         """Say that the caller has its answer, or is gone."""
         self.replies.close(request)
         if not given.is_done:
             self.handle(events.CallerGone(request))
-        outcome, seconds = self.metrics.closed(request, given.ending)
+        outcome, seconds = self.metrics.record_closed(request, given.ending)
         log_message(
             "request:closed",
             request=request,
@@ -398,7 +402,7 @@
         """Give the core an event and carry out its commands."""
         with self.runtime.guard():
             for command in handle_event(event, self.core, time.monotonic()):
-                carry_out_command(command, self)
+                execute_command(command, self)
             self.waker.wake_at(self.core.next_wake())
 
     def _receive(self, host: str, message: Message) -> None:
@@ -409,7 +413,7 @@
     """Make the lease under which one gateway gives engines their roles."""
     return LeaseHolder(
         gateway.table,
-        STAGES,
+        STAGES_LEASE,
         gateway.settings.host,
         gateway.write_ids,
         make_lease_terms(gateway.settings.bounds),
--- a/radishtally/gateway/endings.py
+++ b/radishtally/gateway/endings.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Given:
+class Delivery:
     """Follow what a caller is given."""
 
     ending: Ending = Ending.CALLER_LEFT
--- a/radishtally/gateway/front.py
+++ b/radishtally/gateway/http_frontend.py
@@ -14,46 +14,46 @@
 from radishtally.exchange import Headers, decode_headers
 from radishtally.gateway.connections import Connections
 from radishtally.gateway.const import (
-    BACKLOG,
     BAD_GATEWAY,
     DEFAULT_RETRY_AFTER,
     GATEWAY_TIMEOUT,
-    HEADER_BYTES,
     IDLE_MARGIN_SECONDS,
+    IDLE_SWEEP_SECONDS,
+    LISTEN_BACKLOG,
+    MAX_HEADER_BYTES,
     NOT_RUN_STATUSES,
-    SWEEP_SECONDS,
 )
 from radishtally.gateway.core import CallerDialect, CallerRequest
-from radishtally.gateway.endings import Ending, Given
+from radishtally.gateway.endings import Delivery, Ending
 from radishtally.gateway.metrics import CONTENT_TYPE
-from radishtally.gateway.requests import Routed
+from radishtally.gateway.requests import RoutedRequest
 from radishtally.outcome import Error, Ok, Ran, Refusal, Result
 from radishtally.routes.config import CallerLimits
 from radishtally.serving.events import Begin, Deliver, End, Finish, Refuse
 from radishtally.serving.replies import Reply
 
-NEVER_SECONDS: Final = 86_400.0
+LIBRARY_KEEPALIVE_SECONDS: Final = 86_400.0
 """Stands for no bound of the library's own on idle connections: it can't follow the
 configuration."""
 
 
-class Gate(Protocol):
+class FrontendBackend(Protocol):
     """Be what the HTTP side needs of the gateway."""
 
     limits: CallerLimits | None
 
     def route(
         self, method: str, target: str, asked: CallerRequest, body: bytes
-    ) -> Result[Routed, Refusal]:
+    ) -> Result[RoutedRequest, Refusal]:
         """Find where a request goes."""
 
-    def note_refusal(self, request: str, refusal: Refusal) -> None:
+    def record_refusal(self, request: str, refusal: Refusal) -> None:
         """Take note that a request was turned away before it came in."""
 
-    def open(self, routed: Routed) -> asyncio.Queue[Reply]:
+    def open(self, routed: RoutedRequest) -> asyncio.Queue[Reply]:
         """Bring a request in."""
 
-    def close(self, request: str, given: Given) -> None:
+    def close(self, request: str, given: Delivery) -> None:
         """Say that its caller has its answer, or is gone."""
 
     def is_ready(self) -> bool:
@@ -66,11 +66,11 @@
         """Tell whether connections should be brought to an end."""
 
 
-class Front:
+class HttpFrontend:
     """Listen for callers and for the balancer."""
 
-    def __init__(self, gate: Gate, dialect: CallerDialect) -> None:
-        self._gate = gate
+    def __init__(self, gate: FrontendBackend, dialect: CallerDialect) -> None:
+        self._backend = gate
         self._dialect = dialect
         self._sites: list[web.TCPSite] = []
         """Where callers connect."""
@@ -87,15 +87,15 @@
         self._server = web.Server(
             self._handle,
             handler_cancellation=True,
-            keepalive_timeout=NEVER_SECONDS,
-            max_line_size=HEADER_BYTES,
-            max_field_size=HEADER_BYTES,
+            keepalive_timeout=LIBRARY_KEEPALIVE_SECONDS,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
             auto_decompress=False,
             access_log=None,
         )
         self._sites.append(await self._listen(self._server, address))
-        await self._listen(_serve(self._answer_ready), ready_address)
-        await self._listen(_serve(self._answer_metrics), metrics_address)
+        await self._listen(_make_server(self._answer_ready), ready_address)
+        await self._listen(_make_server(self._answer_metrics), metrics_address)
         self._sweeper = asyncio.create_task(self._sweep())
 
     @property
@@ -127,7 +127,7 @@
         runner = web.ServerRunner(server, shutdown_timeout=0)
         await runner.setup()
         ip, port = address.rsplit(":", 1)
-        site = web.TCPSite(runner, ip, int(port), backlog=BACKLOG)
+        site = web.TCPSite(runner, ip, int(port), backlog=LISTEN_BACKLOG)
         await site.start()
         self._runners.append(runner)
         return site
@@ -135,33 +135,33 @@
     async def _answer_ready(self, request: web.BaseRequest) -> web.Response:
         if request.path != self._dialect.ready_path:
             return web.Response(status=404)
-        return web.Response(status=200 if self._gate.is_ready() else 503)
+        return web.Response(status=200 if self._backend.is_ready() else 503)
 
     async def _answer_metrics(self, request: web.BaseRequest) -> web.Response:
         headers = {"Content-Type": CONTENT_TYPE}
-        return web.Response(body=self._gate.render_metrics(), headers=headers)
+        return web.Response(body=self._backend.render_metrics(), headers=headers)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
-        with self._connections.use(request.protocol):
+        with self._connections.track_request(request.protocol):
             return await self._answer(request)
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
         admitted = await self._admit(request)
         if admitted.is_error():
             name = self._dialect.read_name(decode_headers(request.raw_headers))
-            self._gate.note_refusal(name, admitted.error)
+            self._backend.record_refusal(name, admitted.error)
             return self._respond_refusal(admitted.error)
         routed = admitted.ok
         name = routed.work.request
-        parts = self._gate.open(routed)
-        given = Given()
+        parts = self._backend.open(routed)
+        given = Delivery()
         try:
-            return await self._give(request, parts, given)
+            return await self._deliver(request, parts, given)
         finally:
-            self._gate.close(name, given)
+            self._backend.close(name, given)
 
-    async def _admit(self, request: web.BaseRequest) -> Result[Routed, Refusal]:
+    async def _admit(self, request: web.BaseRequest) -> Result[RoutedRequest, Refusal]:
         body = await self._read_body(request)
         if body.is_error():
             return body
@@ -169,10 +169,10 @@
         asked = self._dialect.read_request(target, decode_headers(request.raw_headers))
         if asked.is_error():
             return asked
-        return self._gate.route(request.method, target, asked.ok, body.ok)
+        return self._backend.route(request.method, target, asked.ok, body.ok)
 
     async def _read_body(self, request: web.BaseRequest) -> Result[bytes, Refusal]:
-        limits = self._gate.limits
+        limits = self._backend.limits
         if limits is None or not request.can_read_body:
             return Ok(b"")
         body = bytearray()
@@ -188,8 +188,8 @@
             return Error(Refusal(408, "body_too_slow", text))
         return Ok(bytes(body))
 
-    async def _give(
-        self, request: web.BaseRequest, parts: asyncio.Queue[Reply], given: Given
+    async def _deliver(
+        self, request: web.BaseRequest, parts: asyncio.Queue[Reply], given: Delivery
     ) -> web.StreamResponse:
         part = await parts.get()
         if isinstance(part, Refuse):
@@ -209,7 +209,7 @@
         request: web.BaseRequest,
         begin: Begin,
         parts: asyncio.Queue[Reply],
-        given: Given,
+        given: Delivery,
     ) -> web.StreamResponse:
         response = web.StreamResponse(status=begin.status)
         given.status = begin.status
@@ -258,19 +258,19 @@
 
     def _end_keep_alive(self, response: web.StreamResponse) -> None:
         """Tell callers of a stopping gateway to bring their next request elsewhere."""
-        if self._gate.is_stopping():
+        if self._backend.is_stopping():
             response.force_close()
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
-            limits = self._gate.limits
+            await asyncio.sleep(IDLE_SWEEP_SECONDS)
+            limits = self._backend.limits
             if limits is not None:
                 longest = limits.idle_seconds + IDLE_MARGIN_SECONDS
                 await self._connections.close_long_idle(longest)
 
 
-def _serve(handler: Callable[..., Awaitable[web.Response]]) -> web.Server:
+def _make_server(handler: Callable[..., Awaitable[web.Response]]) -> web.Server:
     return web.Server(handler, access_log=None)
 
 
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -9,16 +9,16 @@
 
 from radishtally.engines.news import Others
 from radishtally.engines.placement import EnginePlacement
-from radishtally.gateway.const import BACKLOG_SECONDS
+from radishtally.gateway.const import LOAD_BATCH_SECONDS
 from radishtally.gateway.topology import (
-    Circle,
+    ExchangeGroup,
     Site,
     Sites,
-    find_circle,
+    find_exchange_group,
+    is_collector_candidate,
     is_mesh,
-    list_data_centre,
     list_data_centres,
-    may_collect,
+    list_gateways_in,
 )
 from radishtally.links.hub import LinkHub
 from radishtally.links.messages import (
@@ -33,13 +33,13 @@
 from radishtally.stages.const import TELL_SECONDS
 from radishtally.stages.keeper import StageKeeper
 
-COLLECT_SECONDS: Final = 0.002
+COLLECT_SECONDS_PER_PEER: Final = 0.002
 """Time between two rounds for each gateway that a collector tells: whatever their
 number, it sends and takes 500 messages a second each."""
-CANDIDATE_SECONDS: Final = 1.0
+MIN_CANDIDATE_SECONDS: Final = 1.0
 """Time for which a gateway must be among those that may collect before it contends for
 the lease: while all start, none has links yet, and each would take itself for one."""
-REFRESH_SECONDS: Final = 2.0
+FULL_REFRESH_SECONDS: Final = 2.0
 """Time between two rounds that name all engines. What a gateway could not take when it
 was told (it did not list the engine yet, or believed others just then) would be missing
 until it changes, and the engine would get too much work for as long. Each engine takes
@@ -79,15 +79,15 @@
         self._sites: Sites = {own: Site()}
         self._linked: list[str] | None = None
         """Links by which the circle was found; none where it is to be found anew."""
-        self._circle = Circle()
-        self._may_collect = True
-        self._interval = BACKLOG_SECONDS
+        self._group = ExchangeGroup()
+        self._is_candidate = True
+        self._interval = LOAD_BATCH_SECONDS
         """Seconds between two rounds."""
-        self._heard: set[str] = set()
+        self._reported_engines: set[str] = set()
         """Engines that others have told of since the last round."""
-        self._heard_parts: list[tuple[str, PartsRead]] = []
+        self._parts_to_relay: list[tuple[str, PartsRead]] = []
         """What others have told a collector since the last round, and who."""
-        self._heard_suspicions: list[tuple[str, Suspicion]] = []
+        self._suspicions_to_relay: list[tuple[str, Suspicion]] = []
         """The same of requests under which hosts have ended."""
         self._refreshed_at = float("-inf")
 
@@ -102,23 +102,23 @@
 
     async def run(self) -> None:
         """Tell for good."""
-        told_demand = time.monotonic()
+        demand_sent_at = time.monotonic()
         while True:
             await asyncio.sleep(self._interval)
             now = time.monotonic()
-            self._follow_links()
-            self._follow_candidates(now)
-            self._tell_backlog(now)
-            self._tell_parts()
-            self._tell_suspicions(now)
-            if now >= told_demand + TELL_SECONDS:
-                told_demand = now
-                self._tell_demand(now)
+            self._update_group()
+            self._update_contention(now)
+            self._send_backlog(now)
+            self._send_parts()
+            self._send_changed_suspicions(now)
+            if now >= demand_sent_at + TELL_SECONDS:
+                demand_sent_at = now
+                self._send_demand(now)
 
-    def greet(self, peer: str) -> None:
+    def handle_link_up(self, peer: str) -> None:
         """Tell a gateway all, as its link has come up."""
-        self._follow_links()
-        if peer not in self._circle.audience:
+        self._update_group()
+        if peer not in self._group.recipients:
             return
         self._hub.send(peer, self._make_backlog(None, peer))
         # One that has just started would have all parts read again, and elsewhere.
@@ -126,33 +126,33 @@
             self._hub.send(peer, parts)
         self._send_suspicions(peer, self._suspects.list_all(time.monotonic()))
 
-    def forget(self, peer: str) -> None:
+    def forget_peer(self, peer: str) -> None:
         """Forget what a gateway has told, as its link is down."""
         self._placement.forget_peer(peer)
         self._stages.forget_report(peer)
 
-    def take(self, peer: str, message: Message) -> None:
+    def handle_message(self, peer: str, message: Message) -> None:
         """Take what a gateway tells."""
         # What one tells as its link comes up is told once: it can't wait for a round.
-        self._follow_links()
+        self._update_group()
         # Another one than the collector tells this one only while the two disagree on
         # who collects: what it has open would count twice.
-        if peer not in self._circle.audience:
+        if peer not in self._group.recipients:
             return
         now = time.monotonic()
         if isinstance(message, Backlog):
             self._placement.take_backlog(peer, message, now)
-            self._heard.update(share.host for share in message.shares)
+            self._reported_engines.update(share.host for share in message.shares)
         elif isinstance(message, DemandReport):
             self._stages.take_report(peer, message, now)
         elif isinstance(message, PartsRead):
             self._placement.take_parts(message)
-            if self._collects:
-                self._heard_parts.append((peer, message))
+            if self._is_collector:
+                self._parts_to_relay.append((peer, message))
         elif isinstance(message, Suspicions):
-            self._take_suspicions(peer, message, now)
+            self._handle_suspicions(peer, message, now)
 
-    def _take_suspicions(self, peer: str, message: Suspicions, now: float) -> None:
+    def _handle_suspicions(self, peer: str, message: Suspicions, now: float) -> None:
         for suspicion in message.suspicions:
             if self._suspects.take(suspicion, now):
                 log_message(
@@ -164,41 +164,41 @@
                 # In a mesh nobody passes news on, and a link may be cut.
                 if is_mesh(self._sites):
                     self._suspects.tell(suspicion.content)
-        if self._collects:
-            self._heard_suspicions += [(peer, told) for told in message.suspicions]
+        if self._is_collector:
+            self._suspicions_to_relay += [(peer, told) for told in message.suspicions]
 
     @property
-    def _collects(self) -> bool:
-        return self._circle.collector == self._own
+    def _is_collector(self) -> bool:
+        return self._group.collector == self._own
 
     def _find_interval(self) -> float:
         if is_mesh(self._sites):
-            return BACKLOG_SECONDS
-        ours = list_data_centre(self._sites, self._sites[self._own].data_centre)
+            return LOAD_BATCH_SECONDS
+        ours = list_gateways_in(self._sites, self._sites[self._own].data_centre)
         others = len(list_data_centres(self._sites)) - 1
-        return max(BACKLOG_SECONDS, (len(ours) + others) * COLLECT_SECONDS)
+        return max(LOAD_BATCH_SECONDS, (len(ours) + others) * COLLECT_SECONDS_PER_PEER)
 
     def _describe_others(self) -> Others:
         """Say how many others there are, and how old news of them is at most."""
         # Each, then who collects; and who collects in the other data centre.
-        tellers = 1 if is_mesh(self._sites) else 2
-        if tellers > 1 and len(list_data_centres(self._sites)) > 1:
-            tellers += 1
-        return Others(len(self._sites) - 1, tellers * self._interval)
+        hops = 1 if is_mesh(self._sites) else 2
+        if hops > 1 and len(list_data_centres(self._sites)) > 1:
+            hops += 1
+        return Others(len(self._sites) - 1, hops * self._interval)
 
-    def _follow_links(self) -> None:
+    def _update_group(self) -> None:
         """Take whom to tell and to believe by the links that are up."""
         linked = self._hub.hosts
         if linked == self._linked:
             return
         self._linked = linked
-        self._may_collect = may_collect(self._sites, self._own, linked)
-        circle = find_circle(self._sites, self._own, linked)
-        if circle == self._circle:
+        self._is_candidate = is_collector_candidate(self._sites, self._own, linked)
+        circle = find_exchange_group(self._sites, self._own, linked)
+        if circle == self._group:
             return
-        old, self._circle = self._circle, circle
+        old, self._group = self._group, circle
         self._refreshed_at = float("-inf")
-        outdated = set(old.audience) - set(circle.audience)
+        outdated = set(old.recipients) - set(circle.recipients)
         if circle.collector != old.collector:
             log_message(
                 "peers:collector",
@@ -213,65 +213,65 @@
             else:
                 outdated |= set(self._hub.hosts)
         for peer in outdated:
-            self.forget(peer)
+            self.forget_peer(peer)
 
-    def _follow_candidates(self, now: float) -> None:
+    def _update_contention(self, now: float) -> None:
         """Contend for the lease only as one of few.
 
         Each look at the lease is a call to the store. Those that collect are enough: in
         each data centre there are two, and the next ones take their places.
         """
-        if not self._may_collect:
+        if not self._is_candidate:
             self._candidate_since = None
         elif self._candidate_since is None:
             self._candidate_since = now
         since = self._candidate_since
-        contends = since is not None and now >= since + CANDIDATE_SECONDS
+        contends = since is not None and now >= since + MIN_CANDIDATE_SECONDS
         if contends != self._contends:
             self._contends = contends
             self._contend(contends)
 
-    def _list_left_out(self, peer: str) -> frozenset[str] | None:
+    def _list_excluded(self, peer: str) -> frozenset[str] | None:
         """List whose work a peer is not told of, or none to tell it our own alone."""
-        if not self._collects:
+        if not self._is_collector:
             return None
-        if peer in self._circle.collectors:
+        if peer in self._group.collectors:
             # Each of them hears of the others' data centres from those themselves.
-            return frozenset(self._circle.collectors)
+            return frozenset(self._group.collectors)
         return frozenset((peer,))
 
-    def _tell_backlog(self, now: float) -> None:
+    def _send_backlog(self, now: float) -> None:
         hosts: set[str] | None = self._placement.take_changed()
-        if self._collects:
-            hosts |= self._heard
-        self._heard.clear()
-        if now >= self._refreshed_at + REFRESH_SECONDS:
+        if self._is_collector:
+            hosts |= self._reported_engines
+        self._reported_engines.clear()
+        if now >= self._refreshed_at + FULL_REFRESH_SECONDS:
             self._refreshed_at = now
             hosts = None
         if hosts is not None and not hosts:
             return
-        for peer in self._circle.audience:
+        for peer in self._group.recipients:
             self._hub.send(peer, self._make_backlog(hosts, peer))
 
-    def _tell_parts(self) -> None:
+    def _send_parts(self) -> None:
         """Tell what engines were first given: nothing is told of what they keep."""
         told = [(self._own, parts) for parts in self._placement.take_read()]
-        told += self._heard_parts
-        self._heard_parts = []
-        for peer in self._circle.audience:
-            left_out = self._list_left_out(peer) or ()
+        told += self._parts_to_relay
+        self._parts_to_relay = []
+        for peer in self._group.recipients:
+            left_out = self._list_excluded(peer) or ()
             for teller, parts in told:
                 if teller not in left_out:
                     self._hub.send(peer, parts)
 
-    def _tell_suspicions(self, now: float) -> None:
+    def _send_changed_suspicions(self, now: float) -> None:
         """Tell under which requests hosts have ended, in few messages."""
         changed = self._suspects.take_changed(now)
         told = [(self._own, suspicion) for suspicion in changed]
-        told += self._heard_suspicions
-        self._heard_suspicions = []
-        for peer in self._circle.audience if told else ():
-            left_out = self._list_left_out(peer) or ()
+        told += self._suspicions_to_relay
+        self._suspicions_to_relay = []
+        for peer in self._group.recipients if told else ():
+            left_out = self._list_excluded(peer) or ()
             news = (suspicion for teller, suspicion in told if teller not in left_out)
             self._send_suspicions(peer, news)
 
@@ -280,9 +280,9 @@
             self._hub.send(peer, Suspicions(group))
 
     def _make_backlog(self, hosts: Iterable[str] | None, peer: str) -> Backlog:
-        return self._placement.make_backlog(hosts, self._list_left_out(peer))
+        return self._placement.make_backlog(hosts, self._list_excluded(peer))
 
-    def _tell_demand(self, now: float) -> None:
-        for peer in self._circle.audience:
-            for report in self._stages.make_reports(now, self._list_left_out(peer)):
+    def _send_demand(self, now: float) -> None:
+        for peer in self._group.recipients:
+            for report in self._stages.make_reports(now, self._list_excluded(peer)):
                 self._hub.send(peer, report)
--- a/radishtally/gateway/members.py
+++ b/radishtally/gateway/members.py
@@ -6,7 +6,7 @@
 from typing import Final, NamedTuple
 
 from radishtally.direct.core import EngineReport, Instance, is_same_start
-from radishtally.gateway.starts import HostRestarted, Starts, StartSource
+from radishtally.gateway.starts import HostRestarted, HostStarts, StartSource
 
 MISSING_GRACE_SECONDS: Final = 1.6
 """Time for which an entry is kept that is missing just after the store's return. One
@@ -18,19 +18,19 @@
 as entries that expired during an undetected store outage: a pending long poll does not
 show that the store was away. Planned maintenance removes fewer hosts without notice. If
 it removes more, they are kept no longer than a draining host may get requests."""
-MASS_HOSTS: Final = 2
+MASS_REMOVAL_MIN_HOSTS: Final = 2
 """Fewest such removals: that one host leaves a small upstream is ordinary. The last one
 is kept all the same, as there is no other that could serve meanwhile."""
 
-REMEMBER_SECONDS: Final = 60.0
+GONE_RETENTION_SECONDS: Final = 60.0
 """Time for which a host that is gone is remembered: longer than a copy of the store is
 old, so that an entry in it that is not remembered is one of a host that was there."""
-MAX_REMEMBERED: Final = 1_000
+MAX_REMEMBERED_HOSTS: Final = 1_000
 """Most such hosts, those that went last."""
-REVIEW_SECONDS: Final = 1.5
+REVIEW_INTERVAL_SECONDS: Final = 1.5
 """Time after which the list is read again while an entry of an older copy is in doubt:
 a heartbeat of 1.2 s, which tells no change, and a margin."""
-SILENCE_SECONDS: Final = 6.0
+MAX_UNCONFIRMED_SECONDS: Final = 6.0
 """Time for which an entry of an older copy may stand without a write of its host: the
 store drops it after three heartbeats, and needs some time to come to it."""
 
@@ -77,7 +77,7 @@
     instance: Instance
 
 
-class _Doubt(NamedTuple):
+class _UnconfirmedEntry(NamedTuple):
     """Hold an entry of an older copy that says nothing until its host has written."""
 
     instance: Instance
@@ -98,19 +98,19 @@
     """
 
     def __init__(self) -> None:
-        self.starts = Starts()
+        self.starts = HostStarts()
         self._instances: dict[str, Instance] = {}
         self._missing: dict[str, float] = {}
         """Times at which hosts that the list lacks count as gone."""
         self._removals: deque[_Removal] = deque()
         """Removals of hosts in service, the last MISSING_GRACE_SECONDS' ones."""
-        self._beats: dict[str, int] = {}
+        self._heartbeats: dict[str, int] = {}
         """Counts of heartbeats in the entries that were taken last."""
-        self._gone: OrderedDict[str, tuple[float, Instance]] = OrderedDict()
+        self._gone_hosts: OrderedDict[str, tuple[float, Instance]] = OrderedDict()
         """Hosts that went in the last REMEMBER_SECONDS, with when."""
         self._entered_at: float | None = None
         """Time of the store's restore until the list has been read after it."""
-        self._doubts: dict[str, _Doubt] = {}
+        self._unconfirmed: dict[str, _UnconfirmedEntry] = {}
         self._leaving: OrderedDict[str, int] = OrderedDict()
         """Starts of hosts that have said themselves that they leave."""
         self._review_at = float("inf")
@@ -125,9 +125,9 @@
         # Hosts that are missing could not write anew before this.
         until = now + MISSING_GRACE_SECONDS
         self._missing = dict.fromkeys(self._missing, until)
-        self._doubts.clear()
+        self._unconfirmed.clear()
         self._review_at = float("inf")
-        self._forget_gone(now)
+        self._evict_gone(now)
 
     def replace(
         self,
@@ -143,33 +143,35 @@
         # Hosts could write from the restore on, however late the list is read.
         since = now if self._entered_at is None else self._entered_at
         changes = self.remove(gone, since, after_outage)
-        doubts = self._find_doubts(listed, beats, now)
+        doubts = self._find_unconfirmed(listed, beats, now)
         for host, instance in listed.items():
             if host in doubts:
                 continue
             count = beats.get(host, 0)
             if self._entered_at is not None and self._instances.get(host) == instance:
                 # Unchanged in an older copy, it is known from a later write.
-                count = max(count, self._beats.get(host, 0))
+                count = max(count, self._heartbeats.get(host, 0))
             changes += self.update(instance, count)
-        self._doubts = doubts
-        self._review_at = now + REVIEW_SECONDS if doubts else float("inf")
+        self._unconfirmed = doubts
+        self._review_at = now + REVIEW_INTERVAL_SECONDS if doubts else float("inf")
         self._entered_at = None
         return changes
 
-    def _find_doubts(
+    def _find_unconfirmed(
         self, listed: Mapping[str, Instance], beats: Mapping[str, int], now: float
-    ) -> dict[str, _Doubt]:
+    ) -> dict[str, _UnconfirmedEntry]:
         """Find the entries that their hosts have not written in the present era."""
         if self._entered_at is not None:
             return {
-                host: _Doubt(instance, beats.get(host, 0), now + SILENCE_SECONDS)
+                host: _UnconfirmedEntry(
+                    instance, beats.get(host, 0), now + MAX_UNCONFIRMED_SECONDS
+                )
                 for host, instance in listed.items()
                 if self._is_behind(instance, beats.get(host, 0))
             }
         return {
             host: doubt
-            for host, doubt in self._doubts.items()
+            for host, doubt in self._unconfirmed.items()
             if now < doubt.until
             and (listed.get(host), beats.get(host, 0)) == (doubt.instance, doubt.beats)
         }
@@ -177,15 +179,17 @@
     def _is_behind(self, instance: Instance, beats: int) -> bool:
         """Tell whether a copy's entry may be older than what is known of its host."""
         host = instance.host
-        if host in self._gone:
-            return is_same_start(self._gone[host][1].started_ms, instance.started_ms)
+        if host in self._gone_hosts:
+            return is_same_start(
+                self._gone_hosts[host][1].started_ms, instance.started_ms
+            )
         known = self._instances.get(host)
         if known is None or not is_same_start(known.started_ms, instance.started_ms):
             return False
         if host in self._missing:
             return True
         shown = instance._replace(started_ms=known.started_ms)
-        return shown != known and beats <= self._beats.get(host, 0)
+        return shown != known and beats <= self._heartbeats.get(host, 0)
 
     def update(self, instance: Instance, beats: int = 0) -> list[HostChange]:
         """Take one entry; one of a start that has ended says nothing."""
@@ -195,10 +199,10 @@
         changes: list[HostChange] = []
         if self._missing.pop(host, None) is not None:
             changes.append(HostReturned(host))
-        changes += self._take(instance, StartSource.LISTED)
-        self._beats[host] = beats
-        self._doubts.pop(host, None)
-        self._gone.pop(host, None)
+        changes += self._apply_instance(instance, StartSource.LISTED)
+        self._heartbeats[host] = beats
+        self._unconfirmed.pop(host, None)
+        self._gone_hosts.pop(host, None)
         return changes
 
     def is_present(self, asked: Instance) -> bool:
@@ -208,7 +212,7 @@
             return False
         return is_same_start(known.started_ms, asked.started_ms)
 
-    def take_leaving(self, asked: Instance) -> list[HostChange]:
+    def record_leaving(self, asked: Instance) -> list[HostChange]:
         """Take that a host has said in an answer that it leaves.
 
         Its entry may say otherwise for as long as the store is away, and an older copy
@@ -219,11 +223,11 @@
         known = self._instances[asked.host]
         self._leaving[asked.host] = known.started_ms
         self._leaving.move_to_end(asked.host)
-        while len(self._leaving) > MAX_REMEMBERED:
+        while len(self._leaving) > MAX_REMEMBERED_HOSTS:
             self._leaving.popitem(last=False)
-        return self._take(known, StartSource.ANSWERED)
+        return self._apply_instance(known, StartSource.ANSWERED)
 
-    def take_report(self, asked: Instance, report: EngineReport) -> list[HostChange]:
+    def apply_report(self, asked: Instance, report: EngineReport) -> list[HostChange]:
         """Take what an engine said when asked, which may be newer than its entry.
 
         Where the list has shown another start since, the report tells nothing of that
@@ -240,14 +244,16 @@
         if known.started_ms:
             # That the earlier start was draining does not hold for this one.
             shown = shown._replace(role=report.role, is_draining=False)
-        return self._take(shown, StartSource.REPORTED)
+        return self._apply_instance(shown, StartSource.REPORTED)
 
-    def _take(self, instance: Instance, source: StartSource) -> list[HostChange]:
+    def _apply_instance(
+        self, instance: Instance, source: StartSource
+    ) -> list[HostChange]:
         host = instance.host
-        restart = self.starts.note(host, instance.started_ms, source)
+        restart = self.starts.record(host, instance.started_ms, source)
         changes: list[HostChange] = [] if restart is None else [restart]
         if restart is not None:
-            self._beats.pop(host, None)
+            self._heartbeats.pop(host, None)
         instance = instance._replace(started_ms=self.starts.get(host))
         left = self._leaving.get(host)
         if left is not None and is_same_start(left, instance.started_ms):
@@ -268,31 +274,35 @@
         """
         hosts = list(hosts)
         for host in hosts:
-            self._doubts.pop(host, None)
+            self._unconfirmed.pop(host, None)
         known = (self._instances.get(host) for host in hosts)
         removed = [
             instance
             for instance in known
             if instance is not None and instance.host not in self._missing
         ]
-        self._note_removals(removed, now)
+        self._record_removals(removed, now)
         emptied = self._find_emptied()
         changes: list[HostChange] = []
         for instance in removed:
             if after_outage:
-                changes.append(self._miss(instance.host, now, MissReason.OUTAGE))
+                changes.append(
+                    self._mark_missing(instance.host, now, MissReason.OUTAGE)
+                )
             elif instance.upstream in emptied:
-                changes.append(self._miss(instance.host, now, MissReason.MANY_AT_ONCE))
+                changes.append(
+                    self._mark_missing(instance.host, now, MissReason.MANY_AT_ONCE)
+                )
             else:
-                changes.append(self._forget(instance.host, now))
+                changes.append(self._remove_host(instance.host, now))
         return changes
 
     def remove_unreadable(self, host: str, now: float) -> list[HostChange]:
         """Take that a host's entry is there and names no host any more."""
-        self._doubts.pop(host, None)
-        return [self._forget(host, now)] if host in self._instances else []
+        self._unconfirmed.pop(host, None)
+        return [self._remove_host(host, now)] if host in self._instances else []
 
-    def _note_removals(self, removed: Iterable[Instance], now: float) -> None:
+    def _record_removals(self, removed: Iterable[Instance], now: float) -> None:
         while self._removals and self._removals[0].at <= now - MISSING_GRACE_SECONDS:
             self._removals.popleft()
         for instance in removed:
@@ -314,7 +324,7 @@
             upstream
             for upstream, count in counts.items()
             if count > MASS_REMOVAL_SHARE * totals[upstream]
-            and (count >= MASS_HOSTS or count == totals[upstream])
+            and (count >= MASS_REMOVAL_MIN_HOSTS or count == totals[upstream])
         )
 
     def count_missing(self) -> int:
@@ -323,26 +333,29 @@
 
     def list_unconfirmed(self) -> list[str]:
         """List the hosts whose entries of an older copy say nothing."""
-        return list(self._doubts)
+        return list(self._unconfirmed)
 
-    def _miss(self, host: str, now: float, reason: MissReason) -> HostChange:
+    def _mark_missing(self, host: str, now: float, reason: MissReason) -> HostChange:
         self._missing[host] = now + MISSING_GRACE_SECONDS
         return HostMissing(host, reason)
 
-    def _forget(self, host: str, now: float) -> HostChange:
+    def _remove_host(self, host: str, now: float) -> HostChange:
         self._missing.pop(host, None)
-        self._beats.pop(host, None)
-        self._gone[host] = now, self._instances.pop(host)
-        self._gone.move_to_end(host)
-        self._forget_gone(now)
+        self._heartbeats.pop(host, None)
+        self._gone_hosts[host] = now, self._instances.pop(host)
+        self._gone_hosts.move_to_end(host)
+        self._evict_gone(now)
         return HostRemoved(host)
 
-    def _forget_gone(self, now: float) -> None:
-        while self._gone:
-            host, (at, _) = next(iter(self._gone.items()))
-            if len(self._gone) <= MAX_REMEMBERED and now < at + REMEMBER_SECONDS:
+    def _evict_gone(self, now: float) -> None:
+        while self._gone_hosts:
+            host, (at, _) = next(iter(self._gone_hosts.items()))
+            if (
+                len(self._gone_hosts) <= MAX_REMEMBERED_HOSTS
+                and now < at + GONE_RETENTION_SECONDS
+            ):
                 return
-            del self._gone[host]
+            del self._gone_hosts[host]
 
     def next_expiry(self) -> float:
         """Give the time at which the next missing host counts as gone."""
@@ -350,7 +363,7 @@
 
     def next_review(self) -> float:
         """Give the time at which the whole list is to be read for entries in doubt."""
-        return self._review_at if self._doubts else float("inf")
+        return self._review_at if self._unconfirmed else float("inf")
 
     def expire(self, now: float, after_outage: bool) -> list[HostChange]:
         """Give up the hosts that have not come back, on an answer of the store.
@@ -360,10 +373,12 @@
         empty until it is back. Just after that return they get their time once more.
         """
         if after_outage:
-            self._doubts = {
-                host: doubt._replace(until=max(doubt.until, now + SILENCE_SECONDS))
-                for host, doubt in self._doubts.items()
+            self._unconfirmed = {
+                host: doubt._replace(
+                    until=max(doubt.until, now + MAX_UNCONFIRMED_SECONDS)
+                )
+                for host, doubt in self._unconfirmed.items()
             }
             return []
         late = [host for host, until in self._missing.items() if until <= now]
-        return [self._forget(host, now) for host in late]
+        return [self._remove_host(host, now) for host in late]
--- a/radishtally/gateway/metrics.py
+++ b/radishtally/gateway/metrics.py
@@ -14,7 +14,7 @@
 from radishtally.direct.core import Notice
 from radishtally.direct.doubts import Doubt
 from radishtally.gateway.endings import Ending
-from radishtally.gateway.requests import Routed
+from radishtally.gateway.requests import RoutedRequest
 from radishtally.stalls import Stall
 
 CONTENT_TYPE: Final = "text/plain; version=0.0.4; charset=utf-8"
@@ -40,7 +40,7 @@
 REFUSED: Final = "refused"
 BROKEN_OFF: Final = "broken_off"
 """Given up when its caller had a part of the answer already."""
-LEFT: Final = "caller_left"
+CALLER_LEFT: Final = "caller_left"
 
 
 class GatewayMetrics:
@@ -143,7 +143,7 @@
             registry=self._registry,
         )
 
-    def noticed(self, notice: Notice) -> None:
+    def count_notice(self, notice: Notice) -> None:
         """Count an answer by what it says of its host."""
         if notice.is_leaving:
             self._notices.labels("leaving").inc()
@@ -162,12 +162,12 @@
         """Take how many entries of the list can't be read."""
         self._unreadable.set(count)
 
-    def note_stall(self, stall: Stall) -> None:
+    def count_stall(self, stall: Stall) -> None:
         """Count a time in which the loop did not run."""
         self._stalls.inc()
         self._stalled.inc(stall.seconds)
 
-    def note_restore(self) -> None:
+    def count_restore(self) -> None:
         """Count that the store came back from an older copy."""
         self._restores.inc()
 
@@ -180,37 +180,37 @@
         self._settings.clear()
         self._settings.labels(mark).set(1)
 
-    def opened(self, routed: Routed) -> None:
+    def record_opened(self, routed: RoutedRequest) -> None:
         """Count a request that came in."""
         self._started[routed.work.request] = time.monotonic(), routed.work.kind
         self._open.inc()
 
-    def offered(self, stage: str) -> None:
+    def count_offer(self, stage: str) -> None:
         """Count an offer."""
         self._offers.labels(stage).inc()
 
-    def doubted(self, doubt: Doubt) -> None:
+    def count_doubted_answer(self, doubt: Doubt) -> None:
         """Count an answer that may belong to another request."""
         self._doubts.labels(doubt.name.lower()).inc()
 
-    def begun(self, request: str) -> None:
+    def observe_first_part(self, request: str) -> None:
         """Time the first part of an answer."""
         began, kind = self._started.get(request, (None, ""))
         if began is not None:
             self._first.labels(kind).observe(time.monotonic() - began)
 
-    def ended(self, request: str, outcome: str) -> None:
+    def record_outcome(self, request: str, outcome: str) -> None:
         """Note how a request ended."""
         self._outcomes[request] = outcome
 
-    def refused(self, code: str, ran: str) -> None:
+    def count_refusal(self, code: str, ran: str) -> None:
         """Count an answer of the gateway's own."""
         self._refusals.labels(code, ran).inc()
 
-    def closed(self, request: str, ending: Ending) -> tuple[str, float]:
+    def record_closed(self, request: str, ending: Ending) -> tuple[str, float]:
         """Count a request that is over; give its outcome and how long it took."""
         began, kind = self._started.pop(request, (time.monotonic(), ""))
-        outcome = self._outcomes.pop(request, LEFT)
+        outcome = self._outcomes.pop(request, CALLER_LEFT)
         seconds = time.monotonic() - began
         self._open.dec()
         self._ended.labels(kind, outcome).inc()
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -11,24 +11,24 @@
 
 from radishtally.authority.holder import LeaseHolder
 from radishtally.engines.placement import EnginePlacement
-from radishtally.gateway.absences import Absences
+from radishtally.gateway.cache_discovery import CacheDiscovery
 from radishtally.gateway.const import (
-    ERA_LOOK_SECONDS,
-    FIRST_PEER_READS,
-    JOIN_SECONDS,
+    ERA_READ_SPREAD_SECONDS,
+    JOIN_POLL_SECONDS,
     PEER_READ_SECONDS,
+    STARTUP_PEER_READS,
 )
 from radishtally.gateway.loads import LoadExchange
-from radishtally.gateway.recall import Recall
-from radishtally.gateway.register import GATEWAYS, Register, read_site
+from radishtally.gateway.registry import GATEWAYS_PARTITION, GatewayRegistry, read_site
 from radishtally.gateway.roster import Roster
 from radishtally.gateway.topology import (
     Site,
     choose_dialled,
-    find_first,
+    find_first_reachable,
     is_mesh,
-    list_data_centre,
+    list_gateways_in,
 )
+from radishtally.gateway.unreachable import UnreachablePeers
 from radishtally.links.hub import Callbacks, LinkHub
 from radishtally.links.messages import Hello, Message
 from radishtally.runtime import Runtime
@@ -36,7 +36,7 @@
 from radishtally.stages.keeper import StageKeeper
 from radishtally.store.core import Row, Table
 
-GONE_SECONDS: Final = 600.0
+PEER_REMOVAL_SECONDS: Final = 600.0
 """Time out of reach after which a gateway's row is removed: longer than any outage of a
 machine that comes back as itself is likely to last."""
 
@@ -46,13 +46,13 @@
 
     runtime: Runtime
     placement: EnginePlacement
-    recall: Recall
+    cache_discovery: CacheDiscovery
     stages: StageKeeper
     lease: LeaseHolder
     core: EntryCore
     table: Table
 
-    def count_gateways(self, count: int) -> None:
+    def set_gateway_count(self, count: int) -> None:
         """Take how many gateways there are."""
 
 
@@ -66,22 +66,22 @@
         self._host = host
         self._site = site
         self._address = address
-        self._register = Register(gateway.table, host, site, address)
+        self._registry = GatewayRegistry(gateway.table, host, site, address)
         self._incarnation = secrets.token_hex(8)
         self._secret: str | None = None
         self._hub: LinkHub | None = None
         self._loads: LoadExchange | None = None
         self._dialled: set[str] = set()
         self._roster = Roster()
-        self._absences = Absences()
-        self._era_risen = asyncio.Event()
+        self._unreachable_peers = UnreachablePeers()
+        self._era_changed = asyncio.Event()
         """Set while the rows of a new era have not been looked at."""
 
     async def run(self) -> None:
         """Join the other gateways and keep up with them for good."""
-        self._secret = await self._register.find_secret()
+        self._secret = await self._registry.read_or_create_secret()
         hello = Hello(
-            self._host, self._site.data_centre, GATEWAYS, self._incarnation, 0
+            self._host, self._site.data_centre, GATEWAYS_PARTITION, self._incarnation, 0
         )
         gateway = self._gateway
         guard = gateway.runtime.guard_call
@@ -102,43 +102,45 @@
         )
         await self._hub.start(self._address)
         gateway.runtime.spawn(self._loads.run())
-        stood_before = await self._register.write_own()
+        stood_before = await self._registry.write_own_row()
         reads = 0
         while True:
-            names = await self._follow_rows()
+            names = await self._sync_peers()
             reads += 1
             if stood_before and reads == 1:
-                gateway.runtime.spawn(gateway.recall.run(names))
-            is_joining = reads < FIRST_PEER_READS
-            is_soon = is_joining or self._roster.is_unread
-            await self._pause(JOIN_SECONDS if is_soon else PEER_READ_SECONDS)
+                gateway.runtime.spawn(gateway.cache_discovery.run(names))
+            is_joining = reads < STARTUP_PEER_READS
+            is_soon = is_joining or self._roster.is_read_pending
+            await self._wait_for_next_read(
+                JOIN_POLL_SECONDS if is_soon else PEER_READ_SECONDS
+            )
 
     def enter_era(self) -> None:
         """Look at the rows anew: what was written last may be gone from the store."""
         self._roster.enter_era()
-        self._era_risen.set()
+        self._era_changed.set()
 
-    async def _pause(self, seconds: float) -> None:
+    async def _wait_for_next_read(self, seconds: float) -> None:
         """Wait until the rows are to be read again; write anew what a new era lacks."""
         try:
             async with asyncio.timeout(seconds):
-                await self._era_risen.wait()
+                await self._era_changed.wait()
         except TimeoutError:
             return
         # Cleared first: should the era rise again meanwhile, all is looked at again.
-        self._era_risen.clear()
-        await asyncio.sleep(random.uniform(0.0, ERA_LOOK_SECONDS))
-        await self._share_secret()
-        stood = await self._register.write_own()
+        self._era_changed.clear()
+        await asyncio.sleep(random.uniform(0.0, ERA_READ_SPREAD_SECONDS))
+        await self._sync_secret()
+        stood = await self._registry.write_own_row()
         log_message("peers:row_stands", was_lost=not stood)
 
-    async def _share_secret(self) -> None:
+    async def _sync_secret(self) -> None:
         """See to it that the secret in use is the one that stands in the store.
 
         It may be gone from there. One that starts then draws another, and the two
         groups would never link: neither changes the row, so all take what stands in it.
         """
-        secret = await self._register.find_secret(self._secret)
+        secret = await self._registry.read_or_create_secret(self._secret)
         if secret == self._secret:
             return
         log_message("peers:secret_changed")
@@ -150,23 +152,23 @@
         if self._hub is not None:
             await self._hub.stop()
 
-    async def _follow_rows(self) -> Collection[str]:
+    async def _sync_peers(self) -> Collection[str]:
         """Read which gateways there are, keep up with them and give their names."""
-        read = await self._register.read_rows()
+        read = await self._registry.read_rows()
         if read.is_error():
-            self._roster.note_unread()
+            self._roster.record_read_failure()
             log_message("peers:unread", reason=str(read.error))
             return [self._host]
-        rows = self._roster.take(read.ok, time.monotonic())
+        rows = self._roster.update(read.ok, time.monotonic())
         if self._host not in read.ok:
             # Another one has taken this gateway for gone, and it is back.
-            await self._register.write_own()
-        self._gateway.count_gateways(max(1, len(rows)))
-        self._dial(rows)
+            await self._registry.write_own_row()
+        self._gateway.set_gateway_count(max(1, len(rows)))
+        self._update_dialled(rows)
         await self._remove_gone(rows, read.ok)
         return rows.keys() | {self._host}
 
-    def _dial(self, rows: Mapping[str, Row]) -> None:
+    def _update_dialled(self, rows: Mapping[str, Row]) -> None:
         """Dial those that links are wanted to, and no others."""
         sites = {name: read_site(row) for name, row in rows.items()}
         sites[self._host] = self._site
@@ -195,22 +197,26 @@
         if is_mesh(sites):
             watched = sorted(sites)
         else:
-            watched = list_data_centre(sites, self._site.data_centre)
-        self._absences.note(set(watched) - {self._host}, self._hub.hosts, now)
-        if find_first(watched, self._host, self._hub.hosts) != self._host:
+            watched = list_gateways_in(sites, self._site.data_centre)
+        self._unreachable_peers.update(
+            set(watched) - {self._host}, self._hub.hosts, now
+        )
+        if find_first_reachable(watched, self._host, self._hub.hosts) != self._host:
             return
-        for name in self._absences.list_longer(GONE_SECONDS, now):
+        for name in self._unreachable_peers.list_unreachable_for(
+            PEER_REMOVAL_SECONDS, now
+        ):
             if name in standing:
-                await self._register.remove(standing[name])
+                await self._registry.remove(standing[name])
 
     def _link_up(self, hello: Hello) -> None:
-        self._loads.greet(hello.host)
+        self._loads.handle_link_up(hello.host)
 
     def _link_down(self, host: str, reason: str) -> None:
-        self._loads.forget(host)
+        self._loads.forget_peer(host)
 
     def _receive(self, host: str, message: Message) -> None:
-        self._loads.take(host, message)
+        self._loads.handle_message(host, message)
 
 
 def _is_always_busy(host: str) -> bool:
--- a/radishtally/gateway/register.py
+++ b/radishtally/gateway/registry.py
@@ -7,7 +7,7 @@
 
 from eliot import log_message
 
-from radishtally.gateway.const import JOIN_SECONDS
+from radishtally.gateway.const import JOIN_POLL_SECONDS
 from radishtally.gateway.topology import Site
 from radishtally.outcome import Result
 from radishtally.store.core import (
@@ -23,32 +23,32 @@
 )
 from radishtally.store.settle import transact_settled
 
-GATEWAYS: Final = "gateways"
+GATEWAYS_PARTITION: Final = "gateways"
 """Partition of the rows in which gateways say where they listen for each other."""
-SECRET: Final = Key("secrets", "peer-key")
+PEER_SECRET_KEY: Final = Key("secrets", "peer-key")
 """Row of the secret that gateways share; the first one draws it."""
 WRITE_SECONDS: Final = 2.0
 MAX_GATEWAYS: Final = 1_000
 """Rows that are read at most: three times the gateways that are planned for."""
 
 
-class Register:
+class GatewayRegistry:
     """Keep a gateway's row, and read those of the others."""
 
     def __init__(self, table: Table, host: str, site: Site, address: str) -> None:
         self._table = table
-        self._key = Key(GATEWAYS, host)
+        self._key = Key(GATEWAYS_PARTITION, host)
         self._value = {"address": address, **site._asdict()}
 
-    async def find_secret(self, known: str | None = None) -> str:
+    async def read_or_create_secret(self, known: str | None = None) -> str:
         """Read the shared secret; where none stands, write the known one or draw it."""
         while True:
-            read = await self._table.get(SECRET)
+            read = await self._table.get(PEER_SECRET_KEY)
             if read.is_ok() and read.ok is not None:
                 return read.ok.value["secret"]
             if read.is_ok():
                 value = {"secret": known or secrets.token_hex(16)}
-                written = await self._write(Put(SECRET, value, ABSENT))
+                written = await self._write(Put(PEER_SECRET_KEY, value, ABSENT))
                 # Ours or another's stands now.
                 if written.is_ok() or isinstance(written.error, Conflict):
                     continue
@@ -56,7 +56,7 @@
                 continue
             await _wait_for_store(str(read.error))
 
-    async def write_own(self) -> bool:
+    async def write_own_row(self) -> bool:
         """Write this gateway's row; tell whether it stood there from an earlier start.
 
         Where it did not, engines keep nothing yet, or the others are at work and know.
@@ -77,7 +77,7 @@
 
     async def read_rows(self) -> Result[dict[str, Row], ReadError]:
         """Read the rows of all gateways by their names."""
-        read = await self._table.query(GATEWAYS, limit=MAX_GATEWAYS)
+        read = await self._table.query(GATEWAYS_PARTITION, limit=MAX_GATEWAYS)
         return read.map(lambda rows: {row.key.sk: row for row in rows})
 
     async def remove(self, row: Row) -> None:
@@ -98,11 +98,11 @@
 async def _wait_for_store(reason: str) -> None:
     """Wait until it is worth asking the store again."""
     log_message("peers:not_joined", reason=reason)
-    await asyncio.sleep(JOIN_SECONDS)
+    await asyncio.sleep(JOIN_POLL_SECONDS)
 
 
 def read_site(row: Row) -> Site:
     """Read where a gateway stands; the row of another release may not say that."""
     data_centre, cores = row.value.get("data_centre"), row.value.get("cores")
-    is_told = isinstance(data_centre, str) and isinstance(cores, int | float)
-    return Site(data_centre, cores) if is_told else Site()
+    is_valid = isinstance(data_centre, str) and isinstance(cores, int | float)
+    return Site(data_centre, cores) if is_valid else Site()
--- a/radishtally/gateway/requests.py
+++ b/radishtally/gateway/requests.py
@@ -23,12 +23,12 @@
 )
 """Answers find their caller by the name: a second one would take the first's place, who
 then waits for ever."""
-CONTENT_DIGITS: Final = 32
+CONTENT_HASH_DIGITS: Final = 32
 """Hex digits of the digest that are kept."""
 NO_ROUTE: Final = Refusal(404, "no_route", "no route leads from this path")
 
 
-class Routed(NamedTuple):
+class RoutedRequest(NamedTuple):
     """Hold a request that may be opened."""
 
     work: Work
@@ -51,7 +51,7 @@
 
     def route(
         self, method: str, target: str, asked: CallerRequest, body: bytes
-    ) -> Result[Routed, Refusal]:
+    ) -> Result[RoutedRequest, Refusal]:
         """Find where a request goes, and on what terms."""
         configuration = self.configuration
         if configuration is None:
@@ -59,7 +59,7 @@
         if len(body) > configuration.limits.body_bytes:
             text = f"the body is over {configuration.limits.body_bytes} bytes"
             return Error(Refusal(413, "body_too_large", text))
-        if _count_bytes(target, asked) > configuration.limits.header_bytes:
+        if _count_head_bytes(target, asked) > configuration.limits.header_bytes:
             text = f"the head is over {configuration.limits.header_bytes} bytes"
             return Error(Refusal(431, "head_too_large", text))
         route = self._routes.find(asked.authority, asked.path)
@@ -92,7 +92,7 @@
             hash_content(method, asked.authority, target, body),
         )
         timeout = min(route.timeout, asked.timeout or route.timeout)
-        return Ok(Routed(work, terms, timeout, is_streamed))
+        return Ok(RoutedRequest(work, terms, timeout, is_streamed))
 
 
 def hash_content(method: str, authority: str, target: str, body: bytes) -> str:
@@ -106,7 +106,7 @@
     head = text.encode(errors="surrogateescape")
     digest = sha256(len(head).to_bytes(4) + head)
     digest.update(body)
-    return digest.hexdigest()[:CONTENT_DIGITS]
+    return digest.hexdigest()[:CONTENT_HASH_DIGITS]
 
 
 def hash_shared_parts(asked: CallerRequest) -> int:
@@ -115,5 +115,5 @@
     return xxh3_64_intdigest(f"{asked.model}\0{names}".encode())
 
 
-def _count_bytes(target: str, asked: CallerRequest) -> int:
+def _count_head_bytes(target: str, asked: CallerRequest) -> int:
     return len(target) + sum(len(name) + len(value) for name, value in asked.headers)
--- a/radishtally/gateway/roster.py
+++ b/radishtally/gateway/roster.py
@@ -5,7 +5,7 @@
 
 from radishtally.store.core import Row
 
-KEPT_SECONDS: Final = 30.0
+ERA_SETTLE_SECONDS: Final = 30.0
 """Time for which the store must have answered in a new era before a gateway that it
 doesn't list is taken for gone. All see the era at their next read, 10 s later at most,
 look at it within 2 s and write within 2 s more: twice that, for calls turned away."""
@@ -21,7 +21,7 @@
         """Since when the store has answered in an era that is not settled."""
 
     @property
-    def is_unread(self) -> bool:
+    def is_read_pending(self) -> bool:
         """Tell whether the rows of a new era are still to be read."""
         return not self._is_settled and self._answered_since is None
 
@@ -30,15 +30,15 @@
         self._is_settled = False
         self._answered_since = None
 
-    def note_unread(self) -> None:
+    def record_read_failure(self) -> None:
         """Take that the store did not answer: the others can't have written either."""
         self._answered_since = None
 
-    def take(self, read: Mapping[str, Row], now: float) -> Mapping[str, Row]:
+    def update(self, read: Mapping[str, Row], now: float) -> Mapping[str, Row]:
         """Take the rows that the store has; give those of all gateways there are."""
         if self._answered_since is None:
             self._answered_since = now
-        if now - self._answered_since >= KEPT_SECONDS:
+        if now - self._answered_since >= ERA_SETTLE_SECONDS:
             self._is_settled = True
         self._rows = read if self._is_settled else {**self._rows, **read}
         return self._rows
--- a/radishtally/gateway/starts.py
+++ b/radishtally/gateway/starts.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 from typing import Final, NamedTuple
 
-ENDED_STARTS: Final = 8
+MAX_ENDED_STARTS: Final = 8
 """Ended starts of a host that are remembered. What still shows one of them is seconds
 old, as a heartbeat or a report on its way; a host does not start so often meanwhile."""
 MAX_HOSTS: Final = 10_000
@@ -30,7 +30,7 @@
     source: StartSource
 
 
-class _HostStarts(NamedTuple):
+class _StartHistory(NamedTuple):
     """Hold the starts of one host."""
 
     present: int
@@ -38,7 +38,7 @@
     restarts: int = 0
 
 
-class Starts:
+class HostStarts:
     """Know the present start of each host, and those that have ended.
 
     Sources differ in age: the list shows a new start with its next heartbeat only, and
@@ -48,14 +48,14 @@
     """
 
     def __init__(self) -> None:
-        self._hosts: OrderedDict[str, _HostStarts] = OrderedDict()
+        self._hosts: OrderedDict[str, _StartHistory] = OrderedDict()
 
     def get(self, host: str) -> int:
         """Give a host's present start; 0 if the host never told one."""
         known = self._hosts.get(host)
         return 0 if known is None else known.present
 
-    def name(self, host: str) -> str:
+    def name_incarnation(self, host: str) -> str:
         """Name a host's present start; the first one and one never told are alike."""
         known = self._hosts.get(host)
         return f"{host}.{0 if known is None else known.restarts}"
@@ -65,7 +65,7 @@
         known = self._hosts.get(host)
         return known is not None and started_ms in known.ended
 
-    def note(
+    def record(
         self, host: str, started_ms: int, source: StartSource
     ) -> HostRestarted | None:
         """Take a start that has not ended; give the restart that it shows.
@@ -76,14 +76,14 @@
             return None
         known = self._hosts.get(host)
         if known is None:
-            self._hosts[host] = _HostStarts(started_ms)
+            self._hosts[host] = _StartHistory(started_ms)
             self._forget_oldest()
             return None
         self._hosts.move_to_end(host)
         if known.present == started_ms:
             return None
-        ended = (*known.ended, known.present)[-ENDED_STARTS:]
-        self._hosts[host] = _HostStarts(started_ms, ended, known.restarts + 1)
+        ended = (*known.ended, known.present)[-MAX_ENDED_STARTS:]
+        self._hosts[host] = _StartHistory(started_ms, ended, known.restarts + 1)
         return HostRestarted(host, known.present, started_ms, source)
 
     def _forget_oldest(self) -> None:
--- a/radishtally/gateway/topology.py
+++ b/radishtally/gateway/topology.py
@@ -5,14 +5,14 @@
 
 from radishtally.routing.core import rank
 
-MESH_GATEWAYS: Final = 12
+MAX_MESH_GATEWAYS: Final = 12
 """Gateways up to which each tells each other one: the freshest way. Its cost grows with
 their square: measured, telling three others took 0.05 of a core and thirty 0.07 more
 than hearing one that collects; where between the two it stops to pay is assumed."""
-COLLECTORS: Final = 2
+COLLECTOR_CANDIDATES: Final = 2
 """Gateways of a data centre that its other ones have links to beyond that: one
 collects, and one is ready to take over at once."""
-COLLECTOR_SEED: Final = 0
+COLLECTOR_ORDER_SEED: Final = 0
 """Makes an order of the gateways that all agree on."""
 
 
@@ -30,7 +30,7 @@
 
 def is_mesh(sites: Collection[str]) -> bool:
     """Tell whether each gateway tells each other one."""
-    return len(sites) <= MESH_GATEWAYS
+    return len(sites) <= MAX_MESH_GATEWAYS
 
 
 def choose_dialled(sites: Sites, own: str, silent: Collection[str]) -> list[str]:
@@ -40,25 +40,25 @@
     """
     if is_mesh(sites):
         return sorted(name for name in sites if name > own)
-    order = list_data_centre(sites, sites[own].data_centre)
+    order = list_gateways_in(sites, sites[own].data_centre)
     before = order[: order.index(own)]
-    chosen = _take_answering(before, silent)
-    if len([name for name in chosen if name not in silent]) == COLLECTORS:
+    chosen = _select_reachable(before, silent)
+    if len([name for name in chosen if name not in silent]) == COLLECTOR_CANDIDATES:
         return chosen
     # This one collects, or may have to: it reaches those of the other data centres.
     for data_centre in list_data_centres(sites):
         if data_centre > sites[own].data_centre:
-            others = list_data_centre(sites, data_centre)
-            chosen += _take_answering(others, silent)
+            others = list_gateways_in(sites, data_centre)
+            chosen += _select_reachable(others, silent)
     return chosen
 
 
-def _take_answering(order: Iterable[str], silent: Collection[str]) -> list[str]:
+def _select_reachable(order: Iterable[str], silent: Collection[str]) -> list[str]:
     """Take from the front until enough are among them that answer."""
     chosen = []
     answering = 0
     for name in order:
-        if answering == COLLECTORS:
+        if answering == COLLECTOR_CANDIDATES:
             break
         chosen.append(name)
         answering += name not in silent
@@ -70,27 +70,31 @@
     return sorted({site.data_centre for site in sites.values()})
 
 
-def list_data_centre(sites: Sites, data_centre: str) -> list[str]:
+def list_gateways_in(sites: Sites, data_centre: str) -> list[str]:
     """List a data centre's gateways in an order that all agree on, large ones first."""
     names = [name for name, site in sites.items() if site.data_centre == data_centre]
-    return sorted(rank(names, COLLECTOR_SEED), key=lambda name: -sites[name].cores)
+    return sorted(
+        rank(names, COLLECTOR_ORDER_SEED), key=lambda name: -sites[name].cores
+    )
 
 
-def find_first(order: Iterable[str], own: str, linked: Collection[str]) -> str | None:
+def find_first_reachable(
+    order: Iterable[str], own: str, linked: Collection[str]
+) -> str | None:
     """Find the first of some gateways that is this one or in reach."""
     return next((name for name in order if name == own or name in linked), None)
 
 
-def may_collect(sites: Sites, own: str, linked: Collection[str]) -> bool:
+def is_collector_candidate(sites: Sites, own: str, linked: Collection[str]) -> bool:
     """Tell whether a gateway collects, or takes over at once from who does."""
     if is_mesh(sites):
         return True
-    order = list_data_centre(sites, sites[own].data_centre)
+    order = list_gateways_in(sites, sites[own].data_centre)
     before = order[: order.index(own)]
-    return sum(name in linked for name in before) < COLLECTORS
+    return sum(name in linked for name in before) < COLLECTOR_CANDIDATES
 
 
-class Circle(NamedTuple):
+class ExchangeGroup(NamedTuple):
     """Hold whom a gateway tells and believes, and what it tells them of others."""
 
     collector: str | None = None
@@ -102,23 +106,27 @@
     """Those of the other data centres: told what its own data centre has open."""
 
     @property
-    def audience(self) -> tuple[str, ...]:
+    def recipients(self) -> tuple[str, ...]:
         """Give all that are told and believed."""
         return self.members + self.collectors
 
 
-def find_circle(sites: Sites, own: str, linked: Collection[str]) -> Circle:
+def find_exchange_group(
+    sites: Sites, own: str, linked: Collection[str]
+) -> ExchangeGroup:
     """Find whom a gateway tells and believes, given those that it has links to."""
     if is_mesh(sites):
-        return Circle(None, tuple(linked))
-    ours = list_data_centre(sites, sites[own].data_centre)
-    collector = find_first(ours, own, linked)
+        return ExchangeGroup(None, tuple(linked))
+    ours = list_gateways_in(sites, sites[own].data_centre)
+    collector = find_first_reachable(ours, own, linked)
     if collector != own:
-        return Circle(collector, (collector,))
+        return ExchangeGroup(collector, (collector,))
     firsts = [
-        find_first(list_data_centre(sites, data_centre), own, linked)
+        find_first_reachable(list_gateways_in(sites, data_centre), own, linked)
         for data_centre in list_data_centres(sites)
         if data_centre != sites[own].data_centre
     ]
     members = tuple(name for name in ours if name in linked)
-    return Circle(own, members, tuple(name for name in firsts if name is not None))
+    return ExchangeGroup(
+        own, members, tuple(name for name in firsts if name is not None)
+    )
--- a/tests/gateway/common.py
+++ b/tests/gateway/common.py
@@ -157,13 +157,13 @@
     running = asyncio.create_task(gateway.run())
     try:
         await wait_until(lambda: gateway.router.configuration is not None)
-        await wait_until(lambda: gateway.front.is_listening)
+        await wait_until(lambda: gateway.frontend.is_listening)
         yield gateway
     finally:
         gateway.runtime.broken |= running.done()
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-        await gateway.front.stop()
+        await gateway.frontend.stop()
         await gateway.peers.stop()
         await gateway.hosts.stop()
         await client.stop()
--- a/tests/gateway/test_recall.py
+++ b/tests/gateway/test_cache_discovery.py
@@ -4,8 +4,8 @@
 
 from radishtally.direct.core import Instance, KeptPart
 from radishtally.engines.placement import EnginePlacement
-from radishtally.gateway.peers import GATEWAYS
-from radishtally.gateway.recall import Recall
+from radishtally.gateway.cache_discovery import CacheDiscovery
+from radishtally.gateway.peers import GATEWAYS_PARTITION
 from radishtally.links.messages import DECODE, PREFILL
 from radishtally.outcome import Error, Ok, Result
 from radishtally.serving.terms import PromptPart
@@ -54,7 +54,7 @@
     engines = Engines()
     for name in NAMES:
         placement = make_placement(instances)
-        recall = Recall(name, engines, placement, lambda: instances)
+        recall = CacheDiscovery(name, engines, placement, lambda: instances)
         run(recall.run(NAMES))
         told = placement.take_read()
         assert {parts.host for parts in told} <= set(engines.asked)
@@ -73,7 +73,7 @@
     engines = Engines()
     engines.silent = {"e-0"}
     placement = make_placement(instances)
-    run(Recall("g-0", engines, placement, lambda: instances).run(["g-0"]))
+    run(CacheDiscovery("g-0", engines, placement, lambda: instances).run(["g-0"]))
     assert placement.take_read() == []
 
 
@@ -82,7 +82,7 @@
         async with deployment() as made:
             engines = await start_engines(made)
             engines[0].kept = [["", "aa", 500, "m"]]
-            row = Key(GATEWAYS, "gateway-1")
+            row = Key(GATEWAYS_PARTITION, "gateway-1")
             while not (await made.gateway.table.get(row)).ok:
                 await asyncio.sleep(0.005)
             assert [engine.lists for engine in engines] == [0, 0]
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 
-from radishtally.gateway.endings import Ending, Given
+from radishtally.gateway.endings import Delivery, Ending
 from radishtally.gateway.requests import NOT_READY
 from radishtally.links.messages import Finished
 from radishtally.serving.events import Finish, Leave, Refuse
@@ -56,10 +56,10 @@
     async def play() -> None:
         async with deployment() as made:
             await begin(made, iter(faults))
-            given: list[Given] = []
+            given: list[Delivery] = []
             close = made.gateway.close
 
-            def note(request: str, one: Given) -> None:
+            def note(request: str, one: Delivery) -> None:
                 given.append(one)
                 close(request, one)
 
@@ -69,7 +69,7 @@
             sent = len(FAILED.body)
             if status == 200:
                 sent = sum(len(make_event("r1", n + 1)) for n in range(events))
-            assert given == [Given(ending, status, sent, events)]
+            assert given == [Delivery(ending, status, sent, events)]
             text = made.gateway.render_metrics().decode()
             assert f'ending="{ending}",kind="stream"' in text
 
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_http_frontend.py
@@ -145,7 +145,7 @@
     async def play() -> None:
         async with deployment() as made:
             assert (await ask(made, "/none/a", "r1"))[0] == 404
-            made.gateway._stop_begun = time.monotonic() - 5.0
+            made.gateway._stopping_since = time.monotonic() - 5.0
             assert (await ask(made, "/read/a", "r2"))[0] == 503
 
     add_destinations(lines.append)
@@ -170,11 +170,11 @@
         async with deployment() as made:
             await made.serve_desk("d-1", Desk(answer_whole))
             gateway = made.gateway
-            gateway._stop_begun = time.monotonic() - 5.0
+            gateway._stopping_since = time.monotonic() - 5.0
             status, headers, _ = await ask(made, "/read/a", "r1")
             assert (status, headers["X-Ran"]) == (503, "no")
             # Early in a stop, however long this takes on a busy machine.
-            gateway._stop_begun = time.monotonic() + 60.0
+            gateway._stopping_since = time.monotonic() + 60.0
             assert (await ask(made, "/read/a", "r2"))[0] == 200
 
     run(play())
@@ -194,9 +194,11 @@
                 writer.write(b"GET /read/a HTTP/1.1\r\n" + kept + b"\r\n")
                 async with asyncio.timeout(5):
                     assert await reader.readuntil(b"whole")
-            await wait_until(lambda: len(made.gateway.front._server.connections) == 1)
+            await wait_until(
+                lambda: len(made.gateway.frontend._server.connections) == 1
+            )
             await asyncio.sleep(0.05)
-            assert await made.gateway.front.close_idle() == 0
+            assert await made.gateway.frontend.close_idle() == 0
             async with asyncio.timeout(5):
                 assert await reader.read() == b""
             writer.close()
@@ -211,7 +213,7 @@
     async def play() -> None:
         async with deployment() as made:
             await made.serve_desk("d-1", Desk(answer_whole))
-            front = made.gateway.front
+            front = made.gateway.frontend
             ip, port = made.url.removeprefix("http://").split(":")
             caller = socket.create_connection((ip, int(port)))
             await wait_until(lambda: len(front._server.connections) == 1)
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -8,13 +8,13 @@
 from radishtally.direct.core import Instance
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.loads import (
-    CANDIDATE_SECONDS,
-    REFRESH_SECONDS,
+    FULL_REFRESH_SECONDS,
+    MIN_CANDIDATE_SECONDS,
     LoadExchange,
 )
 from radishtally.gateway.topology import (
-    COLLECTORS,
-    MESH_GATEWAYS,
+    COLLECTOR_CANDIDATES,
+    MAX_MESH_GATEWAYS,
     Site,
     choose_dialled,
 )
@@ -33,7 +33,7 @@
 from radishtally.serving.suspects import ENDS_TO_DENY, End, Suspects
 from radishtally.stages.keeper import StageKeeper
 
-MANY = MESH_GATEWAYS + 8
+MANY = MAX_MESH_GATEWAYS + 8
 ENGINE = Instance("d-1", "llm", "d-1:1", "howrah", False, 64, DECODE)
 
 
@@ -83,7 +83,7 @@
         del self.gateways[name]
         self.linked.clear()
         for gateway in self.gateways.values():
-            gateway.loads.forget(name)
+            gateway.loads.forget_peer(name)
 
     def unlist(self, name: str) -> None:
         """Let a gateway go for good."""
@@ -93,13 +93,13 @@
 
     def play(self, now: float) -> None:
         """Let each gateway have three rounds, and three once all is told again."""
-        later = now + REFRESH_SECONDS
+        later = now + FULL_REFRESH_SECONDS
         for at in (now, now, now, later, later, later):
             for gateway in self.gateways.values():
-                gateway.loads._follow_links()
-                gateway.loads._tell_backlog(at)
-                gateway.loads._tell_suspicions(at)
-                gateway.loads._tell_demand(at)
+                gateway.loads._update_group()
+                gateway.loads._send_backlog(at)
+                gateway.loads._send_changed_suspicions(at)
+                gateway.loads._send_demand(at)
 
 
 class Gateway:
@@ -129,7 +129,7 @@
     def send(self, peer: str, message: Message) -> bool:
         self.net.sent += 1
         assert peer in self.hosts
-        self.net.gateways[peer].loads.take(self.name, message)
+        self.net.gateways[peer].loads.handle_message(self.name, message)
         return True
 
     def begin(self, number: int) -> None:
@@ -152,7 +152,7 @@
 # An engine is given more than it can do in time, or less, as gateways miss what others
 # have open, or count it twice: what one collects for all must add up for each.
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
-@pytest.mark.parametrize("count", [2, MESH_GATEWAYS, MANY, 3 * MANY])
+@pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
 def test_each_gateway_counts_all_work_once(count: int, data_centres: int) -> None:
     net = Net(count, data_centres)
     for number, gateway in enumerate(net.gateways.values()):
@@ -184,7 +184,7 @@
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
     net.play(2.0)
-    net.remove(next(iter(net.gateways.values())).loads._circle.collector)
+    net.remove(next(iter(net.gateways.values())).loads._group.collector)
     net.play(4.0)
     assert {gateway.count() for gateway in net.gateways.values()} == {MANY - 1}
 
@@ -192,28 +192,28 @@
 # All work counts twice: gateways come one by one until they are too many to tell each
 # other directly, and what they have told is told by the one that collects as well.
 def test_work_counts_once_when_one_begins_to_collect() -> None:
-    net = Net(MESH_GATEWAYS)
+    net = Net(MAX_MESH_GATEWAYS)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
     net.play(0.0)
     net.add("late")
     net.play(2.0)
     counts = {gateway.count() for gateway in net.gateways.values()}
-    assert counts == {MESH_GATEWAYS}
+    assert counts == {MAX_MESH_GATEWAYS}
 
 
 # Engines get too much work: the gateways become few enough to tell each other directly.
 # Each forgets what the collecting one told, and takes no word of those that have not
 # changed over yet; of what had been open before, nothing is told again.
 def test_all_work_counts_when_none_collects_any_more() -> None:
-    net = Net(MESH_GATEWAYS + 1)
+    net = Net(MAX_MESH_GATEWAYS + 1)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
     net.play(0.0)
     net.unlist(next(reversed(net.gateways)))
     net.play(4.0)
     assert [gateway.count() for gateway in net.gateways.values()] == (
-        [MESH_GATEWAYS] * MESH_GATEWAYS
+        [MAX_MESH_GATEWAYS] * MAX_MESH_GATEWAYS
     )
 
 
@@ -293,26 +293,26 @@
     net = Net(2 * MANY, data_centres)
 
     def follow(now: float) -> set[str]:
-        for at in (now, now + CANDIDATE_SECONDS):
+        for at in (now, now + MIN_CANDIDATE_SECONDS):
             for gateway in net.gateways.values():
-                gateway.loads._follow_links()
-                gateway.loads._follow_candidates(at)
+                gateway.loads._update_group()
+                gateway.loads._update_contention(at)
         return {name for name, gateway in net.gateways.items() if gateway.contends}
 
     first = follow(0.0)
-    assert 0 < len(first) <= COLLECTORS * data_centres
+    assert 0 < len(first) <= COLLECTOR_CANDIDATES * data_centres
     for name in first:
         net.remove(name)
     second = follow(10.0)
-    assert 0 < len(second) <= COLLECTORS * data_centres
+    assert 0 < len(second) <= COLLECTOR_CANDIDATES * data_centres
     assert not first & second
 
 
 def test_all_of_few_gateways_contend_for_the_lease() -> None:
     net = Net(3)
-    for at in (0.0, CANDIDATE_SECONDS):
+    for at in (0.0, MIN_CANDIDATE_SECONDS):
         for gateway in net.gateways.values():
-            gateway.loads._follow_candidates(at)
+            gateway.loads._update_contention(at)
     assert all(gateway.contends for gateway in net.gateways.values())
 
 
@@ -328,7 +328,7 @@
         gateway.placement.take_parts(PartsRead(ENGINE.host, 0, (part,)))
     net.add("late")
     for name in net.find_linked("late"):
-        net.gateways[name].loads.greet("late")
+        net.gateways[name].loads.handle_link_up("late")
     cache = net.gateways["late"].placement._engines[ENGINE.host].cache
     assert cache.list_shared() == [part]
 
@@ -341,7 +341,7 @@
 
 # A request that has ended hosts at one gateway would end as many at each other one.
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
-@pytest.mark.parametrize("count", [2, MESH_GATEWAYS, MANY, 3 * MANY])
+@pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
 def test_each_gateway_hears_of_denied_requests(count: int, data_centres: int) -> None:
     net = Net(count, data_centres)
     net.play(0.0)
--- a/tests/gateway/test_members.py
+++ b/tests/gateway/test_members.py
@@ -4,11 +4,11 @@
 
 from radishtally.direct.core import EngineReport, Instance
 from radishtally.gateway.members import (
-    MAX_REMEMBERED,
+    GONE_RETENTION_SECONDS,
+    MAX_REMEMBERED_HOSTS,
+    MAX_UNCONFIRMED_SECONDS,
     MISSING_GRACE_SECONDS,
-    REMEMBER_SECONDS,
-    REVIEW_SECONDS,
-    SILENCE_SECONDS,
+    REVIEW_INTERVAL_SECONDS,
     HostChange,
     HostUpdated,
     Members,
@@ -157,7 +157,7 @@
     members.enter_era(20.0)
     assert members.replace([A, B], 21.0, True, {"a": 40, "b": 40}) == []
     assert members.list_unconfirmed() == ["b"]
-    assert members.next_review() == 21.0 + REVIEW_SECONDS
+    assert members.next_review() == 21.0 + REVIEW_INTERVAL_SECONDS
     assert members.update(B, 41) == [HostUpdated(B)]
 
 
@@ -171,7 +171,7 @@
     members.enter_era(20.0)
     members.replace([A, B], 21.0, True, {"b": 40})
     assert members.replace([A, B], 22.5, False, {"b": 40}) == []
-    assert members.next_review() == 22.5 + REVIEW_SECONDS
+    assert members.next_review() == 22.5 + REVIEW_INTERVAL_SECONDS
     assert members.replace([A, B], 24.0, False, {"b": 41}) == [HostUpdated(B)]
     assert members.next_review() == float("inf")
 
@@ -185,8 +185,10 @@
     members.enter_era(20.0)
     members.replace([A, B], 21.0, True)
     members.expire(23.0, True)
-    assert members.replace([A, B], 21.0 + SILENCE_SECONDS, False) == []
-    assert members.replace([A, B], 23.0 + SILENCE_SECONDS, False) == [HostUpdated(B)]
+    assert members.replace([A, B], 21.0 + MAX_UNCONFIRMED_SECONDS, False) == []
+    assert members.replace([A, B], 23.0 + MAX_UNCONFIRMED_SECONDS, False) == [
+        HostUpdated(B)
+    ]
 
 
 def test_removed_host_whose_entry_the_store_drops_is_doubted_no_more() -> None:
@@ -216,7 +218,7 @@
     report = EngineReport(DECODE, 0, False, 9)
     members = Members()
     members.update(first._replace(is_draining=True), 50)
-    members.take_report(first, report)
+    members.apply_report(first, report)
     members.enter_era(20.0)
     shown = second._replace(role=PREFILL)
     assert members.replace([shown], 21.0, True, {"b": 1}) == [HostUpdated(shown)]
@@ -252,15 +254,15 @@
 
 def test_removed_hosts_are_remembered_for_a_while_and_not_without_bound() -> None:
     members = Members()
-    hosts = [make_instance(f"h{n}") for n in range(MAX_REMEMBERED + 5)]
+    hosts = [make_instance(f"h{n}") for n in range(MAX_REMEMBERED_HOSTS + 5)]
     for instance in [A, *hosts]:
         members.update(instance)
         members.remove([instance.host], 5.0, False)
         members.expire(5.0 + MISSING_GRACE_SECONDS, False)
-    members.enter_era(5.0 + REMEMBER_SECONDS / 2)
+    members.enter_era(5.0 + GONE_RETENTION_SECONDS / 2)
     members.replace([A, *hosts], 40.0, True)
-    assert len(members.list_unconfirmed()) == MAX_REMEMBERED
-    members.enter_era(7.0 + REMEMBER_SECONDS)
+    assert len(members.list_unconfirmed()) == MAX_REMEMBERED_HOSTS
+    members.enter_era(7.0 + GONE_RETENTION_SECONDS)
     members.replace([A, *hosts], 70.0, True)
     assert members.list_unconfirmed() == []
 
@@ -283,8 +285,8 @@
 def test_entry_does_not_undo_what_a_host_said_of_its_leaving() -> None:
     members = Members()
     members.replace([A, B], 0.0, False, {"a": 1, "b": 1})
-    assert members.take_leaving(A) == [HostUpdated(LEAVING_A)]
-    assert members.take_leaving(A) == []
+    assert members.record_leaving(A) == [HostUpdated(LEAVING_A)]
+    assert members.record_leaving(A) == []
     assert members.update(A, 2) == []
     assert members.replace([A, B], 1.0, False, {"a": 3, "b": 3}) == []
     members.remove(["a"], 2.0, False)
@@ -298,7 +300,7 @@
     members = Members()
     first, second = (A._replace(started_ms=start) for start in (1_000, 2_000))
     members.update(first)
-    members.take_leaving(first)
+    members.record_leaving(first)
     members.update(second)
     assert list(members) == [second]
 
@@ -309,7 +311,7 @@
     first, second = (A._replace(started_ms=start) for start in (1_000, 2_000))
     members.update(first)
     members.update(second)
-    assert members.take_leaving(first) == []
+    assert members.record_leaving(first) == []
     assert list(members) == [second]
 
 
@@ -317,15 +319,15 @@
     members = Members()
     members.replace([A, B], 0.0, False)
     members.remove(["a"], 0.0, False)
-    assert members.take_leaving(A) == []
+    assert members.record_leaving(A) == []
     assert list(members) == [B]
 
 
 def test_hosts_that_left_are_not_remembered_for_good() -> None:
     members = Members()
-    for number in range(2 * MAX_REMEMBERED):
+    for number in range(2 * MAX_REMEMBERED_HOSTS):
         leaving = make_instance(f"h-{number}")
         members.update(leaving)
-        members.take_leaving(leaving)
+        members.record_leaving(leaving)
         members.remove([leaving.host], float(number), False)
-    assert len(members._leaving) == MAX_REMEMBERED
+    assert len(members._leaving) == MAX_REMEMBERED_HOSTS
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -234,7 +234,7 @@
             engine.born = 1_000
             await made.serve_engine(engine)
             instance = await find_instance(made, "d-1")
-            made.gateway.take_notice(instance, Notice(pause=60.0))
+            made.gateway.handle_notice(instance, Notice(pause=60.0))
             engine.restart(2_000)
             made.announce_engine(engine)
             await wait_until(lambda: made.gateway.members.starts.get("d-1") == 2_000)
@@ -252,7 +252,7 @@
             for engine in engines:
                 await made.serve_engine(engine)
             instance = await find_instance(made, "d-1")
-            made.gateway.take_notice(instance, Notice(pause=PAUSE_SECONDS))
+            made.gateway.handle_notice(instance, Notice(pause=PAUSE_SECONDS))
             begun = time.monotonic()
             async with (
                 aiohttp.ClientSession() as session,
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -5,9 +5,9 @@
 import pytest
 
 from radishtally.gateway import peers
-from radishtally.gateway.bounds import find_retry_floor
+from radishtally.gateway.bounds import find_min_retry_rate
 from radishtally.gateway.daemon import Gateway
-from radishtally.gateway.register import GATEWAYS
+from radishtally.gateway.registry import GATEWAYS_PARTITION
 from radishtally.store.core import ABSENT, Delete, Key, Put
 from tests.common import run
 from tests.gateway.common import Deployment, deployment, run_gateway, wait_until
@@ -55,7 +55,7 @@
             first = made.gateway
             bounds = first.settings.bounds
             async with run_gateway(made.store, "gateway-2") as second:
-                shared = find_retry_floor(bounds, 2)
+                shared = find_min_retry_rate(bounds, 2)
                 for gateway in (first, second):
                     await wait_until(lambda g=gateway: g.core.budgets.floor == shared)
                 allowed = bounds.retry_slack / bounds.retry_window_seconds
@@ -83,21 +83,25 @@
 # for good: nobody removes their rows. One that was only cut off must not be lost so.
 def test_rows_of_gone_gateways_are_removed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def read_names(gateway: Gateway) -> set[str]:
-        return {row.key.sk for row in (await gateway.table.query(GATEWAYS)).ok}
+        return {
+            row.key.sk for row in (await gateway.table.query(GATEWAYS_PARTITION)).ok
+        }
 
     async def play() -> None:
         async with deployment() as made, run_gateway(made.store, "gateway-2") as second:
             both = (made.gateway, second)
             for gateway in both:
                 await wait_until(lambda g=gateway: g.peers._hub and g.peers._hub.hosts)
-            gone = Put(Key(GATEWAYS, "gateway-0"), {"address": "127.0.0.1:9"}, ABSENT)
+            gone = Put(
+                Key(GATEWAYS_PARTITION, "gateway-0"), {"address": "127.0.0.1:9"}, ABSENT
+            )
             assert (await second.table.transact([gone], "w")).is_ok()
             for gateway in both:
-                await gateway.peers._follow_rows()
+                await gateway.peers._sync_peers()
             assert "gateway-0" in await read_names(second)
-            monkeypatch.setattr(peers, "GONE_SECONDS", -1.0)
+            monkeypatch.setattr(peers, "PEER_REMOVAL_SECONDS", -1.0)
             for gateway in both:
-                await gateway.peers._follow_rows()
+                await gateway.peers._sync_peers()
             assert await read_names(second) == {"gateway-1", "gateway-2"}
 
     run(play())
@@ -107,11 +111,11 @@
     async def play() -> None:
         async with deployment() as made:
             table = made.gateway.table
-            key = Key(GATEWAYS, "gateway-1")
+            key = Key(GATEWAYS_PARTITION, "gateway-1")
             while (row := (await table.get(key)).ok) is None:
                 await asyncio.sleep(0.01)
             assert (await table.transact([Delete(key, row.rev)], "w")).is_ok()
-            await made.gateway.peers._follow_rows()
+            await made.gateway.peers._sync_peers()
             assert (await table.get(key)).ok.value == row.value
 
     run(play())
--- a/tests/gateway/test_peers_restore.py
+++ b/tests/gateway/test_peers_restore.py
@@ -9,9 +9,9 @@
 import pytest
 from eliot import add_destinations, remove_destination
 
-from radishtally.gateway import peers, register, roster
-from radishtally.gateway.bounds import find_retry_floor
-from radishtally.gateway.register import GATEWAYS, SECRET
+from radishtally.gateway import peers, registry, roster
+from radishtally.gateway.bounds import find_min_retry_rate
+from radishtally.gateway.registry import GATEWAYS_PARTITION, PEER_SECRET_KEY
 from radishtally.outcome import Error, Result
 from radishtally.store.core import (
     ABSENT,
@@ -39,9 +39,9 @@
 @pytest.fixture
 def seldom_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let only a new era make gateways read the store again, and at once."""
-    monkeypatch.setattr(peers, "FIRST_PEER_READS", 1)
+    monkeypatch.setattr(peers, "STARTUP_PEER_READS", 1)
     monkeypatch.setattr(peers, "PEER_READ_SECONDS", 1000.0)
-    monkeypatch.setattr(peers, "ERA_LOOK_SECONDS", 0.0)
+    monkeypatch.setattr(peers, "ERA_READ_SPREAD_SECONDS", 0.0)
 
 
 def read_value(made: Deployment, part: str, key: str) -> str | None:
@@ -76,8 +76,8 @@
 def test_own_row_is_written_again_at_once_in_a_new_era(copied: dict | None) -> None:
     async def play() -> None:
         async with deployment() as made:
-            name = Name(TABLE, GATEWAYS, "gateway-1")
-            value = await wait_for_row(made, GATEWAYS, "gateway-1")
+            name = Name(TABLE, GATEWAYS_PARTITION, "gateway-1")
+            value = await wait_for_row(made, GATEWAYS_PARTITION, "gateway-1")
             data = encode_value(copied) if copied else None
             made.rows.write(name, data)
             made.gateway.peers.enter_era()
@@ -97,12 +97,12 @@
     async def play() -> None:
         async with deployment() as made:
             gateway = made.gateway
-            await wait_until(lambda: gateway._gateways == 1)
+            await wait_until(lambda: gateway._gateway_count == 1)
             async with run_gateway(made.store, "gateway-2"):
-                await wait_for_row(made, GATEWAYS, "gateway-2")
+                await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
                 gateway.peers.enter_era()
                 await wait_until(lambda: gateway.peers._hub.hosts == ["gateway-2"])
-                assert gateway._gateways == 2
+                assert gateway._gateway_count == 2
 
     run(play())
 
@@ -112,23 +112,23 @@
 # A gateway's look begins some time after the rise, another one's at another time.
 def test_looks_at_a_new_era_are_spread(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
-        monkeypatch.setattr(peers, "FIRST_PEER_READS", 1)
+        monkeypatch.setattr(peers, "STARTUP_PEER_READS", 1)
         monkeypatch.setattr(peers, "PEER_READ_SECONDS", 1000.0)
         async with deployment() as made:
             gateway = made.gateway
-            await wait_until(lambda: gateway._gateways == 1)
-            made.rows.write(Name(TABLE, GATEWAYS, "gateway-1"), None)
+            await wait_until(lambda: gateway._gateway_count == 1)
+            made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
             drawn = []
             draw = SimpleNamespace(uniform=lambda *a: drawn.append(a) or 1000.0)
             monkeypatch.setattr(peers, "random", draw)
             gateway.peers.enter_era()
-            await wait_until(lambda: (0.0, peers.ERA_LOOK_SECONDS) in drawn)
+            await wait_until(lambda: (0.0, peers.ERA_READ_SPREAD_SECONDS) in drawn)
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert read_value(made, GATEWAYS, "gateway-1") is None
+            assert read_value(made, GATEWAYS_PARTITION, "gateway-1") is None
 
     run(play())
-    reads = MOST_GATEWAYS * LOOK_READS / peers.ERA_LOOK_SECONDS
+    reads = MOST_GATEWAYS * LOOK_READS / peers.ERA_READ_SPREAD_SECONDS
     assert reads <= STORE_READS / 2
 
 
@@ -143,22 +143,22 @@
         async with AsyncExitStack() as stack:
             made = await stack.enter_async_context(deployment())
             gateway = made.gateway
-            await wait_until(lambda: gateway._gateways == 1)
+            await wait_until(lambda: gateway._gateway_count == 1)
             await stack.enter_async_context(run_gateway(made.store, "gateway-2"))
-            await wait_for_row(made, GATEWAYS, "gateway-2")
-            read_rows = gateway.peers._register.read_rows
+            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+            read_rows = gateway.peers._registry.read_rows
             failures = [Error(AWAY)] * 3
 
             async def read() -> Result:
                 return failures.pop() if failures else await read_rows()
 
-            monkeypatch.setattr(gateway.peers._register, "read_rows", read)
-            for module in (peers, register):
-                monkeypatch.setattr(module, "JOIN_SECONDS", 0.01)
-            made.rows.write(Name(TABLE, GATEWAYS, "gateway-1"), None)
+            monkeypatch.setattr(gateway.peers._registry, "read_rows", read)
+            for module in (peers, registry):
+                monkeypatch.setattr(module, "JOIN_POLL_SECONDS", 0.01)
+            made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
             made.rows.gate._fault = {"mode": "down", "count": 10}
             gateway.peers.enter_era()
-            await wait_for_row(made, GATEWAYS, "gateway-1")
+            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-1")
             await wait_until(lambda: gateway.peers._hub.hosts == ["gateway-2"])
             assert not failures
 
@@ -166,12 +166,12 @@
 
 
 def read_secret(made: Deployment) -> str:
-    return decode_value(read_value(made, *SECRET))["secret"]
+    return decode_value(read_value(made, *PEER_SECRET_KEY))["secret"]
 
 
 def write_secret(made: Deployment, secret: str) -> None:
     """Write a secret as another gateway does that was the first one."""
-    made.rows.write(Name(TABLE, *SECRET), encode_value({"secret": secret}))
+    made.rows.write(Name(TABLE, *PEER_SECRET_KEY), encode_value({"secret": secret}))
 
 
 # Gateways that start after a restore never link to those from before it, until these
@@ -182,14 +182,14 @@
     async def play() -> None:
         async with deployment() as made:
             gateway = made.gateway
-            await wait_until(lambda: gateway._gateways == 1)
+            await wait_until(lambda: gateway._gateway_count == 1)
             secret = read_secret(made)
-            made.rows.write(Name(TABLE, *SECRET), None)
+            made.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
             gateway.peers.enter_era()
-            await wait_for_row(made, *SECRET)
+            await wait_for_row(made, *PEER_SECRET_KEY)
             assert read_secret(made) == secret
             async with run_gateway(made.store, "gateway-2") as second:
-                await wait_for_row(made, GATEWAYS, "gateway-2")
+                await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
                 gateway.peers.enter_era()
                 await wait_until(lambda: gateway.peers._hub.hosts == ["gateway-2"])
                 await wait_until(lambda: second.peers._hub.hosts == ["gateway-1"])
@@ -208,9 +208,9 @@
             engines = await start_engines(made)
             for engine in engines:
                 engine.seconds = 0.5
-            await wait_for_row(made, GATEWAYS, "gateway-2")
+            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
             await wait_until(lambda: first.peers._hub is not None)
-            await first.peers._follow_rows()
+            await first.peers._sync_peers()
             await wait_until(lambda: second.peers._hub.hosts == ["gateway-1"])
             write_secret(made, "another")
             work = asyncio.create_task(stream(made, "/draft/a", "r1"))
@@ -222,7 +222,7 @@
                     lambda g=gateway, old=links: g.peers._hub._links != old
                 )
             async with run_gateway(made.store, "gateway-3") as third:
-                await wait_for_row(made, GATEWAYS, "gateway-3")
+                await wait_for_row(made, GATEWAYS_PARTITION, "gateway-3")
                 for gateway in (first, second):
                     gateway.peers.enter_era()
                 await wait_until(lambda: len(third.peers._hub.hosts) == 2)
@@ -245,25 +245,25 @@
     async def play() -> None:
         async with deployment() as made, run_gateway(made.store, "gateway-2") as second:
             first = made.gateway
-            await wait_for_row(made, GATEWAYS, "gateway-2")
+            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
             await wait_until(lambda: first.peers._hub is not None)
-            await first.peers._follow_rows()
+            await first.peers._sync_peers()
             await wait_until(lambda: first.peers._hub.hosts == ["gateway-2"])
-            shared = find_retry_floor(first.settings.bounds, 2)
+            shared = find_min_retry_rate(first.settings.bounds, 2)
             link = first.peers._hub._links["gateway-2"]
-            made.rows.write(Name(TABLE, GATEWAYS, "gateway-2"), None)
+            made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-2"), None)
             first.peers.enter_era()
-            await wait_until(lambda: not first.peers._roster.is_unread)
+            await wait_until(lambda: not first.peers._roster.is_read_pending)
             assert first.peers._hub._links == {"gateway-2": link}
             assert first.core.budgets.floor == shared
             # One that did not write again is let go in the end.
-            monkeypatch.setattr(roster, "KEPT_SECONDS", 0.0)
-            await first.peers._follow_rows()
+            monkeypatch.setattr(roster, "ERA_SETTLE_SECONDS", 0.0)
+            await first.peers._sync_peers()
             await wait_until(lambda: not first.peers._hub.hosts)
             assert first.core.budgets.floor > shared
             second.peers.enter_era()
-            await wait_for_row(made, GATEWAYS, "gateway-2")
-            await first.peers._follow_rows()
+            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+            await first.peers._sync_peers()
             await wait_until(lambda: first.peers._hub.hosts == ["gateway-2"])
             assert first.core.budgets.floor == shared
 
@@ -280,19 +280,19 @@
     async def play() -> None:
         async with deployment() as made:
             gateway = made.gateway
-            await wait_until(lambda: gateway._gateways == 1)
+            await wait_until(lambda: gateway._gateway_count == 1)
             data = encode_value({"address": "127.0.0.1:9"})
-            made.rows.write(Name(TABLE, GATEWAYS, "gateway-0"), data)
+            made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-0"), data)
             gateway.peers.enter_era()
-            await wait_until(lambda: not gateway.peers._roster.is_unread)
-            assert read_value(made, GATEWAYS, "gateway-0") == data
-            assert gateway._gateways == 2
-            monkeypatch.setattr(peers, "GONE_SECONDS", -1.0)
-            await gateway.peers._follow_rows()
-            assert read_value(made, GATEWAYS, "gateway-0") is None
-            monkeypatch.setattr(roster, "KEPT_SECONDS", 0.0)
-            await gateway.peers._follow_rows()
-            assert gateway._gateways == 1
+            await wait_until(lambda: not gateway.peers._roster.is_read_pending)
+            assert read_value(made, GATEWAYS_PARTITION, "gateway-0") == data
+            assert gateway._gateway_count == 2
+            monkeypatch.setattr(peers, "PEER_REMOVAL_SECONDS", -1.0)
+            await gateway.peers._sync_peers()
+            assert read_value(made, GATEWAYS_PARTITION, "gateway-0") is None
+            monkeypatch.setattr(roster, "ERA_SETTLE_SECONDS", 0.0)
+            await gateway.peers._sync_peers()
+            assert gateway._gateway_count == 1
 
     run(play())
 
@@ -308,11 +308,13 @@
     async def play() -> None:
         async with deployment() as made:
             gateway = made.gateway
-            await wait_until(lambda: gateway._gateways == 1)
-            gone = Put(Key(GATEWAYS, "gateway-0"), {"address": "127.0.0.1:9"}, ABSENT)
+            await wait_until(lambda: gateway._gateway_count == 1)
+            gone = Put(
+                Key(GATEWAYS_PARTITION, "gateway-0"), {"address": "127.0.0.1:9"}, ABSENT
+            )
             assert (await gateway.table.transact([gone], "w")).is_ok()
-            monkeypatch.setattr(peers, "GONE_SECONDS", -1.0)
-            monkeypatch.setattr(register, "WRITE_SECONDS", 0.1)
+            monkeypatch.setattr(peers, "PEER_REMOVAL_SECONDS", -1.0)
+            monkeypatch.setattr(registry, "WRITE_SECONDS", 0.1)
             transact = gateway.table.transact
             tried, logged = [], []
             add_destinations(logged.append)
@@ -324,14 +326,14 @@
                 return Error(error)
 
             monkeypatch.setattr(gateway.table, "transact", turn_away)
-            await gateway.peers._follow_rows()
+            await gateway.peers._sync_peers()
             remove_destination(logged.append)
             assert tried
             lines = [line for line in logged if line["message_type"] == "peers:gone"]
             assert [line["outcome"] for line in lines] == [str(error)]
             monkeypatch.setattr(gateway.table, "transact", transact)
-            await gateway.peers._follow_rows()
-            assert read_value(made, GATEWAYS, "gateway-0") is None
+            await gateway.peers._sync_peers()
+            assert read_value(made, GATEWAYS_PARTITION, "gateway-0") is None
             assert not gateway.runtime.stopping.is_set()
 
     run(play())
@@ -346,22 +348,22 @@
     async def play() -> None:
         async with deployment() as made:
             gateway = made.gateway
-            await wait_until(lambda: gateway._gateways == 1)
-            write_own, looks = gateway.peers._register.write_own, []
+            await wait_until(lambda: gateway._gateway_count == 1)
+            write_own_row, looks = gateway.peers._registry.write_own_row, []
 
             async def write() -> bool:
-                looks.append(await write_own())
+                looks.append(await write_own_row())
                 if len(looks) == 1:
-                    made.rows.write(Name(TABLE, GATEWAYS, "gateway-1"), None)
-                    made.rows.write(Name(TABLE, *SECRET), None)
+                    made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
+                    made.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
                     gateway.peers.enter_era()
                 return looks[-1]
 
-            monkeypatch.setattr(gateway.peers._register, "write_own", write)
+            monkeypatch.setattr(gateway.peers._registry, "write_own_row", write)
             gateway.peers.enter_era()
             await wait_until(lambda: len(looks) > 1)
-            await wait_for_row(made, GATEWAYS, "gateway-1")
-            await wait_for_row(made, *SECRET)
+            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-1")
+            await wait_for_row(made, *PEER_SECRET_KEY)
 
     run(play())
 
@@ -374,23 +376,23 @@
 ) -> None:
     async def play() -> None:
         async with deployment() as made:
-            await wait_until(lambda: made.gateway._gateways == 1)
-            find_secret = register.Register.find_secret
+            await wait_until(lambda: made.gateway._gateway_count == 1)
+            read_or_create_secret = registry.GatewayRegistry.read_or_create_secret
             found, restored = [], asyncio.Event()
 
-            async def find(self: register.Register, *known: str) -> str:
-                found.append(await find_secret(self, *known))
+            async def find(self: registry.GatewayRegistry, *known: str) -> str:
+                found.append(await read_or_create_secret(self, *known))
                 await restored.wait()
                 return found[-1]
 
-            monkeypatch.setattr(register.Register, "find_secret", find)
+            monkeypatch.setattr(registry.GatewayRegistry, "read_or_create_secret", find)
             async with run_gateway(made.store, "gateway-2") as second:
                 await wait_until(lambda: len(found) == 1)
-                made.rows.write(Name(TABLE, *SECRET), None)
+                made.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
                 second.peers.enter_era()
                 restored.set()
-                await wait_for_row(made, *SECRET)
+                await wait_for_row(made, *PEER_SECRET_KEY)
                 assert read_secret(made) == found[0]
-                await wait_for_row(made, GATEWAYS, "gateway-2")
+                await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
 
     run(play())
--- a/tests/gateway/test_register.py
+++ b/tests/gateway/test_registry.py
@@ -5,8 +5,8 @@
 import pytest
 from eliot import add_destinations, remove_destination
 
-from radishtally.gateway import register
-from radishtally.gateway.register import SECRET, Register
+from radishtally.gateway import registry
+from radishtally.gateway.registry import PEER_SECRET_KEY, GatewayRegistry
 from radishtally.gateway.topology import Site
 from radishtally.outcome import Error, Result
 from radishtally.store.core import (
@@ -24,8 +24,8 @@
 OTHERS = {"secret": "others"}
 
 
-def make_register(table: MemoryTable, host: str = "gateway-1") -> Register:
-    return Register(table, host, Site("howrah", 0.8), "127.0.0.1:8104")
+def make_register(table: MemoryTable, host: str = "gateway-1") -> GatewayRegistry:
+    return GatewayRegistry(table, host, Site("howrah", 0.8), "127.0.0.1:8104")
 
 
 # The store gets calls without end from a gateway that is starting, just as it turns
@@ -43,8 +43,8 @@
 
     async def play() -> None:
         table = Busy()
-        monkeypatch.setattr(register, "JOIN_SECONDS", 1000.0)
-        finding = asyncio.create_task(make_register(table).find_secret())
+        monkeypatch.setattr(registry, "JOIN_POLL_SECONDS", 1000.0)
+        finding = asyncio.create_task(make_register(table).read_or_create_secret())
         for _ in range(50):
             await asyncio.sleep(0)
         finding.cancel()
@@ -58,9 +58,9 @@
 def test_secret_in_use_is_written_again_where_none_stands() -> None:
     async def play() -> None:
         table = MemoryTable()
-        assert await make_register(table).find_secret("ours") == "ours"
-        assert (await table.get(SECRET)).ok.value == OURS
-        assert await make_register(table, "gateway-2").find_secret() == "ours"
+        assert await make_register(table).read_or_create_secret("ours") == "ours"
+        assert (await table.get(PEER_SECRET_KEY)).ok.value == OURS
+        assert await make_register(table, "gateway-2").read_or_create_secret() == "ours"
 
     run(play())
 
@@ -70,9 +70,9 @@
 def test_secret_that_stands_is_taken_by_those_that_know_another() -> None:
     async def play() -> None:
         table = MemoryTable()
-        table.rows.apply([Put(SECRET, OTHERS, ABSENT)], "w")
-        assert await make_register(table).find_secret("ours") == "others"
-        assert (await table.get(SECRET)).ok.value == OTHERS
+        table.rows.apply([Put(PEER_SECRET_KEY, OTHERS, ABSENT)], "w")
+        assert await make_register(table).read_or_create_secret("ours") == "others"
+        assert (await table.get(PEER_SECRET_KEY)).ok.value == OTHERS
 
     run(play())
 
@@ -82,13 +82,13 @@
 def test_secret_that_came_first_is_taken() -> None:
     class Raced(MemoryTable):
         async def transact(self, *args: object) -> Result:
-            self.rows.apply([Put(SECRET, OTHERS, ABSENT)], "w")
+            self.rows.apply([Put(PEER_SECRET_KEY, OTHERS, ABSENT)], "w")
             return await super().transact(*args)
 
     async def play() -> None:
         table = Raced()
-        assert await make_register(table).find_secret("ours") == "others"
-        assert (await table.get(SECRET)).ok.value == OTHERS
+        assert await make_register(table).read_or_create_secret("ours") == "others"
+        assert (await table.get(PEER_SECRET_KEY)).ok.value == OTHERS
 
     run(play())
 
@@ -102,8 +102,8 @@
     async def play() -> None:
         table = MemoryTable()
         setattr(table, fault, 1)
-        assert await make_register(table).find_secret("ours") == "ours"
-        assert (await table.get(SECRET)).ok.value == OURS
+        assert await make_register(table).read_or_create_secret("ours") == "ours"
+        assert (await table.get(PEER_SECRET_KEY)).ok.value == OURS
 
     run(play())
 
@@ -124,13 +124,13 @@
             return await super().transact(*args)
 
     async def play() -> None:
-        monkeypatch.setattr(register, "JOIN_SECONDS", 0.0)
+        monkeypatch.setattr(registry, "JOIN_POLL_SECONDS", 0.0)
         table, logged = Restored(), []
         add_destinations(logged.append)
         logged.clear()
-        assert not await make_register(table).write_own()
+        assert not await make_register(table).write_own_row()
         remove_destination(logged.append)
-        assert await make_register(table).write_own()
+        assert await make_register(table).write_own_row()
         assert not table.errors
         lines = [line for line in logged if line["message_type"] == "peers:not_joined"]
         settled = [] if isinstance(error, Unclear) else [str(error)]
@@ -144,13 +144,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def play() -> None:
-        monkeypatch.setattr(register, "JOIN_SECONDS", 0.0)
-        monkeypatch.setattr(register, "WRITE_SECONDS", 0.01)
+        monkeypatch.setattr(registry, "JOIN_POLL_SECONDS", 0.0)
+        monkeypatch.setattr(registry, "WRITE_SECONDS", 0.01)
         table, logged = MemoryTable(), []
         table.drop_writes = 1_000_000
         add_destinations(logged.append)
         logged.clear()
-        writing = asyncio.create_task(make_register(table).write_own())
+        writing = asyncio.create_task(make_register(table).write_own_row())
         async with asyncio.timeout(10.0):
             while not any("Unclear" in str(line.get("reason")) for line in logged):
                 await asyncio.sleep(0.005)
@@ -158,6 +158,6 @@
         assert not writing.done()
         table.drop_writes = 0
         assert not await writing
-        assert await make_register(table).write_own()
+        assert await make_register(table).write_own_row()
 
     run(play())
--- a/tests/gateway/test_restore.py
+++ b/tests/gateway/test_restore.py
@@ -4,8 +4,8 @@
     LEASE,
     LeaseTerms,
 )
-from radishtally.gateway.const import STAGES
-from radishtally.gateway.register import GATEWAYS
+from radishtally.gateway.const import STAGES_LEASE
+from radishtally.gateway.registry import GATEWAYS_PARTITION
 from radishtally.store.core import Key
 from standins.rows import Name, Rows
 from tests.common import run
@@ -63,7 +63,7 @@
             before = lease.fencing
             rows.restore(copy)
             await wait_until(lambda: (lease.fencing or 0) > before)
-            row = (await made.gateway.table.get(Key(LEASE, STAGES))).ok
+            row = (await made.gateway.table.get(Key(LEASE, STAGES_LEASE))).ok
             assert row.value["fencing"] == lease.fencing
             assert row.era == 2
 
@@ -85,7 +85,9 @@
             await wait_until(lambda: all(one.peers._hub.hosts for one in both))
             rows.restore(copy)
             made.configure()
-            while len((await two.table.query(GATEWAYS)).default_value([])) < len(both):
+            while len(
+                (await two.table.query(GATEWAYS_PARTITION)).default_value([])
+            ) < len(both):
                 assert all(one.peers._hub.hosts for one in both)
             assert all(one.peers._hub.hosts for one in both)
 
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -1,32 +1,32 @@
 """Which gateways there are while a restored store lacks some of them."""
 
 from radishtally.gateway import roster
-from radishtally.gateway.const import ERA_LOOK_SECONDS, PEER_READ_SECONDS
-from radishtally.gateway.register import GATEWAYS, WRITE_SECONDS
-from radishtally.gateway.roster import KEPT_SECONDS, Roster
+from radishtally.gateway.const import ERA_READ_SPREAD_SECONDS, PEER_READ_SECONDS
+from radishtally.gateway.registry import GATEWAYS_PARTITION, WRITE_SECONDS
+from radishtally.gateway.roster import ERA_SETTLE_SECONDS, Roster
 from radishtally.store.core import Key, Row
 
 THREE = ("gateway-1", "gateway-2", "gateway-3")
 
 
 def make_rows(*names: str) -> dict[str, Row]:
-    return {name: Row(Key(GATEWAYS, name), 1, "w", {}) for name in names}
+    return {name: Row(Key(GATEWAYS_PARTITION, name), 1, "w", {}) for name in names}
 
 
 def make_roster() -> Roster:
     """Make the roster of a gateway that knows three."""
     made = Roster()
-    made.take(make_rows(*THREE), 0.0)
+    made.update(make_rows(*THREE), 0.0)
     return made
 
 
 def test_without_a_new_era_the_gateways_are_those_that_the_store_lists() -> None:
     made = make_roster()
-    assert set(made.take(make_rows("gateway-1"), 0.0)) == {"gateway-1"}
-    assert set(made.take(make_rows(*THREE), 1.0)) == set(THREE)
-    made.note_unread()
-    assert not made.is_unread
-    assert set(made.take(make_rows("gateway-1"), 2.0)) == {"gateway-1"}
+    assert set(made.update(make_rows("gateway-1"), 0.0)) == {"gateway-1"}
+    assert set(made.update(make_rows(*THREE), 1.0)) == set(THREE)
+    made.record_read_failure()
+    assert not made.is_read_pending
+    assert set(made.update(make_rows("gateway-1"), 2.0)) == {"gateway-1"}
 
 
 # Hosts that fail are asked far more often than agreed. Gateways that write their rows
@@ -34,13 +34,13 @@
 def test_gateways_that_may_write_again_are_kept() -> None:
     made = make_roster()
     made.enter_era()
-    assert set(made.take(make_rows("gateway-1"), 100.0)) == set(THREE)
-    added = made.take(make_rows("gateway-1", "gateway-4"), 101.0)
+    assert set(made.update(make_rows("gateway-1"), 100.0)) == set(THREE)
+    added = made.update(make_rows("gateway-1", "gateway-4"), 101.0)
     assert set(added) == {*THREE, "gateway-4"}
-    late = 99.9 + KEPT_SECONDS
-    assert set(made.take(make_rows("gateway-1"), late)) == {*THREE, "gateway-4"}
-    others = PEER_READ_SECONDS + ERA_LOOK_SECONDS + WRITE_SECONDS
-    assert 2 * others <= KEPT_SECONDS
+    late = 99.9 + ERA_SETTLE_SECONDS
+    assert set(made.update(make_rows("gateway-1"), late)) == {*THREE, "gateway-4"}
+    others = PEER_READ_SECONDS + ERA_READ_SPREAD_SECONDS + WRITE_SECONDS
+    assert 2 * others <= ERA_SETTLE_SECONDS
 
 
 # A gateway that left while the store was away is dialled for good, and retries are
@@ -48,10 +48,10 @@
 def test_gateways_that_did_not_write_again_are_dropped() -> None:
     made = make_roster()
     made.enter_era()
-    made.take(make_rows("gateway-1"), 100.0)
+    made.update(make_rows("gateway-1"), 100.0)
     rows = make_rows("gateway-1", "gateway-2")
-    assert made.take(rows, 100.0 + KEPT_SECONDS) == rows
-    assert made.take(make_rows("gateway-1"), 200.0) == make_rows("gateway-1")
+    assert made.update(rows, 100.0 + ERA_SETTLE_SECONDS) == rows
+    assert made.update(make_rows("gateway-1"), 200.0) == make_rows("gateway-1")
 
 
 # Links to all others end though all live. The store is away again soon after the rise
@@ -60,25 +60,25 @@
 def test_time_to_write_again_is_one_in_which_the_store_answers() -> None:
     made = make_roster()
     made.enter_era()
-    assert made.is_unread
-    made.take(make_rows("gateway-1"), 100.0)
-    assert not made.is_unread
-    made.note_unread()
-    assert made.is_unread
-    assert set(made.take(make_rows("gateway-1"), 200.0)) == set(THREE)
-    late = 199.9 + KEPT_SECONDS
-    assert set(made.take(make_rows("gateway-1"), late)) == set(THREE)
+    assert made.is_read_pending
+    made.update(make_rows("gateway-1"), 100.0)
+    assert not made.is_read_pending
+    made.record_read_failure()
+    assert made.is_read_pending
+    assert set(made.update(make_rows("gateway-1"), 200.0)) == set(THREE)
+    late = 199.9 + ERA_SETTLE_SECONDS
+    assert set(made.update(make_rows("gateway-1"), late)) == set(THREE)
 
 
 # As above, but the store is restored a second time while the first is not settled.
 def test_second_restore_begins_the_time_anew() -> None:
     made = make_roster()
     made.enter_era()
-    made.take(make_rows("gateway-1"), 100.0)
+    made.update(make_rows("gateway-1"), 100.0)
     made.enter_era()
-    assert made.is_unread
-    late = 100.0 + roster.KEPT_SECONDS
-    assert set(made.take(make_rows("gateway-1"), late)) == set(THREE)
+    assert made.is_read_pending
+    late = 100.0 + roster.ERA_SETTLE_SECONDS
+    assert set(made.update(make_rows("gateway-1"), late)) == set(THREE)
 
 
 # A row that is written again counts as it stands, not as it was known: its gateway may
@@ -86,7 +86,9 @@
 def test_rows_that_stand_replace_those_that_are_kept() -> None:
     made = make_roster()
     made.enter_era()
-    moved = Row(Key(GATEWAYS, "gateway-2"), 1, "w", {"address": "127.0.0.1:9"})
-    rows = made.take({"gateway-2": moved}, 100.0)
+    moved = Row(
+        Key(GATEWAYS_PARTITION, "gateway-2"), 1, "w", {"address": "127.0.0.1:9"}
+    )
+    rows = made.update({"gateway-2": moved}, 100.0)
     assert rows["gateway-2"] == moved
     assert set(rows) == set(THREE)
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp import web
 
-from radishtally.gateway.const import RETRY_PART
+from radishtally.gateway.const import RETRY_SHARE
 from radishtally.gateway.daemon import Gateway
 from standins.staged import EVENTS
 from tests.common import run
@@ -45,7 +45,7 @@
             )
             settings = msgspec.structs.replace(gateway.settings, bounds=bounds)
             gateway.apply_settings(settings)
-            assert before < RETRY_PART * REQUESTS <= count_retries(gateway)
+            assert before < RETRY_SHARE * REQUESTS <= count_retries(gateway)
             assert gateway.lease._core.terms.granted >= 60.0
 
     run(play())
--- a/tests/gateway/test_starts.py
+++ b/tests/gateway/test_starts.py
@@ -3,7 +3,7 @@
 from radishtally.direct.core import EngineReport, Instance
 from radishtally.gateway import starts
 from radishtally.gateway.members import MISSING_GRACE_SECONDS, HostChange, Members
-from radishtally.gateway.starts import ENDED_STARTS, Starts, StartSource
+from radishtally.gateway.starts import MAX_ENDED_STARTS, HostStarts, StartSource
 from radishtally.links.messages import DECODE, PREFILL
 
 EARLY, LATE = 5_000, 4_000
@@ -44,7 +44,7 @@
 def test_list_does_not_take_back_what_a_report_has_shown() -> None:
     members = Members()
     members.update(make_instance(EARLY, is_draining=True))
-    changes = members.take_report(
+    changes = members.apply_report(
         make_instance(EARLY, is_draining=True), make_report(LATE, PREFILL)
     )
     assert describe(changes) == ["HostRestarted", "HostUpdated"]
@@ -63,7 +63,7 @@
     asked = make_instance(EARLY)
     members.update(asked)
     members.update(make_instance(LATE))
-    assert members.take_report(asked, make_report(EARLY)) == []
+    assert members.apply_report(asked, make_report(EARLY)) == []
     assert list_known(members) == [make_instance(LATE)]
 
 
@@ -74,7 +74,7 @@
     asked = make_instance(EARLY)
     members.update(asked)
     members.update(make_instance(LATE, address="a:2"))
-    assert members.take_report(asked, make_report(7)) == []
+    assert members.apply_report(asked, make_report(7)) == []
     assert list_known(members) == [make_instance(LATE, address="a:2")]
 
 
@@ -106,29 +106,29 @@
 def test_start_that_is_told_for_the_first_time_is_no_restart() -> None:
     members = Members()
     members.update(make_instance(0, is_draining=True))
-    assert members.take_report(make_instance(0), make_report(0)) == []
-    changes = members.take_report(make_instance(0), make_report(EARLY, PREFILL))
+    assert members.apply_report(make_instance(0), make_report(0)) == []
+    changes = members.apply_report(make_instance(0), make_report(EARLY, PREFILL))
     assert describe(changes) == ["HostUpdated"]
     assert list_known(members) == [make_instance(EARLY, is_draining=True)]
     assert members.update(make_instance(0, is_draining=True)) == []
-    assert members.starts.name("a") == Starts().name("a")
+    assert members.starts.name_incarnation("a") == HostStarts().name_incarnation("a")
 
 
 def test_starts_are_named_apart() -> None:
-    known = Starts()
-    names = [known.name("a")]
+    known = HostStarts()
+    names = [known.name_incarnation("a")]
     for started_ms in (EARLY, LATE, 3):
-        known.note("a", started_ms, StartSource.LISTED)
-        names.append(known.name("a"))
+        known.record("a", started_ms, StartSource.LISTED)
+        names.append(known.name_incarnation("a"))
     assert names[0] == names[1]
     assert len(set(names)) == 3
 
 
 def test_starts_that_are_remembered_are_bounded(monkeypatch) -> None:  # noqa: ANN001
-    known = Starts()
-    for started_ms in range(1, ENDED_STARTS + 4):
-        known.note("a", started_ms, StartSource.LISTED)
-    assert [known.is_ended("a", ms) for ms in (1, 2, 3, ENDED_STARTS)] == [
+    known = HostStarts()
+    for started_ms in range(1, MAX_ENDED_STARTS + 4):
+        known.record("a", started_ms, StartSource.LISTED)
+    assert [known.is_ended("a", ms) for ms in (1, 2, 3, MAX_ENDED_STARTS)] == [
         False,
         False,
         True,
@@ -136,5 +136,5 @@
     ]
     monkeypatch.setattr(starts, "MAX_HOSTS", 2)
     for host in "bac":
-        known.note(host, 10_000, StartSource.LISTED)
+        known.record(host, 10_000, StartSource.LISTED)
     assert [known.get(host) for host in "abc"] == [10_000, 0, 10_000]
--- a/tests/gateway/test_starts_machine.py
+++ b/tests/gateway/test_starts_machine.py
@@ -153,7 +153,7 @@
     def hear_report(self, data: st.DataObject) -> None:
         index = data.draw(st.integers(0, len(self.reports) - 1))
         asked, report = self.reports.pop(index)
-        self.take(self.members.take_report(asked, report))
+        self.take(self.members.apply_report(asked, report))
         if self.known is None or not is_same_start(
             self.known.started_ms, asked.started_ms
         ):
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -11,9 +11,9 @@
 
 from radishtally.gateway import daemon
 from radishtally.gateway.connections import Connections
-from radishtally.gateway.const import HANDLER_TURNS
+from radishtally.gateway.const import HANDLER_LOOP_ITERATIONS
 from radishtally.gateway.daemon import Gateway
-from radishtally.gateway.front import Front
+from radishtally.gateway.http_frontend import HttpFrontend
 from tests.common import run
 from tests.gateway.common import Deployment, deployment, wait_until
 from tests.gateway.test_calls import SIGNED, Desk, answer_whole, ask
@@ -41,7 +41,7 @@
     gateway.apply_settings(settings)
 
 
-async def wait_until_idle(front: Front) -> None:
+async def wait_until_idle(front: HttpFrontend) -> None:
     """Wait until no connection carries a request."""
     async with asyncio.timeout(5):
         while await front.close_idle():
@@ -65,7 +65,7 @@
     async def play() -> None:
         async with deployment() as made:
             await made.serve_desk("d-1", Desk(answer_large))
-            front = made.gateway.front
+            front = made.gateway.frontend
             with connect(made, SMALL_BUFFER) as caller:
                 caller.sendall(b"GET /read/a HTTP/1.1\r\n" + KEPT % 1)
                 await wait_until(lambda: len(made.gateway.replies) == 1)
@@ -90,7 +90,7 @@
 def test_request_without_answer_is_refused_at_the_end_of_a_stop(
     path: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(daemon, "LEAVE_SECONDS", 0.0)
+    monkeypatch.setattr(daemon, "MIN_LEAVE_SECONDS", 0.0)
 
     async def play() -> None:
         async with deployment() as made:
@@ -115,8 +115,8 @@
         async with deployment() as made:
             await made.serve_desk("d-1", Desk(answer_whole))
             made.gateway.runtime.stopping.set()
-            await wait_until(lambda: made.gateway._stop_begun is not None)
-            made.gateway._stop_begun = time.monotonic() - 5.0
+            await wait_until(lambda: made.gateway._stopping_since is not None)
+            made.gateway._stopping_since = time.monotonic() - 5.0
             set_grace(made.gateway, 60.0)
             status, headers, _ = await ask(made, "/read/a", "r1")
             assert (status, headers.get("X-Ran")) == (503, "no")
@@ -132,12 +132,12 @@
         self.waited: list[int] = []
         self._since = 0
         self._take = RequestHandler.data_received
-        self._count = Connections._count
+        self._count = Connections._change_count
         monkeypatch.setattr(
             RequestHandler, "data_received", lambda *given: self._note_read(*given)
         )
         monkeypatch.setattr(
-            Connections, "_count", lambda *given: self._note_use(*given)
+            Connections, "_change_count", lambda *given: self._note_use(*given)
         )
 
     def start(self) -> None:
@@ -187,4 +187,4 @@
     run(play())
     assert len(turns.waited) == len(data)
     # One is to spare.
-    assert max(turns.waited) < HANDLER_TURNS
+    assert max(turns.waited) < HANDLER_LOOP_ITERATIONS
--- a/tests/gateway/test_topology.py
+++ b/tests/gateway/test_topology.py
@@ -5,15 +5,15 @@
 from hypothesis import strategies as st
 
 from radishtally.gateway.topology import (
-    COLLECTORS,
-    MESH_GATEWAYS,
+    COLLECTOR_CANDIDATES,
+    MAX_MESH_GATEWAYS,
     Site,
     choose_dialled,
-    find_circle,
-    may_collect,
+    find_exchange_group,
+    is_collector_candidate,
 )
 
-COUNTS = [1, 2, MESH_GATEWAYS, MESH_GATEWAYS + 1, 31, 330]
+COUNTS = [1, 2, MAX_MESH_GATEWAYS, MAX_MESH_GATEWAYS + 1, 31, 330]
 DATA_CENTRES = [1, 3, 8]
 
 
@@ -53,12 +53,12 @@
 @pytest.mark.parametrize("count", COUNTS)
 def test_links_grow_with_the_gateways(count: int, data_centres: int) -> None:
     links = len(list_links(make_sites(count, data_centres)))
-    between = (COLLECTORS * data_centres) ** 2
-    assert links <= max(MESH_GATEWAYS**2, COLLECTORS * count + between)
+    between = (COLLECTOR_CANDIDATES * data_centres) ** 2
+    assert links <= max(MAX_MESH_GATEWAYS**2, COLLECTOR_CANDIDATES * count + between)
 
 
 @given(
-    st.sets(st.integers(0, 40), min_size=MESH_GATEWAYS + 1),
+    st.sets(st.integers(0, 40), min_size=MAX_MESH_GATEWAYS + 1),
     st.sampled_from(DATA_CENTRES),
     st.integers(0, 3),
 )
@@ -70,7 +70,7 @@
     lost = set(sorted(sites)[:gone])
     links = list_links(sites, lost)
     circles = {
-        own: find_circle(sites, own, list_linked(links, own))
+        own: find_exchange_group(sites, own, list_linked(links, own))
         for own in sites.keys() - lost
     }
     collectors = {circle.collector for circle in circles.values()}
@@ -78,7 +78,7 @@
     assert len(collectors) == len(present)
     # Who is told tells back, and each hears of each data centre from one other alone.
     for own, circle in circles.items():
-        assert all(own in circles[peer].audience for peer in circle.audience)
+        assert all(own in circles[peer].recipients for peer in circle.recipients)
         if circle.collector == own:
             assert set(circle.collectors) == collectors - {own}
 
@@ -89,10 +89,12 @@
     sites = make_sites(31)
     own = next(own for own in sites if len(choose_dialled(sites, own, ())) > 1)
     first = choose_dialled(sites, own, ())
-    later = next(o for o in sites if len(choose_dialled(sites, o, first)) > COLLECTORS)
+    later = next(
+        o for o in sites if len(choose_dialled(sites, o, first)) > COLLECTOR_CANDIDATES
+    )
     more = choose_dialled(sites, later, first)
     assert more[: len(first)] == first
-    assert len(more) == 2 * COLLECTORS
+    assert len(more) == 2 * COLLECTOR_CANDIDATES
 
 
 # Callers at the gateway that collects waited, and its own changes of configuration too:
@@ -100,18 +102,18 @@
 def test_large_machines_collect_for_small_ones() -> None:
     sites = make_sites(31, 3) | {"large": Site("z-1", 2.0)}
     linked = sites.keys() - {"large"}
-    assert find_circle(sites, "large", linked).collector == "large"
+    assert find_exchange_group(sites, "large", linked).collector == "large"
     for own in linked:
         if sites[own].data_centre == "z-1":
-            circle = find_circle(sites, own, sites.keys() - {own})
+            circle = find_exchange_group(sites, own, sites.keys() - {own})
             assert circle.collector == "large"
 
 
 def test_few_gateways_need_nobody_to_collect() -> None:
-    sites = make_sites(MESH_GATEWAYS, 3)
-    circle = find_circle(sites, "front-0", sites.keys() - {"front-0"})
+    sites = make_sites(MAX_MESH_GATEWAYS, 3)
+    circle = find_exchange_group(sites, "front-0", sites.keys() - {"front-0"})
     assert circle.collector is None
-    assert len(circle.audience) == MESH_GATEWAYS - 1
+    assert len(circle.recipients) == MAX_MESH_GATEWAYS - 1
 
 
 @pytest.mark.parametrize("data_centres", DATA_CENTRES)
@@ -126,7 +128,7 @@
         few = {
             own
             for own in sites.keys() - gone
-            if may_collect(sites, own, list_linked(links, own))
+            if is_collector_candidate(sites, own, list_linked(links, own))
         }
-        assert 0 < len(few) <= COLLECTORS * data_centres
+        assert 0 < len(few) <= COLLECTOR_CANDIDATES * data_centres
         gone |= few
