--- a/radishtally/engines/cache.py
+++ b/radishtally/engines/cache.py
@@ -20,7 +20,9 @@
         """Parts that other requests share, of those kept."""
         self._tokens = 0
 
-    def note(self, model: str, parts: Sequence[PromptPart]) -> list[HashedPart]:
+    def record_prompt(
+        self, model: str, parts: Sequence[PromptPart]
+    ) -> list[HashedPart]:
         """Take in a prompt that the engine reads; give shared parts that are new."""
         chain = hash_parts(model, parts)
         new = [part for part in chain[:-1] if part.key not in self._parts]
@@ -28,7 +30,7 @@
         self._add(chain)
         return new
 
-    def take(self, parts: Iterable[HashedPart]) -> None:
+    def record_parts(self, parts: Iterable[HashedPart]) -> None:
         """Take in shared parts that the engine was given by others."""
         parts = list(parts)
         self._shared.update(part.key for part in parts)
@@ -47,15 +49,15 @@
         self._capacity = capacity
         self._drop_oldest()
 
-    def count(self, model: str, parts: Sequence[PromptPart]) -> int:
+    def count_cached_tokens(self, model: str, parts: Sequence[PromptPart]) -> int:
         """Count the tokens of a prompt that need not be read again.
 
         A part counts only behind parts that are all kept: what it means to the model
         hangs on everything before it, and engines look for it there only.
         """
-        return self.count_chain(hash_parts(model, parts))
+        return self.count_cached_chain(hash_parts(model, parts))
 
-    def count_chain(self, chain: Iterable[HashedPart]) -> int:
+    def count_cached_chain(self, chain: Iterable[HashedPart]) -> int:
         """Count the same of a prompt whose parts are hashed already."""
         kept = 0
         for part in chain:
--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -9,21 +9,21 @@
 from radishtally.direct.core import Instance, KeptPart, is_same_start
 from radishtally.engines.cache import PromptCache, hash_kept
 from radishtally.engines.choice import (
-    Field,
+    PlacementContext,
     choose_decode,
     place_call,
     place_prompt,
 )
 from radishtally.engines.core import Observer
-from radishtally.engines.order import ReadingOrder
-from radishtally.engines.prospects import count_uncached
+from radishtally.engines.predictions import count_uncached
+from radishtally.engines.queue_order import QueueOrderEstimator
 from radishtally.engines.staleness import UnseenRequests
 from radishtally.engines.state import (
     CACHE_SHARE,
     INITIAL_PREFILL_RATE,
     EngineState,
     PeerShare,
-    mark_start,
+    make_start_mark,
 )
 from radishtally.links.messages import (
     CALL,
@@ -39,11 +39,11 @@
 from radishtally.serving.placement import Declined, Placed
 from radishtally.serving.requests import OpenRequest
 
-START_TERMS: Final = EngineTerms(400_000)
+DEFAULT_ENGINE_TERMS: Final = EngineTerms(400_000)
 """What is taken of engines until the configuration says more."""
-ORDER_SECONDS: Final = 1.0
+ROLE_ORDER_SECONDS: Final = 1.0
 """Time until an engine is ordered to make answers where none does: two looks."""
-LEAST_OUTAGE: Final = 0.5
+MIN_OUTAGE_SECONDS: Final = 0.5
 """Time after which it is worth asking again where an engine should be back already."""
 
 
@@ -61,14 +61,14 @@
         self.unseen_requests = UnseenRequests()
         self._engines: dict[str, EngineState] = {}
         self._changed: set[str] = set()
-        self._early: dict[str, dict[str, EngineShare]] = {}
+        self._unmatched_shares: dict[str, dict[str, EngineShare]] = {}
         """What other entries have open, by engines and by their names, at starts that
         are not the ones known here; told once, it would be missed for good."""
-        self._read: list[PartsRead] = []
+        self._parts_read: list[PartsRead] = []
         """Parts that this entry was the first to give to an engine, as far as known."""
-        self._unanswered: dict[str, float] = {}
+        self._outage_since: dict[str, float] = {}
         """Since when no engine of an upstream makes answers."""
-        self._orders: dict[str, ReadingOrder] = {}
+        self._queue_orders: dict[str, QueueOrderEstimator] = {}
         """In which order the engines of each upstream read."""
         self._terms: dict[str, EngineTerms] = {}
 
@@ -89,7 +89,7 @@
         if known is not None:
             known.role = instance.role
             known.slots = instance.slots
-            known.start = mark_start(instance.started_ms)
+            known.start_mark = make_start_mark(instance.started_ms)
             return
         cache = PromptCache(self._find_cache_size(instance.upstream))
         self._engines[instance.host] = EngineState(
@@ -99,12 +99,12 @@
             cache,
             instance.upstream,
             instance.slots,
-            mark_start(instance.started_ms),
-            self._orders.setdefault(instance.upstream, ReadingOrder()),
-            self._find_rate(instance.upstream),
+            make_start_mark(instance.started_ms),
+            self._queue_orders.setdefault(instance.upstream, QueueOrderEstimator()),
+            self._estimate_initial_rate(instance.upstream),
         )
-        for peer, share in self._early.pop(instance.host, {}).items():
-            self._take_share(peer, share, self._clock())
+        for peer, share in self._unmatched_shares.pop(instance.host, {}).items():
+            self._record_share(peer, share, self._clock())
 
     def reset_engine(self, host: str) -> None:
         """Forget the earlier start of an engine; what it is now is told next."""
@@ -113,28 +113,28 @@
     def forget(self, host: str) -> None:
         """Forget a host that is gone."""
         self._engines.pop(host, None)
-        self._early.pop(host, None)
+        self._unmatched_shares.pop(host, None)
 
     def forget_peer(self, peer: str) -> None:
         """Forget what an entry has open that is out of reach."""
         for engine in self._engines.values():
             engine.drop_peer(peer)
-        for shares in self._early.values():
+        for shares in self._unmatched_shares.values():
             shares.pop(peer, None)
 
     def record_backlog(self, peer: str, backlog: Backlog, now: float) -> None:
         """Take what another entry has open."""
         for share in backlog.shares:
-            self._take_share(peer, share, now)
+            self._record_share(peer, share, now)
 
-    def _take_share(self, peer: str, share: EngineShare, now: float) -> None:
+    def _record_share(self, peer: str, share: EngineShare, now: float) -> None:
         engine = self._engines.get(share.host)
         if engine is None:
             return
-        early = self._early.setdefault(share.host, {})
-        if is_same_start(share.start, engine.start):
+        early = self._unmatched_shares.setdefault(share.host, {})
+        if is_same_start(share.start, engine.start_mark):
             early.pop(peer, None)
-            engine.take_share(peer, PeerShare(share.waiting, share.answers), now)
+            engine.record_peer_share(peer, PeerShare(share.waiting, share.answers), now)
             return
         # One of the two does not know yet that the engine has started again. What was
         # open at its earlier start is lost, and was not read: it tells no rate.
@@ -153,7 +153,9 @@
         engines = self._engines
         names = engines.keys() if hosts is None else hosts
         shares = [
-            EngineShare(host, *engines[host].make_share(left_out), engines[host].start)
+            EngineShare(
+                host, *engines[host].build_share(left_out), engines[host].start_mark
+            )
             for host in names
             if host in engines
         ]
@@ -162,10 +164,10 @@
     def record_parts(self, told: PartsRead) -> None:
         """Take which parts another entry has given to an engine."""
         engine = self._engines.get(told.host)
-        if engine is None or not is_same_start(told.start, engine.start):
+        if engine is None or not is_same_start(told.start, engine.start_mark):
             # They are told again where they are missed: once each, when read again.
             return
-        engine.cache.take(told.parts)
+        engine.cache.record_parts(told.parts)
 
     def record_kept_parts(self, host: str, kept: Iterable[KeptPart]) -> int:
         """Take which parts an engine says that it keeps; give how many they are."""
@@ -173,19 +175,19 @@
         if engine is None:
             return 0
         parts = tuple(map(hash_kept, kept))
-        engine.cache.take(parts)
-        self._read.append(PartsRead(host, engine.start, parts))
+        engine.cache.record_parts(parts)
+        self._parts_read.append(PartsRead(host, engine.start_mark, parts))
         return len(parts)
 
     def pop_parts_read(self) -> list[PartsRead]:
         """Take what this entry has given to engines since the last call."""
-        read, self._read = self._read, []
+        read, self._parts_read = self._parts_read, []
         return read
 
     def list_parts(self) -> list[PartsRead]:
         """List the shared parts that each engine is taken to keep."""
         return [
-            PartsRead(engine.host, engine.start, tuple(parts))
+            PartsRead(engine.host, engine.start_mark, tuple(parts))
             for engine in self._engines.values()
             if (parts := engine.cache.list_shared())
         ]
@@ -212,7 +214,7 @@
         ]
         prefill = [engine for engine in engines if engine.role == PREFILL]
         decode = [engine for engine in engines if engine.role != PREFILL]
-        outage = self._follow_outage(request.work.upstream, bool(decode), now)
+        outage = self._estimate_outage(request.work.upstream, bool(decode), now)
         needs_answer = request.next_stage == DECODE or request.kv_lost or not prefill
         if not decode and needs_answer:
             why = f"no engine makes answers, of {len(hosts)} known and {len(left)} left"
@@ -221,26 +223,26 @@
             stage = DECODE if request.next_stage == DECODE else WHOLE
             source = self._engines.get(request.kv.host) if request.kv else None
             near = source.data_centre if source is not None else place
-            field = self._make_field(place, decode, now)
+            field = self._make_context(place, decode, now)
             return Placed(stage, choose_decode(decode, near, field).host)
-        field = self._make_field(place, prefill, now)
+        field = self._make_context(place, prefill, now)
         return place_prompt(request, prefill, decode, field, outage, now)
 
-    def _make_field(
+    def _make_context(
         self, place: str, engines: Sequence[EngineState], now: float
-    ) -> Field:
+    ) -> PlacementContext:
         few = self.unseen_requests.count_candidates(len(engines), now)
-        return Field(place, few, self._random)
+        return PlacementContext(place, few, self._random)
 
-    def _follow_outage(self, upstream: str, is_answered: bool, now: float) -> float:
+    def _estimate_outage(self, upstream: str, is_answered: bool, now: float) -> float:
         """Give the seconds until an engine makes answers again; 0 where one does."""
         if is_answered:
-            self._unanswered.pop(upstream, None)
+            self._outage_since.pop(upstream, None)
             return 0.0
-        since = self._unanswered.setdefault(upstream, now)
-        terms = self._terms.get(upstream, START_TERMS)
-        expected = since + ORDER_SECONDS + terms.role_seconds
-        return max(expected - now, LEAST_OUTAGE)
+        since = self._outage_since.setdefault(upstream, now)
+        terms = self._terms.get(upstream, DEFAULT_ENGINE_TERMS)
+        expected = since + ROLE_ORDER_SECONDS + terms.role_seconds
+        return max(expected - now, MIN_OUTAGE_SECONDS)
 
     def find_role(self, host: str) -> str:
         """Find a host's role: only hosts of the same one can replace it."""
@@ -262,12 +264,14 @@
         if request.stage != PREFILL:
             engine.answers.add(name)
         tokens = count_uncached(engine, request)
-        new = engine.cache.note(work.model, request.terms.parts)
+        new = engine.cache.record_prompt(work.model, request.terms.parts)
         if new:
-            self._read.append(PartsRead(engine.host, engine.start, tuple(new)))
+            self._parts_read.append(
+                PartsRead(engine.host, engine.start_mark, tuple(new))
+            )
         if request.kv is not None:
             return
-        self.unseen_requests.note(now)
+        self.unseen_requests.record_request(now)
         engine.begin_prefill(name, tokens, request.terms.priority, now)
         # Both at once, as it comes: counted when they end, answers that engines are
         # too slow for would not count, and still fewer engines would be left to them.
@@ -279,19 +283,19 @@
         engine = self._engines.get(host.host)
         if engine is None:
             return
-        self._time_events(engine, request, now)
+        self._record_event_times(engine, request, now)
         if request.work.request not in engine.prefills:
             return
         self._changed.add(host.host)
         engine.end_prefill(request.work.request, now, False)
 
-    def _time_events(
+    def _record_event_times(
         self, engine: EngineState, request: OpenRequest, now: float
     ) -> None:
         """Learn from how long an answer's new events took."""
         name = request.work.request
-        last = engine.heard.get(name)
-        engine.heard[name] = now, request.tokens
+        last = engine.last_events.get(name)
+        engine.last_events[name] = now, request.tokens
         if last is None:
             return
         at, events = last
@@ -318,13 +322,13 @@
         engine = self._engines.get(host.host)
         if engine is None:
             return
-        engine.heard.pop(request.work.request, None)
+        engine.last_events.pop(request.work.request, None)
         self._changed.add(host.host)
         name, now = request.work.request, self._clock()
         engine.answers.discard(name)
         engine.end_prefill(name, now, request.kv is not None)
 
-    def _find_rate(self, upstream: str) -> float:
+    def _estimate_initial_rate(self, upstream: str) -> float:
         """Find the rate of a new engine: what those beside it were seen to read."""
         rates = [
             engine.rate
@@ -335,5 +339,5 @@
 
     def _find_cache_size(self, upstream: str) -> int:
         """Find how many tokens of prompts an engine of an upstream keeps."""
-        terms = self._terms.get(upstream, START_TERMS)
+        terms = self._terms.get(upstream, DEFAULT_ENGINE_TERMS)
         return int(terms.kv_tokens * CACHE_SHARE)
--- a/radishtally/engines/order.py
+++ b/radishtally/engines/queue_order.py
@@ -2,14 +2,14 @@
 
 from typing import Final, NamedTuple
 
-MEMORY: Final = 60.0
+MEMORY_PROMPTS: Final = 60.0
 """Prompts that are remembered, of those whose wait depends on the order."""
-ASSUMED_WEIGHT: Final = 0.25
+FIFO_PRIOR_WEIGHT: Final = 0.25
 """Weight of the order of arrival, which is assumed at the start, in squared seconds: as
 much as four prompts that half a second of less urgent work was ahead of."""
 
 
-class Wait(NamedTuple):
+class WaitEstimate(NamedTuple):
     """Hold the seconds until a prompt is begun, by how an engine orders what waits."""
 
     by_arrival: float
@@ -18,7 +18,7 @@
     """Behind what is as urgent or more so."""
 
 
-class ReadingOrder:
+class QueueOrderEstimator:
     """Learn what less urgent work, ahead of a prompt, adds to its wait.
 
     Some engines take up the most urgent prompt at each piece that they read, others
@@ -29,26 +29,26 @@
     """
 
     def __init__(self) -> None:
-        self._added = ASSUMED_WEIGHT
+        self._added = FIFO_PRIOR_WEIGHT
         """Sum of products of the added wait that was seen and the one by arrival."""
-        self._could_add = ASSUMED_WEIGHT
+        self._could_add = FIFO_PRIOR_WEIGHT
         """Sum of squares of the latter."""
 
     @property
-    def part(self) -> float:
+    def fifo_share(self) -> float:
         """Give the part of the less urgent work that is waited for: 1 by arrival."""
         return min(max(self._added / self._could_add, 0.0), 1.0)
 
-    def predict(self, wait: Wait) -> float:
+    def predict(self, wait: WaitEstimate) -> float:
         """Predict the seconds until a prompt is begun."""
-        return wait.by_priority + self.part * (wait.by_arrival - wait.by_priority)
+        return wait.by_priority + self.fifo_share * (wait.by_arrival - wait.by_priority)
 
-    def learn(self, wait: Wait, seen: float) -> None:
+    def record_wait(self, wait: WaitEstimate, seen: float) -> None:
         """Take in how long a prompt has waited."""
         could_add = wait.by_arrival - wait.by_priority
         if could_add <= 0.0:
             return
         added = min(max(seen - wait.by_priority, 0.0), 2.0 * could_add)
-        forget = 1.0 - 1.0 / MEMORY
+        forget = 1.0 - 1.0 / MEMORY_PROMPTS
         self._added = self._added * forget + added * could_add
         self._could_add = self._could_add * forget + could_add * could_add
--- a/radishtally/engines/staleness.py
+++ b/radishtally/engines/staleness.py
@@ -5,7 +5,7 @@
 
 from radishtally.limits.pace import Decaying
 
-RATE_SECONDS: Final = 5.0
+RATE_WINDOW_SECONDS: Final = 5.0
 """Window of an entry's own requests, by which it takes those of the others: with four a
 second, the share of one of 68 entries before 59 engines, it is right to a quarter."""
 MIN_CANDIDATES: Final = 2
@@ -37,16 +37,16 @@
 
     def __init__(self) -> None:
         self.peers = PeerStaleness()
-        self._own = Decaying(RATE_SECONDS)
+        self._own = Decaying(RATE_WINDOW_SECONDS)
         self._begun_at: float | None = None
 
-    def note(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Take in a request of this entry's own."""
         if self._begun_at is None:
             self._begun_at = now
         self._own.add(1.0, now)
 
-    def count(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Count the requests that others were taken to send since their last news."""
         if not self.peers.count:
             return 0.0
@@ -55,11 +55,13 @@
             return float("inf")
         # A window that is not full yet sums up less than its length.
         passed = max(now - self._begun_at, self.peers.age)
-        seconds = RATE_SECONDS * (1.0 - exp(-passed / RATE_SECONDS))
+        seconds = RATE_WINDOW_SECONDS * (1.0 - exp(-passed / RATE_WINDOW_SECONDS))
         return self._own.read(now) / seconds * self.peers.count * self.peers.age
 
     def count_candidates(self, engines: int, now: float) -> int:
         """Count the engines to compare: all only where little can have come unseen."""
         return (
-            engines if self.count(now) <= MAX_UNSEEN else min(MIN_CANDIDATES, engines)
+            engines
+            if self.estimate(now) <= MAX_UNSEEN
+            else min(MIN_CANDIDATES, engines)
         )
--- a/radishtally/stages/demand.py
+++ b/radishtally/stages/demand.py
@@ -4,7 +4,7 @@
 from math import exp
 from typing import Final, NamedTuple
 
-from radishtally.engines.pace import AnswerPace, NeededSpeed
+from radishtally.engines.pace import PaceEstimator, RequiredSpeedEstimator
 from radishtally.limits.pace import Decaying
 from radishtally.stages import const
 from radishtally.stages.split import Needs, find_most_events
@@ -39,8 +39,8 @@
         """Time at which the first request came to any gateway."""
         self._was_told = False
         """Whether the needs were ever measured."""
-        self.pace = AnswerPace()
-        self.speed = NeededSpeed()
+        self.pace = PaceEstimator()
+        self.speed = RequiredSpeedEstimator()
 
     @property
     def has_begun(self) -> bool:
@@ -58,7 +58,7 @@
         """Take in a whole answer, and the time that it had."""
         ended = DemandSums(ended=1.0, ended_events=events, ended_tokens=expected)
         self._add(ended, now)
-        self.speed.note(events, seconds)
+        self.speed.record_answer(events, seconds)
 
     def record_report(self, peer: str, sums: DemandSums, now: float) -> None:
         """Take what has come to another gateway."""
@@ -93,7 +93,7 @@
         # expected counts as it comes: counted when they end, answers that engines are
         # too slow for would not count, and still fewer would be left to them.
         ratio = total.ended_events / total.ended_tokens
-        most = find_most_events(self.pace.fit(slots), slots, self.speed.longest)
+        most = find_most_events(self.pace.fit(slots), slots, self.speed.max_interval)
         return Needs(
             total.prompt_tokens / seconds / rate,
             ratio * total.answer_tokens / seconds / most,
--- a/radishtally/stages/role_controller.py
+++ b/radishtally/stages/role_controller.py
@@ -99,7 +99,7 @@
         self, upstream: str, answers: int, events: int, seconds: float
     ) -> None:
         """Take in the time of an answer's next events, of some answers at a time."""
-        self._find_demand(upstream).pace.note(answers, events, seconds)
+        self._find_demand(upstream).pace.record_events(answers, events, seconds)
 
     def record_answer(
         self, upstream: str, events: int, expected: int, seconds: float, now: float
--- a/radishtally/stages/split.py
+++ b/radishtally/stages/split.py
@@ -50,7 +50,7 @@
     be half full all the same: the fewer answers the slower the engine as a whole.
     """
     answers = float(slots)
-    if pace.each > 0:
-        answers = min(answers, (longest - pace.alone) / pace.each)
+    if pace.per_answer > 0:
+        answers = min(answers, (longest - pace.base) / pace.per_answer)
     answers = max(answers, slots * LEAST_BATCH)
-    return answers / pace.at(answers)
+    return answers / pace.interval_at(answers)
--- a/tests/engines/test_many_gateways.py
+++ b/tests/engines/test_many_gateways.py
@@ -74,7 +74,7 @@
     unseen = UnseenRequests()
     unseen.peers = PeerStaleness(FEW - 1, 0.02)
     for number in range(20):
-        unseen.note(number * 0.2)
+        unseen.record_request(number * 0.2)
     assert unseen.count_candidates(ENGINES, 4.0) == ENGINES
 
 
--- a/tests/engines/test_placement.py
+++ b/tests/engines/test_placement.py
@@ -5,14 +5,14 @@
 from radishtally.direct.core import Instance
 from radishtally.engines.cache import hash_parts
 from radishtally.engines.choice import (
-    MIN_PATIENCE_SECONDS,
-    WHOLE_SHARE,
-    WHOLE_TOKENS,
+    MAX_WHOLE_FILL,
+    MAX_WHOLE_PROMPT_TOKENS,
+    MIN_CALLER_TIMEOUT_SECONDS,
 )
 from radishtally.engines.core import Observer
 from radishtally.engines.placement import (
-    ORDER_SECONDS,
-    START_TERMS,
+    DEFAULT_ENGINE_TERMS,
+    ROLE_ORDER_SECONDS,
     EnginePlacement,
 )
 from radishtally.engines.state import INITIAL_PREFILL_RATE, PeerShare
@@ -34,7 +34,7 @@
 from radishtally.serving.requests import OpenRequest
 from radishtally.serving.terms import PromptPart, Terms
 
-ROLE_SECONDS = START_TERMS.role_seconds
+ROLE_SECONDS = DEFAULT_ENGINE_TERMS.role_seconds
 PLACES = ("howrah", "new-town")
 SLOTS = 64
 PARTS = (PromptPart("a", 500), PromptPart("b", 5_000), PromptPart("c", 500))
@@ -69,7 +69,7 @@
         """Let another gateway have prompts of so many seconds at an engine."""
         waiting = WaitingTokens(0, int(seconds * INITIAL_PREFILL_RATE))
         share = PeerShare((waiting,), answers)
-        self.placement._engines[host].take_share("peer", share, 0.0)
+        self.placement._engines[host].record_peer_share("peer", share, 0.0)
 
 
 def make_request(objective: float = 0.6, **more: object) -> OpenRequest:
@@ -168,7 +168,7 @@
     declined = World({"p0": PREFILL}).place(make_request())
     assert isinstance(declined, Declined)
     assert "no engine makes answers" in declined.why
-    assert declined.retry_after == pytest.approx(ORDER_SECONDS + ROLE_SECONDS)
+    assert declined.retry_after == pytest.approx(ROLE_ORDER_SECONDS + ROLE_SECONDS)
 
 
 # A gateway ends for a broken invariant: the only engine for answers could not fetch a
@@ -187,7 +187,7 @@
     world = World({"p0": PREFILL})
     request = make_request()
     assert isinstance(world.place(request), Declined)
-    late = ORDER_SECONDS + ROLE_SECONDS - MIN_PATIENCE_SECONDS
+    late = ROLE_ORDER_SECONDS + ROLE_SECONDS - MIN_CALLER_TIMEOUT_SECONDS
     placed = world.placement.place(request, world.hosts, "howrah", late + 0.1)
     assert placed[:2] == (PREFILL, "p0")
     request.next_stage = DECODE
@@ -225,7 +225,7 @@
     world = World()
     fill_prefill(world, 0.5)
     for host in ("d0", "d1"):
-        world.load(host, 0.0, answers=int(SLOTS * WHOLE_SHARE))
+        world.load(host, 0.0, answers=int(SLOTS * MAX_WHOLE_FILL))
     assert world.place(make_short()).stage == PREFILL
 
 
@@ -233,7 +233,7 @@
 def test_prompts_beside_answers_are_bounded() -> None:
     world = World()
     fill_prefill(world, 0.5)
-    for number in range(2 * WHOLE_TOKENS // 600 + 2):
+    for number in range(2 * MAX_WHOLE_PROMPT_TOKENS // 600 + 2):
         request = make_short(f"s{number}")
         request.host = world.place(request).host
         known = next(host for host in world.hosts if host.host == request.host)
@@ -241,7 +241,11 @@
         world.placement.begin(request, known, 0.0)
     assert HOSTS[request.host] == PREFILL
     for host in ("d0", "d1"):
-        assert 0 < world.placement._engines[host].count_tokens() <= WHOLE_TOKENS
+        assert (
+            0
+            < world.placement._engines[host].count_pending_tokens()
+            <= MAX_WHOLE_PROMPT_TOKENS
+        )
 
 
 def test_prompt_beside_answers_is_read_once_the_answer_begins() -> None:
@@ -251,11 +255,11 @@
     known = next(host for host in world.hosts if host.host == "d0")
     world.placement.begin(request, known, 0.0)
     engine = world.placement._engines["d0"]
-    assert (engine.count_tokens(), engine.count_answers()) == (600, 1)
+    assert (engine.count_pending_tokens(), engine.count_answers()) == (600, 1)
     world.placement.note_answer(request, known, 0.1)
-    assert (engine.count_tokens(), engine.count_answers()) == (0, 1)
+    assert (engine.count_pending_tokens(), engine.count_answers()) == (0, 1)
     world.placement.end(request, known)
-    assert (engine.count_tokens(), engine.count_answers()) == (0, 0)
+    assert (engine.count_pending_tokens(), engine.count_answers()) == (0, 0)
 
 
 def test_call_goes_to_the_host_with_the_fewest_open_calls() -> None:
@@ -278,10 +282,10 @@
     request = make_request()
     world.placement.begin(request, home, 0.0)
     cache = world.placement._engines[HOME].cache
-    assert cache.count("m", PARTS) == 0
+    assert cache.count_cached_tokens("m", PARTS) == 0
     world.placement.configure([UpstreamTerms("llm", EngineTerms(10_000))])
     world.placement.begin(request, home, 0.0)
-    assert cache.count("m", PARTS) == 6_000
+    assert cache.count_cached_tokens("m", PARTS) == 6_000
 
 
 class Notes(Observer):
--- a/tests/engines/test_state.py
+++ b/tests/engines/test_state.py
@@ -6,12 +6,12 @@
 
 from radishtally.engines.cache import PromptCache
 from radishtally.engines.state import (
-    FIXED_SECONDS,
+    CHUNK_TOKENS,
     INITIAL_PREFILL_RATE,
-    PIECE_TOKENS,
+    PREFILL_OVERHEAD_SECONDS,
     EngineState,
     PeerShare,
-    mark_start,
+    make_start_mark,
 )
 from radishtally.links.messages import WaitingTokens
 from radishtally.serving.terms import PromptPart
@@ -40,14 +40,14 @@
 @pytest.mark.parametrize("takes_urgent_first", [True, False])
 def test_wait_follows_the_order_that_is_seen(takes_urgent_first: bool) -> None:
     engine = make_engine()
-    piece = PIECE_TOKENS / INITIAL_PREFILL_RATE
+    piece = CHUNK_TOKENS / INITIAL_PREFILL_RATE
     for number in range(100):
         begin = 10.0 * number
         engine.begin_prefill("long", int(INITIAL_PREFILL_RATE), 2, begin)
         engine.begin_prefill("urgent", 100, 0, begin)
         seen = piece if takes_urgent_first else 1.0
-        engine.end_prefill("urgent", begin + seen + FIXED_SECONDS, True)
-        engine.end_prefill("long", begin + 1.0 + FIXED_SECONDS, True)
+        engine.end_prefill("urgent", begin + seen + PREFILL_OVERHEAD_SECONDS, True)
+        engine.end_prefill("long", begin + 1.0 + PREFILL_OVERHEAD_SECONDS, True)
     now = 2_000.0
     engine.begin_prefill("long", int(engine.rate), 2, now)
     expected = piece if takes_urgent_first else 1.0
@@ -61,29 +61,29 @@
     engine = make_engine()
     engine.begin_prefill("long", int(INITIAL_PREFILL_RATE), 8, 0.0)
     engine.begin_prefill("late", 100, 7, 0.0)
-    before = engine.order.part
+    before = engine.queue_order.fifo_share
     engine.end_prefill("late", 9.0, True)
-    assert engine.order.part == before
+    assert engine.queue_order.fifo_share == before
 
 
 def test_share_tells_waiting_tokens_by_priority() -> None:
     engine = make_engine()
     engine.begin_prefill("a", 100, 2, 0.0)
     engine.begin_prefill("b", 50, 0, 0.0)
-    engine.take_share("peer", PeerShare((WaitingTokens(2, 7),), 1), 0.0)
-    engine.take_share("other", PeerShare((WaitingTokens(2, 1_000),), 1), 0.0)
-    assert engine.make_share() == (((0, 50), (2, 100)), 0)
-    assert engine.make_share(("other",)) == (((0, 50), (2, 107)), 1)
+    engine.record_peer_share("peer", PeerShare((WaitingTokens(2, 7),), 1), 0.0)
+    engine.record_peer_share("other", PeerShare((WaitingTokens(2, 1_000),), 1), 0.0)
+    assert engine.build_share() == (((0, 50), (2, 100)), 0)
+    assert engine.build_share(("other",)) == (((0, 50), (2, 107)), 1)
 
 
 def test_wait_counts_what_other_gateways_sent() -> None:
     engine = make_engine()
-    engine.take_share(
+    engine.record_peer_share(
         "peer", PeerShare((WaitingTokens(2, int(INITIAL_PREFILL_RATE)),), 2), 10.0
     )
     assert engine.predict_wait(2, 10.5) == pytest.approx(0.5)
     assert engine.count_answers() == 2
-    engine.take_share("peer", PeerShare((), 0), 11.0)
+    engine.record_peer_share("peer", PeerShare((), 0), 11.0)
     assert engine.predict_wait(2, 11.0) == 0.0
 
 
@@ -93,8 +93,8 @@
         begin = 10.0 * spell
         engine.begin_prefill("a", 20_000, 1, begin)
         engine.begin_prefill("b", 20_000, 1, begin + 0.1)
-        engine.end_prefill("a", begin + 0.5 + FIXED_SECONDS, True)
-        engine.end_prefill("b", begin + 1.0 + FIXED_SECONDS, True)
+        engine.end_prefill("a", begin + 0.5 + PREFILL_OVERHEAD_SECONDS, True)
+        engine.end_prefill("b", begin + 1.0 + PREFILL_OVERHEAD_SECONDS, True)
     assert engine.rate == pytest.approx(40_000, rel=0.01)
 
 
@@ -118,24 +118,24 @@
 
 def test_part_counts_only_behind_kept_parts() -> None:
     cache = PromptCache(10_000)
-    cache.note("m", make_parts("a", "b", "c"))
-    assert cache.count("m", make_parts("a", "b", "x")) == 200
-    assert cache.count("m", make_parts("x", "b", "c")) == 0
-    assert cache.count("m", make_parts("a", "x", "c")) == 100
-    assert cache.count("other", make_parts("a", "b")) == 0
+    cache.record_prompt("m", make_parts("a", "b", "c"))
+    assert cache.count_cached_tokens("m", make_parts("a", "b", "x")) == 200
+    assert cache.count_cached_tokens("m", make_parts("x", "b", "c")) == 0
+    assert cache.count_cached_tokens("m", make_parts("a", "x", "c")) == 100
+    assert cache.count_cached_tokens("other", make_parts("a", "b")) == 0
 
 
 def test_least_recently_used_parts_go_first() -> None:
     cache = PromptCache(300)
-    cache.note("m", make_parts("a", "b"))
-    cache.note("m", make_parts("x", "y"))
-    assert cache.count("m", make_parts("x", "y")) == 200
-    assert cache.count("m", make_parts("a", "b")) == 0
+    cache.record_prompt("m", make_parts("a", "b"))
+    cache.record_prompt("m", make_parts("x", "y"))
+    assert cache.count_cached_tokens("m", make_parts("x", "y")) == 200
+    assert cache.count_cached_tokens("m", make_parts("a", "b")) == 0
 
 
 def test_marks_tell_starts_apart_and_from_none() -> None:
     starts = (0, 1, 0xFFFF_0000, 1_790_000_000_123, 1_790_000_000_124)
-    marks = [mark_start(started_ms) for started_ms in starts]
+    marks = [make_start_mark(started_ms) for started_ms in starts]
     assert marks[0] == 0
     assert len(set(marks)) == len(starts)
     assert all(0 < mark <= 0xFFFF for mark in marks[1:])
@@ -163,14 +163,14 @@
             continue
         tokens, priority = waiting
         share = PeerShare((WaitingTokens(priority, tokens),), answers)
-        engine.take_share(peer, share, 0.0)
+        engine.record_peer_share(peer, share, 0.0)
         last[peer] = (tokens, priority, answers)
-    assert engine.count_tokens() == 7 + sum(t for t, _, _ in last.values())
+    assert engine.count_pending_tokens() == 7 + sum(t for t, _, _ in last.values())
     urgent = sum(t for t, priority, _ in last.values() if priority <= 1)
-    assert engine.count_tokens(1) == 7 + urgent
+    assert engine.count_pending_tokens(1) == 7 + urgent
     assert engine.count_answers() == sum(answers for _, _, answers in last.values())
     for left_out in ((), ("a",), ("a", "b")):
-        share = engine.make_share(left_out)
+        share = engine.build_share(left_out)
         kept = [told for peer, told in last.items() if peer not in left_out]
         assert share.tokens == 7 + sum(tokens for tokens, _, _ in kept)
         assert share.answers == sum(answers for _, _, answers in kept)
--- a/tests/gateway/test_recall.py
+++ b/tests/gateway/test_recall.py
@@ -64,7 +64,7 @@
             other.record_parts(parts)
             for each in (placement, other):
                 cache = each._engines[parts.host].cache
-                assert cache.count("m", PARTS) == 5_500
+                assert cache.count_cached_tokens("m", PARTS) == 5_500
     assert sorted(engines.asked) == sorted(item.host for item in instances)
 
 
@@ -89,6 +89,6 @@
             async with run_gateway(made.store, "gateway-1") as again:
                 await wait_until(lambda: all(engine.lists == 1 for engine in engines))
                 cache = again.placement._engines["p-1"].cache
-                await wait_until(lambda: cache.count("m", PROMPT) == 500)
+                await wait_until(lambda: cache.count_cached_tokens("m", PROMPT) == 500)
 
     run(check())
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -164,14 +164,14 @@
             engine = await start_engine(made, "p-1", "prefill")
             state = made.gateway.placement._engines["p-1"]
             parts = (PromptPart("aa", 500),)
-            state.cache.note("m", parts)
+            state.cache.record_prompt("m", parts)
             state.timed_tokens, state.timed_seconds = 200_000.0, 2.0
             state.begin_prefill("r0", 5_000, 1, time.monotonic())
             await restart(made, engine)
             new = made.gateway.placement._engines["p-1"]
-            assert new.cache.count("m", parts) == 0
+            assert new.cache.count_cached_tokens("m", parts) == 0
             assert new.rate != state.rate
-            assert new.count_tokens() == 0
+            assert new.count_pending_tokens() == 0
 
     run(play())
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -107,7 +107,7 @@
             first.cut_after = second.cut_after = 2
             busy = PeerShare((WaitingTokens(0, int(3.0 * INITIAL_PREFILL_RATE)),), 0)
             engine = made.gateway.placement._engines[prefill.instance]
-            engine.take_share("peer", busy, time.monotonic())
+            engine.record_peer_share("peer", busy, time.monotonic())
             assert await stream(made, "/draft/a", "r1") == make_whole("r1")
             assert first.runs + second.runs == {"r1": 2}
             assert not prefill.handles
--- a/tests/stages/test_demand.py
+++ b/tests/stages/test_demand.py
@@ -26,7 +26,7 @@
     """Let events take 50 ms alone and 1 ms more for each other answer."""
     for answers in range(1, SLOTS + 1):
         for _ in range(20):
-            demand.pace.note(answers, 1, 0.05 + 0.001 * answers)
+            demand.pace.record_events(answers, 1, 0.05 + 0.001 * answers)
 
 
 # A window that is not full yet is taken for one in which little came: roles stay wrong
