--- a/radishtally/direct/answers.py
+++ b/radishtally/direct/answers.py
@@ -8,18 +8,18 @@
 from eliot import log_message
 
 from radishtally.connector import Usage
+from radishtally.direct.answer_checks import (
+    AnswerMismatch,
+    IncompleteAnswerError,
+    IncompleteReason,
+    MismatchedAnswerError,
+    find_mismatch,
+)
 from radishtally.direct.const import MAX_ANSWER_BYTES, OK, READ_BYTES
 from radishtally.direct.core import NO_NOTICE, Dialect, Head, Instance, Notice
-from radishtally.direct.doubts import (
-    Doubt,
-    Flaw,
-    FlawedAnswerError,
-    ForeignAnswerError,
-    find_doubt,
-)
-from radishtally.direct.ends import Ends
 from radishtally.direct.pool import WatchedResponse
-from radishtally.direct.stream import EventCutter, is_next
+from radishtally.direct.probes import HostProbes
+from radishtally.direct.stream import EventSplitter, continues_stream
 from radishtally.exchange import decode_headers
 from radishtally.links.messages import (
     CALL,
@@ -58,14 +58,14 @@
         self,
         dialect: Dialect,
         receive: Receive,
-        ends: Ends,
+        probes: HostProbes,
         is_leaving: Callable[[str], bool],
     ) -> None:
         self._dialect = dialect
         self._receive = receive
-        self._ends = ends
+        self._probes = probes
         self._is_leaving = is_leaving
-        self.on_doubt: Callable[[Doubt], None] = lambda doubt: None
+        self.on_mismatch: Callable[[AnswerMismatch], None] = lambda doubt: None
         self.on_notice: Callable[[Instance, Notice], None] = lambda host, notice: None
 
     async def read(
@@ -77,13 +77,13 @@
         head = self._dialect.read_head(
             response.status, decode_headers(response.raw_headers)
         )
-        doubt = find_doubt(head.names, offer.work.request, response.usage)
+        doubt = find_mismatch(head.names, offer.work.request, response.usage)
         if doubt is not None:
             # Whatever follows on the connection can't be told apart either.
             response.abort()
             self._note_doubt(doubt, head, response.usage, instance, offer)
-            raise ForeignAnswerError(doubt)
-        self.take_notice(response, instance)
+            raise MismatchedAnswerError(doubt)
+        self.report_notice(response, instance)
         if head.not_run:
             reason = REPLACED if head.is_replaced else f"status {head.status}"
             self._receive(host, Refused(*name, reason, 0.0))
@@ -99,7 +99,7 @@
             return
         await self._follow(response, instance, offer, terms, head)
 
-    def take_notice(self, response: WatchedResponse, instance: Instance) -> None:
+    def report_notice(self, response: WatchedResponse, instance: Instance) -> None:
         """Take what the head of any answer says of its host."""
         headers = decode_headers(response.raw_headers)
         notice = self._dialect.read_notice(response.status, headers)
@@ -107,9 +107,14 @@
             self.on_notice(instance, notice)
 
     def _note_doubt(
-        self, doubt: Doubt, head: Head, usage: Usage, instance: Instance, offer: Offer
+        self,
+        doubt: AnswerMismatch,
+        head: Head,
+        usage: Usage,
+        instance: Instance,
+        offer: Offer,
     ) -> None:
-        self.on_doubt(doubt)
+        self.on_mismatch(doubt)
         log_message(
             "upstream:answer_doubted",
             request=offer.work.request,
@@ -132,7 +137,7 @@
         """
         # What leaves ends soon after its last answer.
         is_leaving = self._is_leaving(instance.host)
-        has_ended = not is_leaving and await self._ends.look(instance)
+        has_ended = not is_leaving and await self._probes.probe(instance)
         log_message(
             "upstream:answer_unframed",
             request=offer.work.request,
@@ -142,11 +147,11 @@
             has_ended=has_ended,
         )
         if rest:
-            raise FlawedAnswerError(Flaw.CUT_EVENT)
+            raise IncompleteAnswerError(IncompleteReason.CUT_EVENT)
         if is_empty:
-            raise FlawedAnswerError(Flaw.NO_EVENT)
+            raise IncompleteAnswerError(IncompleteReason.NO_EVENT)
         if has_ended:
-            raise FlawedAnswerError(Flaw.HOST_ENDED)
+            raise IncompleteAnswerError(IncompleteReason.HOST_ENDED)
 
     async def _read_handle(
         self, response: WatchedResponse, instance: Instance, offer: Offer
@@ -195,23 +200,23 @@
         host = instance.host
         name = offer.work.request, offer.attempt
         progress = _begin(offer)
-        cutter = EventCutter()
+        splitter = EventSplitter()
         self._receive(host, Begun(*name, head.status, head.headers))
         async for data in response.content.iter_any():
-            found = cutter.feed(data)
+            found = splitter.feed(data)
             if found is None:
                 continue
             is_first = progress.offset == len(offer.done)
             if is_first and not _begins_as_asked(found.first, offer, terms):
-                raise FlawedAnswerError(Flaw.OTHER_EVENT)
+                raise IncompleteAnswerError(IncompleteReason.OTHER_EVENT)
             progress.tokens = max(progress.tokens, found.last)
             self._pass_on(host, name, progress, found.data)
         response.check_end()
         if not response.is_framed:
             is_empty = progress.offset == len(offer.done)
-            await self._check_close(instance, offer, len(cutter.rest), is_empty)
-        if cutter.rest:
-            self._pass_on(host, name, progress, cutter.rest)
+            await self._check_close(instance, offer, len(splitter.rest), is_empty)
+        if splitter.rest:
+            self._pass_on(host, name, progress, splitter.rest)
         length, checksum = progress.offset, progress.checksum.intdigest()
         end = Finished(
             *name, length, checksum, head.status, "", 0, progress.tokens, head.headers
@@ -228,7 +233,7 @@
 def _begins_as_asked(first: int, offer: Offer, terms: Terms) -> bool:
     """Tell whether a run begins behind what its caller has, by its first event's id."""
     if offer.done:
-        return is_next(first, offer.done)
+        return continues_stream(first, offer.done)
     return not first or first > terms.resumed_after
 
 
--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -6,7 +6,7 @@
 from statistics import mean
 from typing import Final
 
-from radishtally.direct.core import Instance, KeptPart, is_same_start
+from radishtally.direct.core import CachedPart, Instance, is_same_start
 from radishtally.engines.cache import PromptCache, hash_kept
 from radishtally.engines.choice import (
     PlacementContext,
@@ -169,7 +169,7 @@
             return
         engine.cache.record_parts(told.parts)
 
-    def record_kept_parts(self, host: str, kept: Iterable[KeptPart]) -> int:
+    def record_kept_parts(self, host: str, kept: Iterable[CachedPart]) -> int:
         """Take which parts an engine says that it keeps; give how many they are."""
         engine = self._engines.get(host)
         if engine is None:
@@ -278,7 +278,9 @@
         expected = request.terms.output_tokens
         self.observer.record_request(work.upstream, tokens, expected, now)
 
-    def note_answer(self, request: OpenRequest, host: KnownHost, now: float) -> None:
+    def record_progress(
+        self, request: OpenRequest, host: KnownHost, now: float
+    ) -> None:
         """Note that a part of an answer has come: its prompt is read."""
         engine = self._engines.get(host.host)
         if engine is None:
--- a/radishtally/entry/core.py
+++ b/radishtally/entry/core.py
@@ -2,14 +2,14 @@
 
 from typing import Protocol
 
-from radishtally.authority.plans import Plans
+from radishtally.authority.plan_store import PlanStore
 from radishtally.configuration.store import ConfigurationStore
 from radishtally.entry.callers import Directory
 from radishtally.entry.explain import Steps
 from radishtally.entry.members import Members
 from radishtally.entry.places import PlanningBoard
 from radishtally.process import Process
-from radishtally.serving.core import EntryCore
+from radishtally.serving.core import DispatchCore
 from radishtally.settings.config import Settings
 
 
@@ -26,9 +26,9 @@
     settings: Settings
     process: Process
     members: Members
-    core: EntryCore
+    core: DispatchCore
     configurations: ConfigurationStore
-    plans: Plans
+    plans: PlanStore
     planning: PlanningBoard
     steps: Steps
     watcher: HeadReader
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -12,7 +12,7 @@
 from sanic import HTTPResponse, Request
 from sanic.server.async_server import AsyncioServer
 
-from radishtally.authority.plans import Plans
+from radishtally.authority.plan_store import PlanStore
 from radishtally.claims.events import (
     ClaimOutcome,
     Granted,
@@ -39,7 +39,7 @@
 from radishtally.routing.core import POLICIES
 from radishtally.runtime import Waker
 from radishtally.serving import const, events
-from radishtally.serving.core import EntryCore, handle_event
+from radishtally.serving.core import DispatchCore, handle_event
 from radishtally.serving.placement import RankedPlacement
 from radishtally.serving.replies import Replies, Reply
 from radishtally.settings.config import Settings
@@ -58,7 +58,7 @@
         self.ratio = TokenRatio()
         self.steps = Steps()
         self.replies = Replies()
-        self.core = EntryCore(settings.host, settings.place, random.Random())
+        self.core = DispatchCore(settings.host, settings.place, random.Random())
         self.waker = Waker(lambda: self.handle(events.Tick()))
         hub = self.process.make_hub(
             Callbacks(self._link_up, self._link_down, self._receive, self._is_busy)
@@ -69,7 +69,9 @@
         )
         holder = f"{settings.host}:{self.process.incarnation}"
         self.claims = ClaimStore(self.process.table, holder, self.process.write_ids)
-        self.plans = Plans(self.process.table, settings.host, self.process.write_ids)
+        self.plans = PlanStore(
+            self.process.table, settings.host, self.process.write_ids
+        )
         self.planning = PlanningBoard(
             Parts(
                 settings.host,
@@ -212,7 +214,7 @@
         self.replies.put(command)
 
     @_execute.register
-    def _(self, command: events.Break | events.Refuse) -> None:
+    def _(self, command: events.AbortAnswer | events.Refuse) -> None:
         refusal = command.refusal
         log_message(
             "request:refused",
@@ -225,12 +227,12 @@
         self.replies.put(command)
 
     @_execute.register
-    def _(self, command: events.Note) -> None:
+    def _(self, command: events.RecordStep) -> None:
         self.steps.note(command.request, command.text)
 
     async def _claim(self, work: Work) -> None:
         outcome = await self._ask_claim(work)
-        for wait in const.OUTCOME_WAITS:
+        for wait in const.OUTCOME_POLL_DELAYS:
             # The first call may still run, or its outcome may be on its way to the
             # table: a repeat that came right behind it would be told "unknown" just
             # before the answer is there.
@@ -309,16 +311,16 @@
             )
         case Repeated():
             text = "the call ran before; its answer was too large to be kept"
-            refusal = Refusal(409, const.CODE_UNCLEAR, text, Ran.UNKNOWN)
+            refusal = Refusal(409, const.CODE_OUTCOME_UNKNOWN, text, Ran.UNKNOWN)
         case UnknownOutcome():
             text = "a call with this key was begun before; its outcome is not known"
-            refusal = Refusal(409, const.CODE_UNCLEAR, text, Ran.UNKNOWN)
+            refusal = Refusal(409, const.CODE_OUTCOME_UNKNOWN, text, Ran.UNKNOWN)
         case KeyReused():
             text = "the idempotency key was used with another request"
             refusal = Refusal(422, const.CODE_KEY_REUSED, text)
         case StoreAway():
             text = "the call can't be made safe while the store is away"
             refusal = Refusal(
-                503, const.CODE_STORE_AWAY, text, Ran.NO, const.STORE_RETRY_AFTER
+                503, const.CODE_STORE_UNAVAILABLE, text, Ran.NO, const.STORE_RETRY_AFTER
             )
     return events.Denied(request, refusal)
--- a/radishtally/entry/members.py
+++ b/radishtally/entry/members.py
@@ -10,7 +10,7 @@
 from radishtally.links.messages import Hello
 from radishtally.membership import events as membership
 from radishtally.membership.core import LIVE, Membership, handle
-from radishtally.serving.core import EntryCore
+from radishtally.serving.core import DispatchCore
 from radishtally.settings.config import Settings
 from radishtally.store.core import ENTRY, ListedHost
 
@@ -21,7 +21,7 @@
 class Members:
     """Drive the membership of one entry."""
 
-    def __init__(self, settings: Settings, hub: LinkHub, core: EntryCore) -> None:
+    def __init__(self, settings: Settings, hub: LinkHub, core: DispatchCore) -> None:
         self.membership = Membership()
         self._settings = settings
         self._hub = hub
@@ -30,16 +30,16 @@
     def configure(self, configuration: Configuration) -> None:
         """Take the hosts that a configuration names."""
         servers = tuple(
-            membership.Server(host, server.place, name)
+            membership.ConfiguredHost(host, server.place, name)
             for name, upstream in configuration.upstreams.items()
             for host, server in upstream.servers.items()
         )
-        self._take(membership.Configured(servers))
+        self._take(membership.ConfigurationApplied(servers))
         self._refresh_all()
 
     def listed(self, hosts: list[ListedHost]) -> None:
         """Take the platform's list."""
-        self._take(membership.Listed(tuple(hosts)))
+        self._take(membership.HostListRead(tuple(hosts)))
         self._refresh_all()
 
     def link_up(self, hello: Hello) -> None:
@@ -53,11 +53,11 @@
 
     def heard(self, host: str) -> None:
         """Take a sign of life."""
-        self._take(membership.Heard(host))
+        self._take(membership.TrafficReceived(host))
 
     def left(self, host: str, reason: str) -> None:
         """Take a host's own word that it leaves."""
-        self._take(membership.Left(host, reason))
+        self._take(membership.LeaveAnnounced(host, reason))
 
     def tick(self) -> None:
         """Let time pass."""
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -9,7 +9,7 @@
 
 from eliot import log_message
 
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.absences import Absences
 from radishtally.gateway.const import (
@@ -32,7 +32,7 @@
 from radishtally.links.hub import Callbacks, LinkHub
 from radishtally.links.messages import Hello, Message
 from radishtally.runtime import Runtime
-from radishtally.serving.state import EntryCore
+from radishtally.serving.state import DispatchCore
 from radishtally.stages.role_controller import RoleController
 from radishtally.store.core import Row, Table
 
@@ -48,8 +48,8 @@
     placement: EnginePlacement
     recall: Recall
     stages: RoleController
-    lease: LeaseHolder
-    core: EntryCore
+    lease: LeaseDriver
+    core: DispatchCore
     table: Table
 
     def count_gateways(self, count: int) -> None:
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -37,7 +37,7 @@
     Deliver,
     DropKv,
     Finish,
-    Note,
+    RecordStep,
     Send,
     Settle,
 )
@@ -55,27 +55,29 @@
     WITHDRAWING,
     OpenRequest,
 )
-from radishtally.serving.state import EntryCore
-from radishtally.serving.suspects import End
+from radishtally.serving.state import DispatchCore
+from radishtally.serving.suspects import HostEnd
 
 
 @singledispatch
 def receive(
-    message: Message, host: str, core: EntryCore, now: float
+    message: Message, host: str, core: DispatchCore, now: float
 ) -> Iterator[Command]:
     """Take a message about an attempt and give the commands that follow from it."""
     yield from ()
 
 
 @receive.register
-def _(message: Load, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(message: Load, host: str, core: DispatchCore, now: float) -> Iterator[Command]:
     if host in core.hosts:
-        core.hosts[host].note_load(message, now)
+        core.hosts[host].update_load(message, now)
     yield from ()
 
 
 @receive.register
-def _(message: Accepted, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(
+    message: Accepted, host: str, core: DispatchCore, now: float
+) -> Iterator[Command]:
     request = _find(message, host, core)
     if request is None:
         # The attempt was given up, or its request ended: without a word the agent
@@ -85,29 +87,29 @@
     if request.phase != OFFERED:
         return
     if host in core.hosts:
-        core.hosts[host].breaker.succeeded()
+        core.hosts[host].breaker.record_success()
         core.hosts[host].refusals = 0
-        core.hosts[host].unreached = 0
+        core.hosts[host].unreached_offers = 0
         _note_alive(request, core.hosts[host], core)
     request.phase = ACCEPTED
     request.accepted_at = now
     wait(request, float("inf"), core)
     joined = ", joined to the answer of its key" if message.attached else ""
-    yield Note(message.request, f"accepted by {host}{joined}")
+    yield RecordStep(message.request, f"accepted by {host}{joined}")
 
 
 @receive.register
-def _(message: Refused, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(message: Refused, host: str, core: DispatchCore, now: float) -> Iterator[Command]:
     if host in core.hosts:
-        core.hosts[host].unreached = 0
+        core.hosts[host].unreached_offers = 0
     if message.load is not None and host in core.hosts:
-        core.hosts[host].note_load(message.load, now)
+        core.hosts[host].update_load(message.load, now)
     request = _find(message, host, core)
     if request is None:
         return
-    yield Note(message.request, f"refused by {host}: {message.reason}")
+    yield RecordStep(message.request, f"refused by {host}: {message.reason}")
     core.leave_host(request)
-    if core.refusals_cost:
+    if core.refusals_cost_retries:
         request.owes_retry = True
         _pass_over(host, message.reason, core, now)
     if request.kv is not None and request.tried:
@@ -130,7 +132,7 @@
 
 
 @receive.register
-def _(message: Begun, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(message: Begun, host: str, core: DispatchCore, now: float) -> Iterator[Command]:
     request = _find(message, host, core)
     if request is None:
         return
@@ -141,7 +143,7 @@
 
 
 @receive.register
-def _(message: Chunk, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(message: Chunk, host: str, core: DispatchCore, now: float) -> Iterator[Command]:
     request = _find(message, host, core)
     if request is None or _is_foreign(request):
         return
@@ -155,12 +157,14 @@
         request.phase = ACCEPTED
         wait(request, float("inf"), core)
     if host in core.hosts:
-        core.placement.note_answer(request, core.hosts[host], now)
+        core.placement.record_progress(request, core.hosts[host], now)
     yield from _deliver(new, request)
 
 
 @receive.register
-def _(message: Finished, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(
+    message: Finished, host: str, core: DispatchCore, now: float
+) -> Iterator[Command]:
     request = _find(message, host, core)
     if request is None:
         return
@@ -171,15 +175,15 @@
     if not (yield from _confirm_end(message, request, host, core)):
         return
     body = bytes(request.received)
-    if message.status >= const.FIRST_FAILURE and request.work.idempotent:
+    if message.status >= const.MIN_FAILURE_STATUS and request.work.idempotent:
         request.failure = Finish(message.request, message, body)
         reason = f"status {message.status}"
         yield from lose(request, Ran.UNKNOWN, reason, core, now)
         return
-    if message.status < const.FIRST_FAILURE:
+    if message.status < const.MIN_FAILURE_STATUS:
         core.suspects.clear(request.terms.content)
     if host in core.hosts:
-        core.hosts[host].breaker.succeeded()
+        core.hosts[host].breaker.record_success()
         core.placement.finish(request, core.hosts[host])
     core.leave_host(request)
     core.requests.pop(message.request)
@@ -189,13 +193,15 @@
 
 
 @receive.register
-def _(message: Handover, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(
+    message: Handover, host: str, core: DispatchCore, now: float
+) -> Iterator[Command]:
     request = _find(message, host, core)
     if request is None:
         return
     if not (yield from _confirm_end(message, request, host, core)):
         return
-    yield Note(message.request, f"handed over by {host}")
+    yield RecordStep(message.request, f"handed over by {host}")
     request.kv = message.kv
     core.leave_host(request)
     # A prompt alone that was computed is no run of the request.
@@ -204,7 +210,7 @@
         request.next_stage = DECODE
         request.tried.clear()
         request.offers = 0
-        request.patience = float("inf")
+        request.hold_until = float("inf")
     else:
         request.next_stage = WHOLE
         _move(request, host, float("inf"))
@@ -212,14 +218,14 @@
 
 
 @receive.register
-def _(message: Lost, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(message: Lost, host: str, core: DispatchCore, now: float) -> Iterator[Command]:
     request = _find(message, host, core)
     if request is None:
         return
     yield _ack(message, host)
     if message.reason != NOT_KNOWN and host in core.hosts:
-        core.hosts[host].breaker.failed(now)
-        core.hosts[host].unreached += message.reason == UNREACHED
+        core.hosts[host].breaker.record_failure(now)
+        core.hosts[host].unreached_offers += message.reason == UNREACHED
     if message.reason == ENDED:
         yield from _note_end(request, host, core, now)
     ran = _believe(message.ran, request, now)
@@ -227,7 +233,9 @@
 
 
 @receive.register
-def _(message: Cancelled, host: str, core: EntryCore, now: float) -> Iterator[Command]:
+def _(
+    message: Cancelled, host: str, core: DispatchCore, now: float
+) -> Iterator[Command]:
     request = _find(message, host, core)
     if request is None or request.phase != WITHDRAWING:
         return
@@ -241,7 +249,7 @@
     yield Send(host, Attach(*_name(message), len(request.received)))
 
 
-def _find(message: Message, host: str, core: EntryCore) -> OpenRequest | None:
+def _find(message: Message, host: str, core: DispatchCore) -> OpenRequest | None:
     """Find the request a message is about, unless the message is out of date.
 
     An answer to another request, or from an attempt that was given up, may come at
@@ -260,12 +268,12 @@
     in time: an entry that was paused for long would call "not run" what had run. The
     offer's age, counted from before it was sent, bounds what can have been forgotten.
     """
-    young = now - request.offered_at < const.BELIEVE_SECONDS
+    young = now - request.offered_at < const.NOT_RUN_TRUST_SECONDS
     return ran if young else Ran.UNKNOWN
 
 
 def _note_end(
-    request: OpenRequest, host: str, core: EntryCore, now: float
+    request: OpenRequest, host: str, core: DispatchCore, now: float
 ) -> Iterator[Command]:
     """Take that a host has ended under a request that it may have begun to run."""
     known = core.hosts.get(host)
@@ -273,27 +281,29 @@
     if known is None or not known.live or request.stage == PREFILL:
         return
     began = now if request.accepted_at is None else request.accepted_at
-    end = End(request.ends_known, now - began)
-    ends = core.suspects.note_end(request.terms.content, end, now)
+    end = HostEnd(request.ends_known, now - began)
+    ends = core.suspects.record_host_end(request.terms.content, end, now)
     known.ended_at = now
     known.ended_under.add(request.terms.content)
-    yield Note(request.work.request, f"{host} ended under it, {ends} hosts in a row")
+    yield RecordStep(
+        request.work.request, f"{host} ended under it, {ends} hosts in a row"
+    )
 
 
-def _note_alive(request: OpenRequest, known: KnownHost, core: EntryCore) -> None:
+def _note_alive(request: OpenRequest, known: KnownHost, core: DispatchCore) -> None:
     """Take back that a host has ended which takes new work.
 
     A cut link may refuse connections as well, and looks like an end. A host that keeps
     its name may have started again since, which its next heartbeat tells.
     """
-    if known.tells_start or request.offered_at <= known.ended_at:
+    if known.reports_start or request.offered_at <= known.ended_at:
         return
     for content in known.ended_under:
         core.suspects.clear(content)
     known.ended_under.clear()
 
 
-def _pass_over(host: str, reason: str, core: EntryCore, now: float) -> None:
+def _pass_over(host: str, reason: str, core: DispatchCore, now: float) -> None:
     """Leave a host out that refuses: for good if another one has its address.
 
     An engine that changes its role refuses at once whatever comes, so it has the
@@ -308,8 +318,8 @@
         return
     # One refusal may be about what was offered, as a KV cache that can't be fetched.
     known.refusals += 1
-    if known.refusals >= const.REFUSALS_TO_PASS_OVER:
-        known.breaker.failed(now)
+    if known.refusals >= const.REFUSALS_TO_TRIP_BREAKER:
+        known.breaker.record_failure(now)
 
 
 def _is_foreign(request: OpenRequest) -> bool:
@@ -337,16 +347,16 @@
     yield Deliver(name, new, request.tokens)
 
 
-def _move(request: OpenRequest, host: str, patience: float) -> None:
+def _move(request: OpenRequest, host: str, hold_until: float) -> None:
     """Take note that a planned change moves the request: it is not cut for that."""
     request.tried = {host}
     request.offers = 0
     request.rounds = 0
-    request.patience = max(request.patience, patience)
+    request.hold_until = max(request.hold_until, hold_until)
 
 
 def _confirm_end(
-    message: Finished | Handover, request: OpenRequest, host: str, core: EntryCore
+    message: Finished | Handover, request: OpenRequest, host: str, core: DispatchCore
 ) -> Generator[Command, None, bool]:
     """Tell whether the answer has come as its agent has it, and confirm that."""
     # The final frame may overtake a chunk that a broken link has lost: what has come
@@ -363,10 +373,10 @@
 
 
 def _end_rest(
-    message: Finished, request: OpenRequest, core: EntryCore, now: float
+    message: Finished, request: OpenRequest, core: DispatchCore, now: float
 ) -> Iterator[Command]:
     """Take another answer than the rest of the one that the caller has a part of."""
-    if message.status >= const.FIRST_FAILURE:
+    if message.status >= const.MIN_FAILURE_STATUS:
         reason = f"status {message.status}"
         yield from lose(request, Ran.UNKNOWN, reason, core, now)
         return
@@ -381,7 +391,7 @@
     if request.asked_again_at == offset:
         return
     request.asked_again_at = offset
-    yield Note(request.work.request, f"part missing from byte {offset}")
+    yield RecordStep(request.work.request, f"part missing from byte {offset}")
     yield Send(host, Attach(request.work.request, request.attempt, offset))
 
 
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -17,33 +17,33 @@
 from radishtally.outcome import Ran, Refusal
 from radishtally.serving import const
 from radishtally.serving.conclusions import give_up
-from radishtally.serving.events import Command, DropKv, Note, Release, Send
+from radishtally.serving.events import Command, DropKv, RecordStep, Release, Send
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.placement import Declined, Placed
 from radishtally.serving.requests import CLAIMING, OFFERED, WAITING, OpenRequest
-from radishtally.serving.state import EntryCore
-from radishtally.serving.suspects import ENDS_TO_SPARE
+from radishtally.serving.state import DispatchCore
+from radishtally.serving.suspects import ENDS_TO_ISOLATE
 
 
-def wait(request: OpenRequest, until: float, core: EntryCore) -> None:
+def wait(request: OpenRequest, until: float, core: DispatchCore) -> None:
     """Look at the request again at a time, if its phase lasts so long."""
     request.waits_until = until
     core.schedule(request)
 
 
-def offer(request: OpenRequest, core: EntryCore, now: float) -> Iterator[Command]:
+def offer(request: OpenRequest, core: DispatchCore, now: float) -> Iterator[Command]:
     """Offer the request to the next host; where there is none, wait or refuse."""
     if request.answered:
         # Nobody waits any more: what has not begun is not begun now.
         yield from fail(request, 499, const.CODE_DEADLINE, "nobody waits", core)
         return
-    denied = core.suspects.find_wait(request.terms.content, now)
+    denied = core.suspects.find_denial_seconds(request.terms.content, now)
     if denied:
         text = "hosts have ended under this request one after another"
         yield from refuse(request, 503, const.CODE_ENDS_HOSTS, text, denied, core)
         return
     pause = _find_pause(request, core, now)
-    if pause > const.MAX_HOLD_SECONDS and not request.is_begun:
+    if pause > const.MAX_PAUSE_WAIT_SECONDS and not request.is_begun:
         text = "all hosts that could run it have asked for a pause"
         wait_for = core.spread_pause(pause)
         yield from refuse(request, 503, const.CODE_OVERLOADED, text, wait_for, core)
@@ -53,7 +53,7 @@
         if placed.retry_after is not None:
             request.retry_after = placed.retry_after
         if placed.why:
-            yield Note(request.work.request, f"not offered: {placed.why}")
+            yield RecordStep(request.work.request, f"not offered: {placed.why}")
         yield from _go_without_host(request, core, now)
         return
     stage, host, why = placed
@@ -72,26 +72,26 @@
     request.accepted_at = None
     request.head = None
     if request.stage != PREFILL:
-        request.ends_known = core.suspects.note_offer(request.terms.content, now)
+        request.ends_known = core.suspects.record_offer(request.terms.content, now)
     request.asked_again_at = -1
-    wait(request, now + core.offer_seconds, core)
+    wait(request, now + core.offer_timeout, core)
     known = core.hosts[host]
     known.in_flight += 1
     core.placement.begin(request, known, now)
-    known.breaker.offered(now)
+    known.breaker.record_offer(now)
     text = f"attempt {request.attempt} offered to {host}"
-    yield Note(request.work.request, f"{text}: {why}" if why else text)
+    yield RecordStep(request.work.request, f"{text}: {why}" if why else text)
     yield Send(host, request.make_offer(request.deadline - now))
 
 
 def lose(
-    request: OpenRequest, ran: str, reason: str, core: EntryCore, now: float
+    request: OpenRequest, ran: str, reason: str, core: DispatchCore, now: float
 ) -> Iterator[Command]:
     """Go on after an attempt has failed: elsewhere, or with a refusal."""
     text = f"attempt {request.attempt} at {request.host} lost: {reason}, ran {ran}"
     if request.received:
         text += f", after event {request.tokens} ({len(request.received)} bytes)"
-    yield Note(request.work.request, text)
+    yield RecordStep(request.work.request, text)
     # A host that the offer never reached, or a new start of one, has refused nothing.
     if request.host is not None and reason not in (NOT_KNOWN, RESTARTED):
         request.tried.add(request.host)
@@ -99,14 +99,14 @@
     # What surely did not run has cost no upstream anything. It is routed anew like a
     # refused offer, bounded as those are; the budget is for work done over again.
     if ran == Ran.NO:
-        request.owes_retry |= core.refusals_cost and reason != UNREACHED
+        request.owes_retry |= core.refusals_cost_retries and reason != UNREACHED
         yield from offer(request, core, now)
         return
     request.maybe_ran = True
     request.lost += 1
     if not request.work.idempotent:
         text = "the call may have run; its outcome is not known"
-        yield from fail(request, 502, const.CODE_UNCLEAR, text, core)
+        yield from fail(request, 502, const.CODE_OUTCOME_UNKNOWN, text, core)
         return
     if request.lost >= request.terms.max_attempts or _is_stuck(request):
         text = f"the upstream failed ({reason})"
@@ -133,10 +133,10 @@
         request.drop_received()
     # An answer that has begun is not cut because no host is free at this moment.
     if request.is_begun:
-        request.patience = float("inf")
+        request.hold_until = float("inf")
 
 
-def withdraw(request: OpenRequest, core: EntryCore) -> Iterator[Command]:
+def withdraw(request: OpenRequest, core: DispatchCore) -> Iterator[Command]:
     """Take the present attempt back from its host."""
     if request.host is None:
         return
@@ -147,7 +147,12 @@
 
 
 def answer_unknown(
-    request: OpenRequest, status: int, code: str, text: str, core: EntryCore, now: float
+    request: OpenRequest,
+    status: int,
+    code: str,
+    text: str,
+    core: DispatchCore,
+    now: float,
 ) -> Iterator[Command]:
     """Tell the caller that the outcome is not known, and go on to wait for it.
 
@@ -156,12 +161,12 @@
     """
     yield from give_up(request, Refusal(status, code, text, Ran.UNKNOWN))
     request.answered = True
-    request.deadline = now + const.OUTCOME_SECONDS
+    request.deadline = now + const.OUTCOME_WAIT_SECONDS
     core.schedule(request)
 
 
 def fail(
-    request: OpenRequest, status: int, code: str, text: str, core: EntryCore
+    request: OpenRequest, status: int, code: str, text: str, core: DispatchCore
 ) -> Iterator[Command]:
     """Refuse the request for a fault."""
     yield from refuse(request, status, code, text, None, core)
@@ -173,7 +178,7 @@
     code: str,
     text: str,
     retry_after: float | None,
-    core: EntryCore,
+    core: DispatchCore,
 ) -> Iterator[Command]:
     """Give the caller its final answer at once."""
     if request.kv is not None:
@@ -194,12 +199,12 @@
         yield Release(request.work)
 
 
-def _place(request: OpenRequest, core: EntryCore, now: float) -> Placed | Declined:
+def _place(request: OpenRequest, core: DispatchCore, now: float) -> Placed | Declined:
     """Choose the stage and the host to offer."""
     if request.offers >= const.MAX_OFFERS:
         return Declined(None)
     usable = _list_usable(request, core, now)
-    if core.suspects.count(request.terms.content, now) >= ENDS_TO_SPARE:
+    if core.suspects.count_ends(request.terms.content, now) >= ENDS_TO_ISOLATE:
         usable = _spare_hosts(usable, core, now)
         if not usable:
             return Declined(None, "hosts ended under it, and too few are left")
@@ -207,7 +212,7 @@
 
 
 def _spare_hosts(
-    usable: list[KnownHost], core: EntryCore, now: float
+    usable: list[KnownHost], core: DispatchCore, now: float
 ) -> list[KnownHost]:
     """Leave one host to run a request that may end it: never the last one.
 
@@ -216,12 +221,12 @@
     """
     find_role = core.placement.find_role
     running = [known for known in usable if find_role(known.host) != PREFILL]
-    if len(running) < const.LEAST_TO_RISK:
+    if len(running) < const.MIN_HOSTS_TO_RISK_ONE:
         return []
     tried = {
         other.host
         for other in core.requests.values()
-        if core.suspects.count(other.terms.content, now) >= ENDS_TO_SPARE
+        if core.suspects.count_ends(other.terms.content, now) >= ENDS_TO_ISOLATE
     }
     risked = min(
         running,
@@ -232,9 +237,9 @@
 
 
 def _go_without_host(
-    request: OpenRequest, core: EntryCore, now: float
+    request: OpenRequest, core: DispatchCore, now: float
 ) -> Iterator[Command]:
-    if now < request.patience:
+    if now < request.hold_until:
         yield from _hold(request, "no host takes it now", core, now)
         return
     if request.tried or _list_usable(request, core, now):
@@ -246,7 +251,7 @@
     yield from refuse(request, status, code, text, request.retry_after, core)
 
 
-def _find_pause(request: OpenRequest, core: EntryCore, now: float) -> float:
+def _find_pause(request: OpenRequest, core: DispatchCore, now: float) -> float:
     """Find how long all hosts pause that could run a request; 0 if one does not."""
     if now >= core.paused_until:
         return 0.0
@@ -257,12 +262,14 @@
     return max(0.0, min((known.paused_until - now for known in running), default=0.0))
 
 
-def _list_live(request: OpenRequest, core: EntryCore) -> list[KnownHost]:
+def _list_live(request: OpenRequest, core: DispatchCore) -> list[KnownHost]:
     pool = core.pools.get(request.work.upstream, {})
     return [known for known in pool.values() if known.live and known.host in core.links]
 
 
-def _list_usable(request: OpenRequest, core: EntryCore, now: float) -> list[KnownHost]:
+def _list_usable(
+    request: OpenRequest, core: DispatchCore, now: float
+) -> list[KnownHost]:
     live = [known for known in _list_live(request, core) if known.paused_until <= now]
     # Hosts that fail are left out only while others have their role: with all of them
     # left out each request would be refused, though some would have been served. The
@@ -276,7 +283,7 @@
     ]
 
 
-def _is_needed(known: KnownHost, served: set[str], core: EntryCore) -> bool:
+def _is_needed(known: KnownHost, served: set[str], core: DispatchCore) -> bool:
     """Tell whether a failing host is asked since no other one has its role."""
     if core.placement.find_role(known.host) in served:
         return False
@@ -285,9 +292,9 @@
 
 
 def _go_without_budget(
-    request: OpenRequest, core: EntryCore, now: float
+    request: OpenRequest, core: DispatchCore, now: float
 ) -> Iterator[Command]:
-    if now < request.patience:
+    if now < request.hold_until:
         yield from _hold(request, "the retry budget is spent", core, now)
         return
     text = "the upstream failed and too many retries are under way"
@@ -295,13 +302,13 @@
 
 
 def _hold(
-    request: OpenRequest, reason: str, core: EntryCore, now: float
+    request: OpenRequest, reason: str, core: DispatchCore, now: float
 ) -> Iterator[Command]:
     """Keep the request until it is worth offering again."""
     request.phase = WAITING
     request.rounds += 1
     wait(request, now + backoff(request.rounds, core.random), core)
-    yield Note(request.work.request, f"waits: {reason}")
+    yield RecordStep(request.work.request, f"waits: {reason}")
 
 
 def _bound(retry_after: float | None) -> float:
--- a/tests/gateway/test_members_machine.py
+++ b/tests/gateway/test_members_machine.py
@@ -18,13 +18,13 @@
 
 from radishtally.direct.core import Instance
 from radishtally.gateway.members import (
-    LAPSE_SECONDS,
-    Change,
-    Forget,
+    MISSING_GRACE_SECONDS,
+    HostChange,
+    HostMissing,
+    HostRemoved,
+    HostReturned,
+    HostUpdated,
     Members,
-    Miss,
-    Return,
-    Set,
 )
 
 HOSTS = st.sampled_from("abcdefgh")
@@ -79,7 +79,7 @@
     @property
     def after_outage(self) -> bool:
         """Tell whether the store has only just come back."""
-        return self.now < self.back_at + LAPSE_SECONDS
+        return self.now < self.back_at + MISSING_GRACE_SECONDS
 
     @initialize(hosts=SETS_OF_HOSTS)
     def start(self, hosts: frozenset[str]) -> None:
@@ -126,7 +126,7 @@
 
     @precondition(lambda self: self.now <= self.copied_at + MAX_COPY_SECONDS)
     @rule(
-        seconds=st.floats(0.0, LAPSE_SECONDS),
+        seconds=st.floats(0.0, MISSING_GRACE_SECONDS),
         written=st.dictionaries(HOSTS, st.booleans()),
     )
     def restore(self, seconds: float, written: dict[str, bool]) -> None:
@@ -173,7 +173,7 @@
             return
         self.remove(frozenset(h for h in self.apart if not self._has_written(h)))
 
-    @rule(seconds=st.floats(0.0, 2 * LAPSE_SECONDS))
+    @rule(seconds=st.floats(0.0, 2 * MISSING_GRACE_SECONDS))
     def wait(self, seconds: float) -> None:
         """Let time pass."""
         self.now += seconds
@@ -201,9 +201,11 @@
             assert changes == []
             return
         kept = self.present - self.listed.keys()
-        assert all(self.removed_at[host] + LAPSE_SECONDS > self.now for host in kept)
+        assert all(
+            self.removed_at[host] + MISSING_GRACE_SECONDS > self.now for host in kept
+        )
         assert not self.missed & self.apart.keys() or (
-            self.now < self.restored_at + LAPSE_SECONDS
+            self.now < self.restored_at + MISSING_GRACE_SECONDS
         )
 
     @invariant()
@@ -229,12 +231,12 @@
 
     def teardown(self) -> None:
         """Check that nothing is kept for good, and nothing left out."""
-        self.now += DROP_SECONDS + 2 * LAPSE_SECONDS
+        self.now += DROP_SECONDS + 2 * MISSING_GRACE_SECONDS
         self.look()
         while self.members.next_review() < float("inf"):
             self.review()
         self.look()
-        self.now += 2 * LAPSE_SECONDS
+        self.now += 2 * MISSING_GRACE_SECONDS
         self.look()
         assert self.present == self.listed.keys()
 
@@ -258,19 +260,19 @@
         for host in hosts:
             self.removed_at[host] = self.now
 
-    def _apply(self, changes: list[Change]) -> None:
+    def _apply(self, changes: list[HostChange]) -> None:
         for change in changes:
             match change:
-                case Set(instance):
+                case HostUpdated(instance):
                     self.present.add(instance.host)
                     self.given_up.discard(instance.host)
-                case Miss(host):
+                case HostMissing(host):
                     assert host in self.present
                     assert host not in self.missed
                     self.missed.add(host)
-                case Return(host):
+                case HostReturned(host):
                     self.missed.remove(host)
-                case Forget(host):
+                case HostRemoved(host):
                     self.present.remove(host)
                     self.missed.discard(host)
                     self.given_up.add(host)
--- a/tests/integration/test_lease.py
+++ b/tests/integration/test_lease.py
@@ -9,10 +9,10 @@
 import pytest
 
 from bench.network import Network
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.authority.lease_events import LeaseTerms
-from radishtally.authority.plan import Plan, Wanted, follow_plan, make_plan_writes
-from radishtally.authority.plans import NotHeld, Plans
+from radishtally.authority.plan import Plan, Wanted, make_next_plan, make_plan_writes
+from radishtally.authority.plan_store import NotHeld, PlanStore
 from radishtally.store.core import ABSENT, Key, Put
 from radishtally.store.ids import WriteIds
 from radishtally.store.table import HttpTable
@@ -34,8 +34,8 @@
     def __init__(self, name: str, network: Network, address: str) -> None:
         url = f"http://{network.add(name, 'table', address)}"
         self.table = HttpTable(url, TABLE)
-        self.plans = Plans(self.table, name, WriteIds(name))
-        self.lease = LeaseHolder(
+        self.plans = PlanStore(self.table, name, WriteIds(name))
+        self.lease = LeaseDriver(
             self.table,
             PLACE,
             name,
@@ -89,7 +89,7 @@
 
     async def live() -> None:
         async with contend(network, table) as (old, new):
-            plan = follow_plan(PLACE, None, old.lease.fencing, "late", WANTED)
+            plan = make_next_plan(PLACE, None, old.lease.fencing, "late", WANTED)
             writes = make_plan_writes(plan, ABSENT, old.lease.make_check(), AUDIT)
             network.delay("old", "table", LATE_SECONDS)
             arrives_at = time.monotonic() + LATE_SECONDS
