--- a/radishtally/engines/__init__.py
+++ b/radishtally/engines/__init__.py
@@ -1,1 +1,1 @@
-"""What an entry knows of model engines that it reaches itself, and how it uses them."""
+"""State and selection of the model engines that an entry calls directly."""
--- a/radishtally/engines/cache.py
+++ b/radishtally/engines/cache.py
@@ -1,4 +1,4 @@
-"""Guess which parts of prompts an engine keeps in its memory."""
+"""Model of the prompt parts that an engine's prefix cache holds."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Sequence
@@ -11,19 +11,19 @@
 
 
 class PromptCache:
-    """Follow the parts that an engine has read, the least recently used going first."""
+    """Model an engine's prefix cache with least-recently-used eviction."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
         self._parts: OrderedDict[int, int] = OrderedDict()
         self._shared: set[int] = set()
-        """Parts that other requests share, of those kept."""
+        """Cached parts that several requests share."""
         self._tokens = 0
 
     def record_prompt(
         self, model: str, parts: Sequence[PromptPart]
     ) -> list[HashedPart]:
-        """Take in a prompt that the engine reads; give shared parts that are new."""
+        """Record a prompt that the engine prefills; return its new shared parts."""
         chain = hash_parts(model, parts)
         new = [part for part in chain[:-1] if part.key not in self._parts]
         self._shared.update(part.key for part in new)
@@ -31,13 +31,13 @@
         return new
 
     def record_parts(self, parts: Iterable[HashedPart]) -> None:
-        """Take in shared parts that the engine was given by others."""
+        """Record shared parts that the engine received through other gateways."""
         parts = list(parts)
         self._shared.update(part.key for part in parts)
         self._add(parts)
 
     def list_shared(self) -> list[HashedPart]:
-        """List the parts that requests share, the least recently used first."""
+        """List the cached shared parts, least recently used first."""
         return [
             HashedPart(key, tokens)
             for key, tokens in self._parts.items()
@@ -45,29 +45,29 @@
         ]
 
     def resize(self, capacity: int) -> None:
-        """Take how many tokens the engine keeps."""
+        """Set the number of tokens that the engine can cache."""
         self._capacity = capacity
         self._drop_oldest()
 
     def count_cached_tokens(self, model: str, parts: Sequence[PromptPart]) -> int:
-        """Count the tokens of a prompt that need not be read again.
+        """Count the tokens of a prompt that need no prefill.
 
-        A part counts only behind parts that are all kept: what it means to the model
-        hangs on everything before it, and engines look for it there only.
+        A part counts only if all parts before it are cached too: its KV entries depend
+        on everything before it, and engines look up whole prefixes only.
         """
         return self.count_cached_chain(hash_parts(model, parts))
 
     def count_cached_chain(self, chain: Iterable[HashedPart]) -> int:
-        """Count the same of a prompt whose parts are hashed already."""
-        kept = 0
+        """Count the cached tokens of a prompt whose parts are already hashed."""
+        cached_tokens = 0
         for part in chain:
             if part.key not in self._parts:
                 break
-            kept += part.tokens
-        return kept
+            cached_tokens += part.tokens
+        return cached_tokens
 
     def clear(self) -> None:
-        """Forget all, as the engine's memory was lost."""
+        """Drop all parts, because the engine lost its cache."""
         self._parts.clear()
         self._shared.clear()
         self._tokens = 0
@@ -86,7 +86,7 @@
 
 
 def hash_parts(model: str, parts: Sequence[PromptPart]) -> list[HashedPart]:
-    """Give a prompt's parts under hashes, by which engines name them too."""
+    """Hash the names of a prompt's parts, with the model name as the seed."""
     seed = xxh3_64_intdigest(model.encode())
     return [
         HashedPart(xxh3_64_intdigest(part.name.encode(), seed), part.tokens)
@@ -94,7 +94,7 @@
     ]
 
 
-def hash_kept(kept: CachedPart) -> HashedPart:
-    """Give a part that an engine names under the same hash."""
-    (part,) = hash_parts(kept.model, [PromptPart(kept.name, kept.tokens)])
+def hash_cached_part(cached: CachedPart) -> HashedPart:
+    """Hash a part that an engine reported as cached."""
+    (part,) = hash_parts(cached.model, [PromptPart(cached.name, cached.tokens)])
     return part
--- a/radishtally/engines/choice.py
+++ b/radishtally/engines/choice.py
@@ -1,4 +1,4 @@
-"""Choose the engine for a prompt or an answer, and the host for a call."""
+"""Selection of engines for prefill and decode, and of hosts for service calls."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from functools import partial
@@ -16,215 +16,223 @@
 from radishtally.serving.requests import OpenRequest
 
 REMOTE_PENALTY_SECONDS: Final = 0.005
-"""Handicap of an engine in another data centre, for the trips: two of 1 to 2 ms."""
-REMOTE_PENALTY_SECONDS_PER_BYTE: Final = 2e-6
-"""The same for each byte that is sent there: a long prompt of 12 KB is worth sending
-far for 24 ms, or for 600 tokens that need not be read again."""
-RECOMPUTE_PENALTY_SECONDS_PER_TOKEN: Final = 40e-6
-"""Handicap for each token of a shared part that is read again, beside the time that it
-takes: the work is done twice, and the part then fills two engines' memory. Counted for
-late prompts too, it spared a quarter of the tokens read again; what it buys for those
-that are in time was not measured alone."""
+"""Penalty of an engine in another data centre: two network trips of 1 to 2 ms."""
+REMOTE_BYTE_SECONDS: Final = 2e-6
+"""Penalty for each byte that is sent to another data centre: sending a long prompt of
+12 KB there must save 24 ms, or the prefill of 600 tokens."""
+RECOMPUTE_TOKEN_SECONDS: Final = 40e-6
+"""Penalty for each token of a shared part that is prefilled again, in addition to the
+time it takes: the work is done twice, and the part then occupies two engines' caches.
+Applied to late prompts too, it saved a quarter of the repeated prefill."""
 ON_TIME_SHARE: Final = 0.7
-"""Share of the objective within which a prompt is predicted to be in time surely
-enough, so that where its shared parts lie decides and not who is first."""
+"""Share of the latency objective within which a prediction counts as safely on time, so
+that cached parts decide and not the earliest start."""
 REMOTE_FILL_PENALTY: Final = 1 / 16
-"""Share of a batch that the least busy engine of another data centre than the gateway's
-must be ahead by: prompt and answer cross between the two. As much again if the KV cache
-crosses, which takes twice as long then."""
+"""Share of a batch by which an engine in another data centre than the gateway's must be
+less busy, as prompt and answer cross between the two. The same is added if the KV
+cache crosses, which then takes twice as long."""
 MAX_DECODE_FILL: Final = 0.7
-"""Share of a batch up to which an engine is taken to have room for an answer: what is
-left bears what other gateways send there before this one hears of it. Beyond a full
-batch an answer waits, or another one is cut off for it."""
+"""Share of a batch up to which an engine is considered to have room for an answer; the
+rest absorbs what other gateways send before their reports arrive. Beyond a full
+batch, an answer waits or another one is preempted."""
 MAX_WHOLE_FILL: Final = 3 / 8
-"""Share of a batch that answers may take at an engine which also takes a prompt that no
-other engine can begin in time: with more, the answers slow down already."""
+"""Share of a batch up to which a decode engine may also prefill a prompt that no
+prefill engine can start in time: with more answers, decode already slows down."""
 MAX_WHOLE_PROMPT_TOKENS: Final = 4_000
-"""Prompt tokens that such an engine has to read at most: each piece of them holds up
-all of its answers, whose events must not pause for long."""
+"""Prompt tokens that such a decode engine may have to prefill at most: each chunk
+delays all of its answers, whose events must not pause for long."""
 REMOTE_CALL_PENALTY: Final = 0.5
-"""Open calls more that a plain service's host in another data centre counts for: it
-decides between equals only."""
+"""Penalty, in open calls, of a service host in another data centre: it breaks ties."""
 CALLER_TIMEOUT_FACTOR: Final = 4.0
-"""Times its objective that a caller waits for the first event before it gives up."""
+"""Multiple of its latency objective that a caller waits for the first event."""
 MIN_CALLER_TIMEOUT_SECONDS: Final = 2.0
 Item = TypeVar("Item")
 
 
 class PlacementContext(NamedTuple):
-    """Hold from where an entry chooses, and how carefully."""
+    """Describe where an entry is and how many engines it compares."""
 
     place: str
     """Data centre of the entry."""
     sample_size: int
-    """Engines that are compared at a time: all of them where the news is fresh."""
+    """Engines to compare at a time: all of them if the load reports are fresh."""
     random: Random
-    """Parts equals: by name all entries would choose the same one."""
+    """Breaks ties: by name, all entries would choose the same engine."""
 
 
 class ScoredEngine(NamedTuple):
-    """Hold an engine for a prompt, in the order of what is chosen."""
+    """Rate an engine for a prompt; the smallest tuple is the best choice."""
 
     is_late: bool
-    """Whether the prompt would not be in time there, wherever its shared parts lie."""
+    """Whether the prompt would not be safely on time, regardless of cached parts."""
     cost: float
-    """Seconds, with all handicaps."""
+    """Predicted seconds plus all penalties."""
     rank: int
     host: str
-    prospect: Prediction
+    prediction: Prediction
 
 
 def place_prompt(
     request: OpenRequest,
     prefill: Sequence[EngineState],
     decode: Sequence[EngineState],
-    field: PlacementContext,
+    context: PlacementContext,
     outage: float,
     now: float,
 ) -> Placed | Declined:
-    """Choose who reads a prompt; for some seconds nobody may make its answer."""
+    """Choose an engine for a prompt; outage is the time until an engine can decode."""
     terms = request.terms
     objective = request.arrived + terms.objective - now
-    in_time = objective * ON_TIME_SHARE
-    patience = max(MIN_CALLER_TIMEOUT_SECONDS, CALLER_TIMEOUT_FACTOR * terms.objective)
-    patience = min(patience, request.deadline - now)
-    choose = partial(_choose_prefill, request, prefill, field, in_time, patience, now)
-    host, prospect = choose()
-    if prospect.seconds > in_time:
-        # Read at half the speed, but without a KV cache to be moved: this serves short
-        # prompts in time while long ones fill the engines for prompts.
-        whole = _choose_whole(request, decode, field, in_time)
+    on_time_seconds = objective * ON_TIME_SHARE
+    caller_timeout = max(
+        MIN_CALLER_TIMEOUT_SECONDS, CALLER_TIMEOUT_FACTOR * terms.objective
+    )
+    caller_timeout = min(caller_timeout, request.deadline - now)
+    choose = partial(
+        _choose_prefill, request, prefill, context, on_time_seconds, caller_timeout, now
+    )
+    host, prediction = choose()
+    if prediction.seconds > on_time_seconds:
+        # A decode engine prefills at half the speed, but without a KV cache transfer.
+        # It serves short prompts on time while long ones occupy the prefill engines.
+        whole = _choose_whole(request, decode, context, on_time_seconds)
         if whole is not None:
             return whole
-    if prospect.seconds > objective and terms.priority < LATE_PRIORITY_OFFSET:
-        # What will be late goes behind all that can still be in time, and may have to
-        # wait there for longer than its caller does.
+    if prediction.seconds > objective and terms.priority < LATE_PRIORITY_OFFSET:
+        # A late request queues behind all that can still be on time, and may then wait
+        # for longer than its caller does.
         request.terms = terms._replace(priority=terms.priority + LATE_PRIORITY_OFFSET)
-        host, prospect = choose()
-    why = prospect.describe(request.terms.priority)
-    if outage > patience:
-        return Declined(outage, f"no engine makes answers for {outage:.1f} s")
-    if prospect.seconds > patience:
-        wait = max(0.0, prospect.seconds - terms.objective)
-        return Declined(wait, f"soonest at {host}: {why}")
+        host, prediction = choose()
+    why = prediction.describe(request.terms.priority)
+    if outage > caller_timeout:
+        return Declined(outage, f"no decode engine for {outage:.1f} s")
+    if prediction.seconds > caller_timeout:
+        wait = max(0.0, prediction.seconds - terms.objective)
+        return Declined(wait, f"too late even at {host}: {why}")
     return Placed(PREFILL, host, why)
 
 
 def _choose_prefill(
     request: OpenRequest,
     engines: Sequence[EngineState],
-    field: PlacementContext,
-    in_time: float,
-    patience: float,
+    context: PlacementContext,
+    on_time_seconds: float,
+    caller_timeout: float,
     now: float,
 ) -> tuple[str, Prediction]:
-    """Choose who has the shared parts or is to have them, rather one that is in time.
+    """Choose a prefill engine that is on time and near the prompt's cached parts.
 
-    Few engines are compared at a time, in an order of the prompt's own: those that keep
-    most of it, then by a hash that all entries agree on. So entries that know nothing
-    of each other's last prompts send different ones to different engines, and those of
-    the same parts to the same ones.
+    A few engines are compared at a time, in an order that depends on the prompt: first
+    those with most of it cached, then by a hash that all entries share. Entries with
+    stale views thus send different prompts to different engines, and prompts with the
+    same parts to the same engines.
     """
-    bests = []
-    for few in _chunk(
-        _rank_by_cached_parts(request, engines, field, in_time, now), field.sample_size
+    candidates = []
+    for sample in _chunk(
+        _rank_by_cached_parts(request, engines, context, on_time_seconds, now),
+        context.sample_size,
     ):
-        best = min(few)
+        best = min(sample)
         if not best.is_late:
-            return best.host, best.prospect
-        bests.append(best)
-    # Late everywhere: where its caller still waits for it, or wherever it is soonest.
-    awaited = (best for best in bests if best.prospect.seconds <= patience)
-    best = next(awaited, None) or min(bests)
-    return best.host, best.prospect
+            return best.host, best.prediction
+        candidates.append(best)
+    # Late everywhere: take an engine within the caller's timeout, or the best one.
+    acceptable = (
+        best for best in candidates if best.prediction.seconds <= caller_timeout
+    )
+    best = next(acceptable, None) or min(candidates)
+    return best.host, best.prediction
 
 
 def _rank_by_cached_parts(
     request: OpenRequest,
     engines: Sequence[EngineState],
-    field: PlacementContext,
-    in_time: float,
+    context: PlacementContext,
+    on_time_seconds: float,
     now: float,
 ) -> Iterator[ScoredEngine]:
-    """Give the engines as they fare with a prompt, those first that keep most of it."""
+    """Yield the scored engines, those first that have most of the prompt cached."""
     chain = hash_parts(request.work.model, request.terms.parts)
     by_host = {engine.host: engine for engine in engines}
-    kept = {
+    cached = {
         host: engine.cache.count_cached_chain(chain) for host, engine in by_host.items()
     }
     shared = request.terms.shared_tokens
-    most = max(min(tokens, shared) for tokens in kept.values())
-    far = REMOTE_PENALTY_SECONDS + REMOTE_PENALTY_SECONDS_PER_BYTE * len(
+    most_cached = max(min(tokens, shared) for tokens in cached.values())
+    remote_penalty = REMOTE_PENALTY_SECONDS + REMOTE_BYTE_SECONDS * len(
         request.work.body
     )
     ranked = rank(by_host, request.work.prefix)
-    ranked.sort(key=lambda host: max(0, most - kept[host]))
+    ranked.sort(key=lambda host: max(0, most_cached - cached[host]))
     for number, host in enumerate(ranked):
         engine = by_host[host]
-        prospect = predict_prefill(engine, request, kept[host], now)
+        prediction = predict_prefill(engine, request, cached[host], now)
         cost = (
-            prospect.seconds
-            + max(0, most - kept[host]) * RECOMPUTE_PENALTY_SECONDS_PER_TOKEN
+            prediction.seconds
+            + max(0, most_cached - cached[host]) * RECOMPUTE_TOKEN_SECONDS
+        )
+        if engine.data_centre != context.place:
+            cost += remote_penalty
+        yield ScoredEngine(
+            prediction.seconds > on_time_seconds, cost, number, host, prediction
         )
-        if engine.data_centre != field.place:
-            cost += far
-        yield ScoredEngine(prospect.seconds > in_time, cost, number, host, prospect)
 
 
 def _choose_whole(
     request: OpenRequest,
     engines: Sequence[EngineState],
-    field: PlacementContext,
-    in_time: float,
+    context: PlacementContext,
+    on_time_seconds: float,
 ) -> Placed | None:
-    """Choose an engine that makes answers to read the prompt too, if it has room."""
-    found = []
-    for engine in field.random.sample(engines, len(engines)):
-        prospect = predict_whole(engine, request)
-        if prospect.seconds > in_time or not _can_prefill_beside_answers(
-            engine, prospect
+    """Choose a decode engine to also prefill the prompt, if one has room."""
+    candidates = []
+    for engine in context.random.sample(engines, len(engines)):
+        prediction = predict_whole(engine, request)
+        if prediction.seconds > on_time_seconds or not _can_prefill_beside_answers(
+            engine, prediction
         ):
             continue
-        is_far = engine.data_centre != field.place
-        cost = prospect.seconds + is_far * REMOTE_PENALTY_SECONDS
-        found.append(ScoredEngine(False, cost, len(found), engine.host, prospect))
-        if len(found) == field.sample_size:
+        is_remote = engine.data_centre != context.place
+        cost = prediction.seconds + is_remote * REMOTE_PENALTY_SECONDS
+        candidates.append(
+            ScoredEngine(False, cost, len(candidates), engine.host, prediction)
+        )
+        if len(candidates) == context.sample_size:
             break
-    if not found:
+    if not candidates:
         return None
-    best = min(found)
-    return Placed(WHOLE, best.host, best.prospect.describe(request.terms.priority))
+    best = min(candidates)
+    return Placed(WHOLE, best.host, best.prediction.describe(request.terms.priority))
 
 
-def _can_prefill_beside_answers(engine: EngineState, prospect: Prediction) -> bool:
-    """Tell whether an engine that makes answers can read a prompt beside them."""
+def _can_prefill_beside_answers(engine: EngineState, prediction: Prediction) -> bool:
+    """Return whether a decode engine can prefill a prompt alongside its answers."""
     if engine.count_answers() >= engine.slots * MAX_WHOLE_FILL:
         return False
-    return engine.count_pending_tokens() + prospect.tokens <= MAX_WHOLE_PROMPT_TOKENS
+    return engine.count_pending_tokens() + prediction.tokens <= MAX_WHOLE_PROMPT_TOKENS
 
 
 def choose_decode(
-    engines: Sequence[EngineState], near: str, field: PlacementContext
+    engines: Sequence[EngineState], kv_place: str, context: PlacementContext
 ) -> EngineState:
-    """Choose an engine with few answers, rather near gateway and KV cache.
+    """Choose a decode engine with few answers, preferably near gateway and KV cache.
 
-    Of few that are compared, the one with the least; of the next few, where none of
-    these has room.
+    Pick the least busy of a few; if it has no room, go on with the next few.
     """
 
-    def count_far(engine: EngineState) -> int:
-        return (engine.data_centre != near) + (engine.data_centre != field.place)
+    def count_remote(engine: EngineState) -> int:
+        return (engine.data_centre != kv_place) + (engine.data_centre != context.place)
 
-    def measure(engine: EngineState) -> float:
-        return engine.fill + count_far(engine) * REMOTE_FILL_PENALTY
+    def score(engine: EngineState) -> float:
+        return engine.fill + count_remote(engine) * REMOTE_FILL_PENALTY
 
-    drawn = field.random.sample(engines, len(engines))
-    drawn.sort(key=count_far)
-    for few in _chunk(drawn, field.sample_size):
-        best = min(few, key=measure)
+    shuffled = context.random.sample(engines, len(engines))
+    shuffled.sort(key=count_remote)
+    for sample in _chunk(shuffled, context.sample_size):
+        best = min(sample, key=score)
         if best.fill < MAX_DECODE_FILL:
             return best
-    return min(drawn, key=measure)
+    return min(shuffled, key=score)
 
 
 def place_call(
@@ -232,19 +240,19 @@
 ) -> Placed | Declined:
     """Choose the host with the fewest open calls."""
     if not hosts:
-        return Declined(None, "no host is left")
+        return Declined(None, "no untried host is left")
 
-    def measure(host: KnownHost) -> float:
+    def score(host: KnownHost) -> float:
         return host.in_flight + (0.0 if host.place == place else REMOTE_CALL_PENALTY)
 
-    # Each entry knows its own calls alone, and most have none open: by name they would
-    # all choose the first one.
+    # Each entry knows only its own calls, and most have none open: without shuffling,
+    # all would choose the first host by name.
     shuffled = random.sample(hosts, len(hosts))
-    return Placed(WHOLE, min(shuffled, key=measure).host)
+    return Placed(WHOLE, min(shuffled, key=score).host)
 
 
 def _chunk(items: Iterable[Item], size: int) -> Iterator[list[Item]]:
-    """Give some items at a time, in their order."""
+    """Split items into lists of a size, in their order."""
     rest = iter(items)
     while group := list(islice(rest, size)):
         yield group
--- a/radishtally/engines/core.py
+++ b/radishtally/engines/core.py
@@ -1,20 +1,20 @@
-"""Contract of what learns from the work that engines are given."""
+"""Interface for components that learn from the work given to engines."""
 
 
 class Observer:
-    """Learn from what engines are given and from how they do it; by itself nothing."""
+    """Receive measurements of engine work; ignore them unless overridden."""
 
     def record_request(
         self, upstream: str, prompt_tokens: int, answer_tokens: int, now: float
     ) -> None:
-        """Take in tokens that are to be read and those of the answer expected."""
+        """Record the tokens to prefill and the expected answer tokens of a request."""
 
     def record_pace(
         self, upstream: str, answers: int, events: int, seconds: float
     ) -> None:
-        """Take in the time of an answer's next events, of some answers at a time."""
+        """Record how long new events of an answer took at a number of open answers."""
 
     def record_answer(
         self, upstream: str, events: int, expected: int, seconds: float, now: float
     ) -> None:
-        """Take in a whole answer: events, tokens expected, seconds that it had."""
+        """Record a complete answer: events, expected tokens and available seconds."""
--- a/radishtally/engines/pace.py
+++ b/radishtally/engines/pace.py
@@ -1,112 +1,115 @@
-"""Learn how the answers of an upstream's engines slow down with their number."""
+"""Estimate how decoding slows down with the number of concurrent answers."""
 
 from typing import Final, NamedTuple
 
 MEMORY_EVENTS: Final = 2_000.0
-"""Events of answers that are remembered: some seconds of one gateway's at a moderate
-load, in which the number of answers at an engine goes up and down by itself."""
+"""Answer events over which the estimate decays: some seconds of one gateway's traffic
+at a moderate load, long enough for the number of answers at an engine to vary."""
 FULL_BATCH_SLOWDOWN: Final = 3.0
-"""Times the time of a lone answer's event that one takes in a full batch, assumed until
-other numbers of answers have been seen. Two models were seen to take 2.1 and 4.2 times;
-assumed too low, engines are taken from answers before these show what they need."""
+"""Ratio of the event interval in a full batch to that of a single answer, assumed until
+several batch sizes have been observed. Two models showed ratios of 2.1 and 4.2; if the
+ratio is too low, engines are moved away from decode before its real need is known."""
 PRIOR_WEIGHT: Final = 5_000.0
-"""Weight of that assumption: as much as 200 events at numbers that differ by 5."""
+"""Weight of that assumption: as much as 200 events at batch sizes that differ by 5."""
 MIN_EVENTS: Final = 50.0
-"""Events from which the line is told."""
+"""Events needed before the fit is used."""
 MAX_INTERVAL_SECONDS: Final = 2.0
-"""Pauses from here on are no pace but a stall, of an engine or of this process."""
+"""Longer pauses are stalls, of an engine or of this process, and are ignored."""
 MEMORY_ANSWERS: Final = 200.0
-"""Whole answers that are remembered."""
+"""Complete answers over which the required speed decays."""
 MIN_ANSWERS: Final = 20.0
-"""Whole answers from which the needed speed is told: their lengths differ by a
-hundredfold."""
+"""Complete answers needed before the required speed is used: their lengths differ by a
+factor of 100."""
 SPEED_MARGIN: Final = 2.0
-"""Times the speed that an event's mean answer needs to end in time that engines are to
-keep: answers of twice the length, or half the time, then still end in time."""
+"""Factor over the speed that answers need on average, weighted by their events: answers
+of twice the length, or with half the time, then still meet their deadlines."""
 MIN_ANSWER_SECONDS: Final = 0.5
-"""Least time that is taken to be left for an answer."""
+"""Lower bound for the time that is left for an answer."""
 
 
 class Pace(NamedTuple):
-    """Hold the seconds from one event of an answer to its next one."""
+    """Describe the seconds between two events of an answer, by batch size."""
 
     base: float
-    """Where no other answer is made."""
+    """Constant part of the interval."""
     per_answer: float
-    """More for each answer that is made at the same time."""
+    """Increase for each concurrent answer."""
 
     def interval_at(self, answers: float) -> float:
-        """Give the seconds where so many answers are made at a time."""
+        """Return the event interval for a number of concurrent answers."""
         return self.base + self.per_answer * answers
 
 
 class PaceEstimator:
-    """Fit a line through the times that events took, recent ones counting more."""
+    """Fit event intervals to batch sizes by linear regression with decaying weights."""
 
     def __init__(self) -> None:
         self._count = 0.0
         self._answers = 0.0
-        """Mean of what was seen, as is the next."""
+        """Weighted mean of the concurrent answers."""
         self._seconds = 0.0
-        self._spread = 0.0
-        """Sums of products of the distances to the means, as is the next."""
-        self._common = 0.0
+        """Weighted mean of the event intervals."""
+        self._squares = 0.0
+        """Weighted sum of the squared deviations of the concurrent answers."""
+        self._codeviation = 0.0
+        """Weighted sum of the products of both deviations."""
 
     @property
     def is_known(self) -> bool:
-        """Tell whether enough events were timed."""
+        """Return whether enough events were timed."""
         return self._count >= MIN_EVENTS
 
     def record_events(self, answers: int, events: int, seconds: float) -> None:
-        """Take in the time of an answer's next events, of some answers at a time."""
+        """Record how long new events of an answer took at a number of open answers."""
         if events < 1 or seconds >= MAX_INTERVAL_SECONDS:
             return
-        each = seconds / events
-        forget = 1.0 - min(1.0, events / MEMORY_EVENTS)
-        self._count = self._count * forget + events
-        self._spread *= forget
-        self._common *= forget
-        part = events / self._count
-        off_answers = answers - self._answers
-        off_seconds = each - self._seconds
-        self._answers += part * off_answers
-        self._seconds += part * off_seconds
-        self._spread += events * off_answers * (answers - self._answers)
-        self._common += events * off_answers * (each - self._seconds)
+        interval = seconds / events
+        decay = 1.0 - min(1.0, events / MEMORY_EVENTS)
+        self._count = self._count * decay + events
+        self._squares *= decay
+        self._codeviation *= decay
+        weight = events / self._count
+        answers_deviation = answers - self._answers
+        interval_deviation = interval - self._seconds
+        self._answers += weight * answers_deviation
+        self._seconds += weight * interval_deviation
+        self._squares += events * answers_deviation * (answers - self._answers)
+        self._codeviation += events * answers_deviation * (interval - self._seconds)
 
     def fit(self, slots: int) -> Pace:
-        """Give the line, for engines that make so many answers at most."""
-        # What the assumed slowdown makes of the mean that was seen.
-        rise = (FULL_BATCH_SLOWDOWN - 1.0) / slots
-        assumed = self._seconds * rise / (1.0 + rise * self._answers)
-        weighted = self._common + PRIOR_WEIGHT * assumed
-        each = max(0.0, weighted / (self._spread + PRIOR_WEIGHT))
-        # Even alone an answer's event takes a part of what was seen.
-        alone = max(self._seconds - each * self._answers, self._seconds / slots)
-        return Pace(alone, each)
+        """Return the fitted pace, for engines with the given batch size."""
+        # The slope that the assumed slowdown implies for the observed mean.
+        slope = (FULL_BATCH_SLOWDOWN - 1.0) / slots
+        assumed = self._seconds * slope / (1.0 + slope * self._answers)
+        weighted = self._codeviation + PRIOR_WEIGHT * assumed
+        per_answer = max(0.0, weighted / (self._squares + PRIOR_WEIGHT))
+        # The constant part is at least one slot's share of the observed mean.
+        base = max(self._seconds - per_answer * self._answers, self._seconds / slots)
+        return Pace(base, per_answer)
 
 
 class RequiredSpeedEstimator:
-    """Learn how fast whole answers have to be made to end in time."""
+    """Estimate how fast answers must be decoded to meet their deadlines."""
 
     def __init__(self) -> None:
         self._events = 0.0
         self._speeds = 0.0
+        """Decaying sum of the required speeds, weighted by events."""
         self._answers = 0.0
 
     def record_answer(self, events: int, seconds: float) -> None:
-        """Take in a whole answer's events, and the time that it had for them."""
+        """Record a complete answer's events and the time available for them."""
         if events < 1:
             return
-        forget = 1.0 - 1.0 / MEMORY_ANSWERS
-        self._events = self._events * forget + events
+        decay = 1.0 - 1.0 / MEMORY_ANSWERS
+        self._events = self._events * decay + events
         speed = events / max(seconds, MIN_ANSWER_SECONDS)
-        self._speeds = self._speeds * forget + events * speed
-        self._answers = self._answers * forget + 1.0
+        self._speeds = self._speeds * decay + events * speed
+        self._answers = self._answers * decay + 1.0
 
     @property
     def max_interval(self) -> float:
-        """Give the seconds that an event may take, infinite while little was seen."""
+        """Return the longest allowed event interval; infinite with too few answers."""
         if self._answers < MIN_ANSWERS:
             return float("inf")
         return self._events / (self._speeds * SPEED_MARGIN)
--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -1,4 +1,4 @@
-"""Choose engines and services by what this entry has given them."""
+"""Placement of requests on engines and services that this entry calls directly."""
 
 import time
 from collections.abc import Callable, Collection, Iterable, Sequence
@@ -7,7 +7,7 @@
 from typing import Final
 
 from radishtally.direct.core import CachedPart, Instance, is_same_start
-from radishtally.engines.cache import PromptCache, hash_kept
+from radishtally.engines.cache import PromptCache, hash_cached_part
 from radishtally.engines.choice import (
     PlacementContext,
     choose_decode,
@@ -40,15 +40,15 @@
 from radishtally.serving.requests import OpenRequest
 
 DEFAULT_ENGINE_TERMS: Final = EngineTerms(400_000)
-"""What is taken of engines until the configuration says more."""
+"""Engine terms assumed until the configuration specifies them."""
 ROLE_ORDER_SECONDS: Final = 1.0
-"""Time until an engine is ordered to make answers where none does: two looks."""
+"""Time until an engine is ordered to decode if none does: two controller ticks."""
 MIN_OUTAGE_SECONDS: Final = 0.5
-"""Time after which it is worth asking again where an engine should be back already."""
+"""Retry delay if a decode engine should already be available again."""
 
 
 class EnginePlacement:
-    """Place prompts where their shared parts lie, and answers where there is room."""
+    """Place prompts near their cached parts, and answers where slots are free."""
 
     def __init__(
         self,
@@ -62,27 +62,27 @@
         self._engines: dict[str, EngineState] = {}
         self._changed: set[str] = set()
         self._unmatched_shares: dict[str, dict[str, EngineShare]] = {}
-        """What other entries have open, by engines and by their names, at starts that
-        are not the ones known here; told once, it would be missed for good."""
+        """Shares of other entries, by engine and entry, for engine starts that are not
+        known here; they are kept because each is reported only once."""
         self._parts_read: list[PartsRead] = []
-        """Parts that this entry was the first to give to an engine, as far as known."""
+        """Parts newly sent to an engine by this entry, to be reported to peers."""
         self._outage_since: dict[str, float] = {}
-        """Since when no engine of an upstream makes answers."""
+        """Time since when an upstream has had no decode engine."""
         self._queue_orders: dict[str, QueueOrderEstimator] = {}
-        """In which order the engines of each upstream read."""
-        self._terms: dict[str, EngineTerms] = {}
+        """Queue order of each upstream's engines."""
+        self._engine_terms: dict[str, EngineTerms] = {}
 
     def configure(self, upstreams: Iterable[UpstreamTerms]) -> None:
-        """Take what the configuration says of engines."""
+        """Apply the engine terms of the configuration."""
         for upstream in upstreams:
             if upstream.engine is not None:
-                self._terms[upstream.name] = upstream.engine
-        # Engines may be listed before the configuration is read, and it changes.
+                self._engine_terms[upstream.name] = upstream.engine
+        # Engines may be listed before the configuration is read, and it may change.
         for engine in self._engines.values():
             engine.cache.resize(self._find_cache_size(engine.upstream))
 
     def set_instance(self, instance: Instance) -> None:
-        """Take what a host is."""
+        """Add or update the engine of a host."""
         if not instance.role:
             return
         known = self._engines.get(instance.host)
@@ -107,23 +107,23 @@
             self._record_share(peer, share, self._clock())
 
     def reset_engine(self, host: str) -> None:
-        """Forget the earlier start of an engine; what it is now is told next."""
+        """Drop the state of an engine's earlier start; set_instance follows."""
         self._engines.pop(host, None)
 
     def forget(self, host: str) -> None:
-        """Forget a host that is gone."""
+        """Drop a host that was removed."""
         self._engines.pop(host, None)
         self._unmatched_shares.pop(host, None)
 
     def forget_peer(self, peer: str) -> None:
-        """Forget what an entry has open that is out of reach."""
+        """Drop the open work of an entry that is unreachable."""
         for engine in self._engines.values():
             engine.drop_peer(peer)
         for shares in self._unmatched_shares.values():
             shares.pop(peer, None)
 
     def record_backlog(self, peer: str, backlog: Backlog, now: float) -> None:
-        """Take what another entry has open."""
+        """Record another entry's open work."""
         for share in backlog.shares:
             self._record_share(peer, share, now)
 
@@ -131,61 +131,61 @@
         engine = self._engines.get(share.host)
         if engine is None:
             return
-        early = self._unmatched_shares.setdefault(share.host, {})
+        unmatched = self._unmatched_shares.setdefault(share.host, {})
         if is_same_start(share.start, engine.start_mark):
-            early.pop(peer, None)
+            unmatched.pop(peer, None)
             engine.record_peer_share(peer, PeerShare(share.waiting, share.answers), now)
             return
-        # One of the two does not know yet that the engine has started again. What was
-        # open at its earlier start is lost, and was not read: it tells no rate.
+        # One of the two entries does not know yet that the engine has restarted. Work
+        # open at its earlier start is lost and must not count as prefilled.
         engine.drop_peer(peer)
-        early[peer] = share
+        unmatched[peer] = share
 
     def make_backlog(
         self,
         hosts: Iterable[str] | None = None,
-        left_out: Collection[str] | None = None,
+        excluded: Collection[str] | None = None,
     ) -> Backlog:
-        """Give what this entry has open at some engines, or at all of them.
+        """Return this entry's open work at some engines, or at all of them.
 
-        Where it collects, that is what all entries have but those left out.
+        A collector passes the entries to exclude, and gets the sum of all others.
         """
         engines = self._engines
         names = engines.keys() if hosts is None else hosts
         shares = [
             EngineShare(
-                host, *engines[host].build_share(left_out), engines[host].start_mark
+                host, *engines[host].build_share(excluded), engines[host].start_mark
             )
             for host in names
             if host in engines
         ]
         return Backlog(tuple(shares))
 
-    def record_parts(self, told: PartsRead) -> None:
-        """Take which parts another entry has given to an engine."""
-        engine = self._engines.get(told.host)
-        if engine is None or not is_same_start(told.start, engine.start_mark):
-            # They are told again where they are missed: once each, when read again.
+    def record_parts(self, read: PartsRead) -> None:
+        """Record the parts that another entry has sent to an engine."""
+        engine = self._engines.get(read.host)
+        if engine is None or not is_same_start(read.start, engine.start_mark):
+            # A missed part is reported once more when it is prefilled again.
             return
-        engine.cache.record_parts(told.parts)
+        engine.cache.record_parts(read.parts)
 
-    def record_kept_parts(self, host: str, kept: Iterable[CachedPart]) -> int:
-        """Take which parts an engine says that it keeps; give how many they are."""
+    def record_kept_parts(self, host: str, cached: Iterable[CachedPart]) -> int:
+        """Record the parts that an engine reports as cached; return their number."""
         engine = self._engines.get(host)
         if engine is None:
             return 0
-        parts = tuple(map(hash_kept, kept))
+        parts = tuple(map(hash_cached_part, cached))
         engine.cache.record_parts(parts)
         self._parts_read.append(PartsRead(host, engine.start_mark, parts))
         return len(parts)
 
     def pop_parts_read(self) -> list[PartsRead]:
-        """Take what this entry has given to engines since the last call."""
+        """Return and clear the parts sent to engines since the last call."""
         read, self._parts_read = self._parts_read, []
         return read
 
     def list_parts(self) -> list[PartsRead]:
-        """List the shared parts that each engine is taken to keep."""
+        """List the shared parts that each engine is assumed to have cached."""
         return [
             PartsRead(engine.host, engine.start_mark, tuple(parts))
             for engine in self._engines.values()
@@ -193,69 +193,69 @@
         ]
 
     def pop_changed_hosts(self) -> set[str]:
-        """Take the engines at which something began or ended since the last call."""
+        """Return and clear the engines whose open work changed since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
     def measure_rate(self, host: str) -> float:
-        """Give the prompt tokens that an engine reads in a second."""
+        """Return the estimated prefill rate of an engine in tokens per second."""
         engine = self._engines.get(host)
         return INITIAL_PREFILL_RATE if engine is None else engine.rate
 
     def place(
         self, request: OpenRequest, hosts: Sequence[KnownHost], place: str, now: float
     ) -> Placed | Declined:
-        """Choose among usable hosts, for an entry in a place."""
-        left = [host for host in hosts if host.host not in request.tried]
+        """Choose a host and a stage for a request."""
+        untried = [host for host in hosts if host.host not in request.tried]
         if request.work.kind == CALL:
-            return place_call(left, place, self._random)
+            return place_call(untried, place, self._random)
         engines = [
-            self._engines[host.host] for host in left if host.host in self._engines
+            self._engines[host.host] for host in untried if host.host in self._engines
         ]
         prefill = [engine for engine in engines if engine.role == PREFILL]
         decode = [engine for engine in engines if engine.role != PREFILL]
         outage = self._estimate_outage(request.work.upstream, bool(decode), now)
         needs_answer = request.next_stage == DECODE or request.kv_lost or not prefill
         if not decode and needs_answer:
-            why = f"no engine makes answers, of {len(hosts)} known and {len(left)} left"
+            why = f"no decode engine: {len(hosts)} hosts known, {len(untried)} untried"
             return Declined(outage, why)
         if needs_answer:
             stage = DECODE if request.next_stage == DECODE else WHOLE
             source = self._engines.get(request.kv.host) if request.kv else None
-            near = source.data_centre if source is not None else place
-            field = self._make_context(place, decode, now)
-            return Placed(stage, choose_decode(decode, near, field).host)
-        field = self._make_context(place, prefill, now)
-        return place_prompt(request, prefill, decode, field, outage, now)
+            kv_place = source.data_centre if source is not None else place
+            context = self._make_context(place, decode, now)
+            return Placed(stage, choose_decode(decode, kv_place, context).host)
+        context = self._make_context(place, prefill, now)
+        return place_prompt(request, prefill, decode, context, outage, now)
 
     def _make_context(
         self, place: str, engines: Sequence[EngineState], now: float
     ) -> PlacementContext:
-        few = self.unseen_requests.count_candidates(len(engines), now)
-        return PlacementContext(place, few, self._random)
+        sample_size = self.unseen_requests.count_candidates(len(engines), now)
+        return PlacementContext(place, sample_size, self._random)
 
-    def _estimate_outage(self, upstream: str, is_answered: bool, now: float) -> float:
-        """Give the seconds until an engine makes answers again; 0 where one does."""
-        if is_answered:
+    def _estimate_outage(self, upstream: str, has_decode: bool, now: float) -> float:
+        """Return the seconds until a decode engine is expected; 0 if there is one."""
+        if has_decode:
             self._outage_since.pop(upstream, None)
             return 0.0
         since = self._outage_since.setdefault(upstream, now)
-        terms = self._terms.get(upstream, DEFAULT_ENGINE_TERMS)
-        expected = since + ROLE_ORDER_SECONDS + terms.role_seconds
-        return max(expected - now, MIN_OUTAGE_SECONDS)
+        terms = self._engine_terms.get(upstream, DEFAULT_ENGINE_TERMS)
+        available_at = since + ROLE_ORDER_SECONDS + terms.role_seconds
+        return max(available_at - now, MIN_OUTAGE_SECONDS)
 
     def find_role(self, host: str) -> str:
-        """Find a host's role: only hosts of the same one can replace it."""
+        """Return a host's role; only hosts of the same role can replace it."""
         engine = self._engines.get(host)
         return "" if engine is None else engine.role
 
     def count_open(self, host: KnownHost) -> int:
-        """Count the answers that would be lost with a host, those of others too."""
+        """Count the answers that would be lost with a host, those of peers included."""
         engine = self._engines.get(host.host)
         return host.in_flight if engine is None else engine.count_answers()
 
     def begin(self, request: OpenRequest, host: KnownHost, now: float) -> None:
-        """Note that the request was offered to a host."""
+        """Record that a request was offered to a host."""
         engine = self._engines.get(host.host)
         if engine is None:
             return
@@ -273,15 +273,15 @@
             return
         self.unseen_requests.record_request(now)
         engine.begin_prefill(name, tokens, request.terms.priority, now)
-        # Both at once, as it comes: counted when they end, answers that engines are
-        # too slow for would not count, and still fewer engines would be left to them.
+        # The expected answer counts on arrival. Counted at their end, answers that
+        # overloaded engines never finish would be missed and cost decode more engines.
         expected = request.terms.output_tokens
         self.observer.record_request(work.upstream, tokens, expected, now)
 
     def record_progress(
         self, request: OpenRequest, host: KnownHost, now: float
     ) -> None:
-        """Note that a part of an answer has come: its prompt is read."""
+        """Record that a part of an answer arrived, so its prompt is prefilled."""
         engine = self._engines.get(host.host)
         if engine is None:
             return
@@ -294,7 +294,7 @@
     def _record_event_times(
         self, engine: EngineState, request: OpenRequest, now: float
     ) -> None:
-        """Learn from how long an answer's new events took."""
+        """Report how long the new events of an answer took."""
         name = request.work.request
         last = engine.last_events.get(name)
         engine.last_events[name] = now, request.tokens
@@ -307,7 +307,7 @@
         )
 
     def finish(self, request: OpenRequest, host: KnownHost) -> None:
-        """Note that the request's answer is whole."""
+        """Record that the request's answer is complete."""
         if host.host not in self._engines:
             return
         terms = request.terms
@@ -320,7 +320,7 @@
         )
 
     def end(self, request: OpenRequest, host: KnownHost) -> None:
-        """Note that the request's present attempt at a host is over."""
+        """Record that the request's current attempt at a host has ended."""
         engine = self._engines.get(host.host)
         if engine is None:
             return
@@ -331,7 +331,7 @@
         engine.end_prefill(name, now, request.kv is not None)
 
     def _estimate_initial_rate(self, upstream: str) -> float:
-        """Find the rate of a new engine: what those beside it were seen to read."""
+        """Return the initial rate of a new engine: the mean of its timed siblings."""
         rates = [
             engine.rate
             for engine in self._engines.values()
@@ -340,6 +340,6 @@
         return mean(rates) if rates else INITIAL_PREFILL_RATE
 
     def _find_cache_size(self, upstream: str) -> int:
-        """Find how many tokens of prompts an engine of an upstream keeps."""
-        terms = self._terms.get(upstream, DEFAULT_ENGINE_TERMS)
+        """Return how many prompt tokens an engine of an upstream can cache."""
+        terms = self._engine_terms.get(upstream, DEFAULT_ENGINE_TERMS)
         return int(terms.kv_tokens * CACHE_SHARE)
--- a/radishtally/engines/state.py
+++ b/radishtally/engines/state.py
@@ -1,4 +1,4 @@
-"""Follow what one engine has been given and how fast it is."""
+"""State of one engine as an entry sees it: open work and prefill rate."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable, Mapping
@@ -12,67 +12,68 @@
 from radishtally.links.messages import PREFILL, WaitingTokens
 
 INITIAL_PREFILL_RATE: Final = 50_000.0
-"""Prompt tokens that an engine reads in a second until one of its upstream was timed:
-assumed, the first prompts tell."""
+"""Prompt tokens per second that an engine is assumed to prefill until an engine of its
+upstream has been timed, which takes only a few prompts."""
 PRIOR_TOKENS: Final = 5_000.0
-"""Tokens of reading that the rate at the start counts for."""
+"""Weight of the initial rate, in prefilled tokens."""
 RATE_MEMORY_TOKENS: Final = 150_000.0
-"""Tokens that the rate remembers: some seconds of a busy engine's work."""
+"""Tokens over which the rate decays: some seconds of a busy engine's work."""
 MIN_RATE_TOKENS: Final = 5_000
-"""Least tokens of a stretch whose time tells the rate: what others' news lag is then a
-small part of it."""
+"""Tokens that a busy period needs to be timed, so that the delay of the peers' reports
+is a small part of it."""
 RATE_UPDATE_SECONDS: Final = 0.5
-"""Time after which the rate is learned though the engine is still at work: under a
-lasting load it has no idle moment, and just then the rate decides."""
+"""Time after which the rate is updated while the engine is still busy: under sustained
+load the engine is never idle, and that is when placement depends on the rate."""
 RATE_BOUNDS: Final = (10_000.0, 200_000.0)
-"""Rates outside are taken for errors of the measurement, as of a paused process."""
+"""Rates are clamped to these bounds; those outside are measurement errors, as from a
+paused process."""
 PREFILL_OVERHEAD_SECONDS: Final = 0.06
-"""Time of a prompt's computation beside its tokens."""
+"""Fixed prefill time of a prompt, in addition to that of its tokens."""
 CHUNK_TOKENS: Final = 1_000.0
-"""Tokens that an engine reads on with before it takes up a more urgent prompt: half of
-the piece of 2,048 that is usual."""
+"""Tokens that an engine still prefills before it starts a more urgent prompt: half of
+the usual prefill chunk of 2,048 tokens."""
 LATE_PRIORITY_OFFSET: Final = 5
-"""Added to the priority of work that will be late: it goes behind all that can still be
-in time."""
+"""Added to the priority of requests that are predicted to be late, so that they queue
+behind all requests that can still be on time."""
 LOWEST_PRIORITY: Final = 1_000
-"""Priority behind all others."""
+"""Larger than every priority in use; a lower number is more urgent."""
 CACHE_SHARE: Final = 0.7
-"""Share of an engine's memory that is taken to keep parts; the rest serves answers."""
+"""Share of an engine's KV memory assumed to cache prompts; answers use the rest."""
 
 
 MARK_MASK: Final = 0xFFFF
 
 
 class PeerShare(NamedTuple):
-    """Hold what another entry has open at an engine."""
+    """Hold the work that another entry has open at an engine."""
 
     waiting: tuple[WaitingTokens, ...]
-    """Prompt tokens that are still to be read, by priority."""
+    """Prompt tokens that await prefill, by priority."""
     answers: int
 
     @property
     def tokens(self) -> int:
-        """Give the tokens of all priorities."""
+        """Return the waiting tokens of all priorities."""
         return sum(item.tokens for item in self.waiting)
 
 
 class PendingPrefill(NamedTuple):
-    """Hold a prompt that an engine was given to read."""
+    """Hold a prompt that was sent to an engine and is not prefilled yet."""
 
     tokens: int
     priority: int
     """Lower goes first."""
-    started_at: float = 0.0
+    sent_at: float = 0.0
     wait: WaitEstimate = WaitEstimate(0.0, 0.0)
-    """What was ahead of it then."""
+    """Estimated wait when it was sent."""
 
 
 def make_start_mark(started_ms: int) -> int:
-    """Give a short mark that tells an engine's starts apart; 0 for one never told.
+    """Return a 16-bit mark that identifies an engine start; 0 if the start is unknown.
 
-    Two starts of an engine have one mark once in 65,000 times, and then work of the
-    earlier one counts until its end is told. The whole number would make each share
-    half as large again.
+    Two starts of an engine share a mark once in 65,000 cases; work of the earlier start
+    then counts until its end is reported. The full timestamp would make each share in
+    load reports half as large again.
     """
     if not started_ms:
         return 0
@@ -85,22 +86,22 @@
     for share in shares:
         waiting.update(dict(share.waiting))
         answers += share.answers
-    return PeerShare(_order(waiting), answers)
+    return PeerShare(_sort_by_priority(waiting), answers)
 
 
-def _subtract(share: PeerShare, less: PeerShare) -> PeerShare:
+def _subtract(share: PeerShare, part: PeerShare) -> PeerShare:
     waiting = Counter(dict(share.waiting))
-    waiting.subtract(dict(less.waiting))
-    return PeerShare(_order(+waiting), share.answers - less.answers)
+    waiting.subtract(dict(part.waiting))
+    return PeerShare(_sort_by_priority(+waiting), share.answers - part.answers)
 
 
-def _order(waiting: Mapping[int, int]) -> tuple[WaitingTokens, ...]:
+def _sort_by_priority(waiting: Mapping[int, int]) -> tuple[WaitingTokens, ...]:
     return tuple(starmap(WaitingTokens, sorted(waiting.items())))
 
 
 @dataclass(slots=True)
 class EngineState:
-    """Hold what is known of one engine."""
+    """Hold the state of one engine."""
 
     host: str
     data_centre: str
@@ -108,171 +109,172 @@
     cache: PromptCache
     upstream: str = ""
     slots: int = 1
-    """Answers that it makes at a time."""
+    """Answers that it can decode at a time."""
     start_mark: int = 0
-    """Mark of its start; 0 if it was never told."""
+    """Mark of its start; 0 if unknown."""
     queue_order: QueueOrderEstimator = field(default_factory=QueueOrderEstimator)
-    """What the engines of its upstream were seen to do with what waits."""
+    """Queue order observed at the engines of its upstream."""
     start_rate: float = INITIAL_PREFILL_RATE
-    """Prompt tokens a second, until it was timed itself."""
+    """Prompt tokens per second until this engine has been timed."""
     timed_tokens: float = 0.0
-    """Tokens of timed stretches of work, older ones forgotten, as is the next."""
+    """Decaying sum of the tokens of timed busy periods."""
     timed_seconds: float = 0.0
+    """Decaying sum of the seconds of timed busy periods."""
     prefills: dict[str, PendingPrefill] = field(default_factory=dict)
-    """What it has to read for requests of this entry."""
+    """Prompts of this entry that await prefill, by request."""
     answers: set[str] = field(default_factory=set)
-    """Requests of this entry that it is answering."""
+    """Requests of this entry that have an answer open there."""
     peer_shares: dict[str, PeerShare] = field(default_factory=dict)
-    """What the other entries have open there, by their names; set by take_share."""
+    """Open work of the other entries, by entry; set by record_peer_share."""
     peer_tokens: int = 0
-    """Prompt tokens of them all, kept as they come: each share that is taken asks."""
+    """Waiting tokens of all peers, updated incrementally: each new share reads it."""
     peer_total: PeerShare | None = None
-    """Sum of them all, once it was asked for: an entry that collects tells it to each
-    of many others, and adding all up for each would cost the square of their number."""
+    """Cached sum of all peer shares: a collector reports it to each of many entries,
+    and summing again for each of them would take quadratic time."""
     last_events: dict[str, tuple[float, int]] = field(default_factory=dict)
-    """When the last event of each answer came to this entry, and its number."""
+    """Time and number of the last event that this entry received of each answer."""
     last_progress_at: float = float("-inf")
-    """Time at which it last finished a prompt, or was given one while it had none."""
+    """Time at which it last finished a prompt, or received one while idle."""
     timed_since: float = float("-inf")
-    """Time from which the present stretch of work is timed."""
+    """Time from which the current busy period is timed."""
     finished_tokens: int = 0
-    """Tokens read in the present stretch."""
+    """Tokens prefilled in the current busy period."""
 
     @property
     def rate(self) -> float:
-        """Give the prompt tokens that it reads in a second."""
+        """Return the estimated prefill rate in tokens per second."""
         seconds = PRIOR_TOKENS / self.start_rate + self.timed_seconds
         return (PRIOR_TOKENS + self.timed_tokens) / seconds
 
     def begin_prefill(
         self, request: str, tokens: int, priority: int, now: float
     ) -> None:
-        """Note that a prompt was given to it."""
-        wait = self.measure_wait(priority, now)
+        """Record that a prompt was sent to the engine."""
+        wait = self.estimate_wait(priority, now)
         self._start_work(now)
         self.prefills[request] = PendingPrefill(tokens, priority, now, wait)
 
     def end_prefill(self, request: str, now: float, was_read: bool) -> None:
-        """Note that a prompt is read, or is given up."""
-        reading = self.prefills.pop(request, None)
-        if reading is None:
+        """Record that a prompt was prefilled or abandoned."""
+        prefill = self.prefills.pop(request, None)
+        if prefill is None:
             return
         self.last_progress_at = now
         if was_read:
-            self.finished_tokens += reading.tokens
-            self._learn_order(reading, now)
-        self._learn_rate(now)
+            self.finished_tokens += prefill.tokens
+            self._update_queue_order(prefill, now)
+        self._update_rate(now)
 
     def record_peer_share(self, peer: str, share: PeerShare, now: float) -> None:
-        """Take what another entry has open there."""
+        """Record the work that another entry has open at the engine."""
         old = self.peer_shares.get(peer)
-        less = (old.tokens if old else 0) - share.tokens
+        done_tokens = (old.tokens if old else 0) - share.tokens
         if share.tokens:
             self._start_work(now)
-        if less > 0:
+        if done_tokens > 0:
             self.last_progress_at = now
-            self.finished_tokens += less
+            self.finished_tokens += done_tokens
         self.peer_shares[peer] = share
-        self.peer_tokens -= less
+        self.peer_tokens -= done_tokens
         self.peer_total = None
-        self._learn_rate(now)
+        self._update_rate(now)
 
     def drop_peer(self, peer: str) -> None:
-        """Forget what another entry has open there."""
+        """Drop the work that another entry has open at the engine."""
         share = self.peer_shares.pop(peer, None)
         if share is not None:
             self.peer_tokens -= share.tokens
             self.peer_total = None
 
     def sum_peers(self) -> PeerShare:
-        """Give what all other entries have open there."""
+        """Return the open work of all other entries."""
         if self.peer_total is None:
             self.peer_total = _add_up(self.peer_shares.values())
         return self.peer_total
 
-    def build_share(self, left_out: Collection[str] | None = None) -> PeerShare:
-        """Give what this entry has open there, or all have but some peers."""
+    def build_share(self, excluded: Collection[str] | None = None) -> PeerShare:
+        """Return this entry's open work, or that of all entries except some peers."""
         own = self._make_own_share()
-        if left_out is None:
+        if excluded is None:
             return own
-        theirs = self.sum_peers()
-        total = _add_up((own, theirs)) if own.waiting else theirs
-        total = total._replace(answers=theirs.answers + own.answers)
-        shares = (self.peer_shares.get(name) for name in left_out)
-        less = [share for share in shares if share and (share.waiting or share.answers)]
-        return _subtract(total, _add_up(less)) if less else total
+        others = self.sum_peers()
+        total = _add_up((own, others)) if own.waiting else others
+        total = total._replace(answers=others.answers + own.answers)
+        shares = (self.peer_shares.get(name) for name in excluded)
+        busy = [share for share in shares if share and (share.waiting or share.answers)]
+        return _subtract(total, _add_up(busy)) if busy else total
 
     def _make_own_share(self) -> PeerShare:
         waiting = Counter[int]()
-        for reading in self.prefills.values():
-            waiting[reading.priority] += reading.tokens
-        return PeerShare(_order(waiting), len(self.answers))
+        for prefill in self.prefills.values():
+            waiting[prefill.priority] += prefill.tokens
+        return PeerShare(_sort_by_priority(waiting), len(self.answers))
 
     def count_pending_tokens(self, priority: int = LOWEST_PRIORITY) -> int:
-        """Count the prompt tokens that it reads for all entries before any new ones.
+        """Count the prompt tokens of all entries that await prefill.
 
-        That is what is as urgent or more so; all of them where no priority is given.
+        With a priority, count only prompts that are as urgent or more urgent.
         """
         if priority == LOWEST_PRIORITY:
-            ours = sum(reading.tokens for reading in self.prefills.values())
-            return ours + self.peer_tokens
-        ours = sum(
-            reading.tokens
-            for reading in self.prefills.values()
-            if reading.priority <= priority
+            own_tokens = sum(prefill.tokens for prefill in self.prefills.values())
+            return own_tokens + self.peer_tokens
+        own_tokens = sum(
+            prefill.tokens
+            for prefill in self.prefills.values()
+            if prefill.priority <= priority
         )
-        theirs = sum(
+        peer_tokens = sum(
             item.tokens
             for item in self.sum_peers().waiting
             if item.priority <= priority
         )
-        return ours + theirs
+        return own_tokens + peer_tokens
 
     def count_answers(self) -> int:
-        """Count the answers that all entries have open there."""
+        """Count the open answers of all entries."""
         return len(self.answers) + self.sum_peers().answers
 
     @property
     def fill(self) -> float:
-        """Give the share of its batch that the answers of all entries take."""
+        """Return the share of its slots that open answers take."""
         return self.count_answers() / self.slots
 
     def predict_wait(self, priority: int, now: float) -> float:
-        """Predict the seconds until a prompt of a priority is begun."""
-        return self.queue_order.predict(self.measure_wait(priority, now))
+        """Predict the seconds until a prompt of the given priority is started."""
+        return self.queue_order.predict(self.estimate_wait(priority, now))
 
-    def measure_wait(self, priority: int, now: float) -> WaitEstimate:
-        """Measure what is ahead of a prompt of a priority that would come now."""
+    def estimate_wait(self, priority: int, now: float) -> WaitEstimate:
+        """Estimate the wait of a prompt of the given priority for both queue orders."""
         tokens = self.count_pending_tokens()
         if not tokens:
             return WaitEstimate(0.0, 0.0)
-        # It has worked on the first of them since it finished the last one.
+        # The engine has worked on the first prompt since its last progress.
         worked = now - self.last_progress_at
-        least = CHUNK_TOKENS / self.rate
+        min_wait = CHUNK_TOKENS / self.rate
         ahead = self.count_pending_tokens(priority)
-        by_arrival = max(least, tokens / self.rate - worked)
-        return WaitEstimate(by_arrival, max(least, ahead / self.rate - worked))
+        by_arrival = max(min_wait, tokens / self.rate - worked)
+        return WaitEstimate(by_arrival, max(min_wait, ahead / self.rate - worked))
 
-    def _learn_order(self, reading: PendingPrefill, now: float) -> None:
-        # What is put behind all else waits for what comes later too.
-        if self.role == PREFILL and reading.priority < LATE_PRIORITY_OFFSET:
-            took = reading.tokens / self.rate + PREFILL_OVERHEAD_SECONDS
-            self.queue_order.record_wait(reading.wait, now - reading.started_at - took)
+    def _update_queue_order(self, prefill: PendingPrefill, now: float) -> None:
+        # A late prompt also waits for requests that arrive after it.
+        if self.role == PREFILL and prefill.priority < LATE_PRIORITY_OFFSET:
+            took = prefill.tokens / self.rate + PREFILL_OVERHEAD_SECONDS
+            self.queue_order.record_wait(prefill.wait, now - prefill.sent_at - took)
 
     def _start_work(self, now: float) -> None:
         if self.count_pending_tokens():
             return
-        # The fixed time of the first prompt is no time that tokens take.
+        # The fixed time of the first prompt does not depend on its tokens.
         self.timed_since = now + PREFILL_OVERHEAD_SECONDS
         self.last_progress_at = now
         self.finished_tokens = 0
 
-    def _learn_rate(self, now: float) -> None:
-        """Learn from a stretch of work that is over, or has lasted long enough."""
+    def _update_rate(self, now: float) -> None:
+        """Update the rate when a busy period has ended or lasted long enough."""
         seconds = now - self.timed_since
         if self.count_pending_tokens() and seconds < RATE_UPDATE_SECONDS:
             return
-        # What an engine reads beside answers says nothing of its rate without them.
+        # Prefill alongside decode does not show the rate of a prefill engine.
         is_timed = self.role == PREFILL and self.finished_tokens >= MIN_RATE_TOKENS
         if is_timed and seconds > 0:
             low, high = RATE_BOUNDS
--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -1,4 +1,4 @@
-"""A fleet in simulated time, whose gateways place prompts and answers by old news."""
+"""Simulation of gateways that place prompts and answers with stale views."""
 
 import heapq
 from collections import Counter
@@ -29,41 +29,41 @@
 TOKENS_PER_SECOND = 50_000.0
 DATA_CENTRES = ("howrah", "new-town", "behala", "gariahat", "salt-lake")
 SLOTS = 16
-SHARED = 5_000
-OWN = 6_000
-BUSY = 0.4
-"""Share of their time that the engines for prompts are to be busy."""
+SHARED_TOKENS = 5_000
+OWN_TOKENS = 6_000
+UTILIZATION = 0.4
+"""Utilization of the prefill engines."""
 ANSWER_SECONDS = 0.3
 
 
 class Fleet(NamedTuple):
-    """Say how many decide for how many engines, by how old news."""
+    """Describe the simulated gateways and engines, and the age of load reports."""
 
     gateways: int
     engines: int
     age: float = 0.0
-    """Seconds, in the mean: news comes as far apart, and half of that late."""
+    """Mean age in seconds: the report interval, with half of it as delay."""
     shared_parts: int = 200
 
 
 class Report(NamedTuple):
-    """Hold how prompts and answers fared."""
+    """Hold the results of a simulation."""
 
     waits: list[float]
-    """Seconds until prompts were begun, in ascending order."""
+    """Seconds until prompts were started, in ascending order."""
     busiest: float
-    """Work of the busiest engine for prompts, by the mean."""
+    """Work of the busiest prefill engine, relative to the mean."""
     most_answers: int
-    """Most answers at one engine at a time."""
-    read_again: float
-    """Share of the prompts whose shared part was read though it had been before."""
+    """Most concurrent answers at one engine."""
+    prefilled_again: float
+    """Share of the prompts whose shared part was prefilled more than once."""
 
     def find_wait(self, part: float) -> float:
         return self.waits[int(part * (len(self.waits) - 1))]
 
 
 class Model:
-    """Play a fleet: engines read one prompt after another, and make some answers."""
+    """Simulate a fleet: prefill engines work on one prompt at a time."""
 
     def __init__(self, fleet: Fleet, seconds: float, seed: int) -> None:
         self.fleet = fleet
@@ -85,9 +85,9 @@
         self.answers = Counter()
         self.most_answers = 0
         self.waits: list[float] = []
-        self.read: set[int] = set()
-        self.kept: set[tuple[str, int]] = set()
-        self.again = 0
+        self.prefilled: set[int] = set()
+        self.cached: set[tuple[str, int]] = set()
+        self.prefilled_again = 0
 
     def make_gateway(self, number: int) -> EnginePlacement:
         placement = EnginePlacement(lambda: self.now, Random(number))
@@ -101,40 +101,45 @@
         )
         return placement
 
-    def play(self) -> Report:
-        readers = sum(role == PREFILL for role in self.roles.values())
-        per_second = readers * BUSY * TOKENS_PER_SECOND / (OWN + 0.2 * SHARED)
-        self.plan(0.0, self.arrive, per_second)
+    def run(self) -> Report:
+        prefill_engines = sum(role == PREFILL for role in self.roles.values())
+        per_second = (
+            prefill_engines
+            * UTILIZATION
+            * TOKENS_PER_SECOND
+            / (OWN_TOKENS + 0.2 * SHARED_TOKENS)
+        )
+        self.schedule(0.0, self.arrive, per_second)
         if self.fleet.gateways > 1:
-            self.plan(self.fleet.age, self.tell)
+            self.schedule(self.fleet.age, self.send_reports)
         while self.due:
-            self.now, _, act, more = heapq.heappop(self.due)
-            act(*more)
+            self.now, _, action, more = heapq.heappop(self.due)
+            action(*more)
         done = [self.work[host] for host, r in self.roles.items() if r == PREFILL]
         return Report(
             sorted(self.waits),
             max(done) / (sum(done) / len(done)),
             self.most_answers,
-            self.again / len(self.waits),
+            self.prefilled_again / len(self.waits),
         )
 
-    def plan(self, delay: float, act: object, *more: object) -> None:
-        heapq.heappush(self.due, (self.now + delay, next(self.order), act, more))
+    def schedule(self, delay: float, action: object, *more: object) -> None:
+        heapq.heappush(self.due, (self.now + delay, next(self.order), action, more))
 
     def arrive(self, per_second: float) -> None:
         if self.now < self.seconds:
-            self.plan(self.random.expovariate(per_second), self.arrive, per_second)
+            self.schedule(self.random.expovariate(per_second), self.arrive, per_second)
         part = self.random.randrange(self.fleet.shared_parts)
         name = f"r{next(self.order)}"
-        parts = PromptPart(f"s{part}", SHARED), PromptPart(name, OWN)
-        prompt = SHARED + OWN
+        parts = PromptPart(f"s{part}", SHARED_TOKENS), PromptPart(name, OWN_TOKENS)
+        prompt = SHARED_TOKENS + OWN_TOKENS
         work = Work(
             name, "", "llm", STREAM, b"", "m", prompt_tokens=prompt, prefix=part
         )
         terms = Terms(objective=0.6, parts=parts)
         request = OpenRequest(work, self.now + 10.0, True, self.now, terms)
         number = self.random.randrange(self.fleet.gateways)
-        self.read_prompt(number, request, part)
+        self.start_prefill(number, request, part)
 
     def place(self, number: int, request: OpenRequest) -> KnownHost:
         place = DATA_CENTRES[number % 5]
@@ -146,50 +151,58 @@
         self.gateways[number].begin(request, host, self.now)
         return host
 
-    def read_prompt(self, number: int, request: OpenRequest, part: int) -> None:
+    def start_prefill(self, number: int, request: OpenRequest, part: int) -> None:
         host = self.place(number, request)
-        is_kept = (host.host, part) in self.kept
-        self.again += not is_kept and part in self.read
-        self.kept.add((host.host, part))
-        self.read.add(part)
-        seconds = (OWN if is_kept else OWN + SHARED) / TOKENS_PER_SECOND
-        begun = max(self.now, self.free_at[host.host])
-        self.free_at[host.host] = begun + seconds
+        is_cached = (host.host, part) in self.cached
+        self.prefilled_again += not is_cached and part in self.prefilled
+        self.cached.add((host.host, part))
+        self.prefilled.add(part)
+        seconds = (
+            OWN_TOKENS if is_cached else OWN_TOKENS + SHARED_TOKENS
+        ) / TOKENS_PER_SECOND
+        started = max(self.now, self.free_at[host.host])
+        self.free_at[host.host] = started + seconds
         self.work[host.host] += seconds
-        self.waits.append(begun - self.now)
-        delay = begun + seconds - self.now
-        self.plan(delay, self.make_answer, number, request, host)
-
-    def make_answer(self, number: int, request: OpenRequest, reader: KnownHost) -> None:
-        request.kv = KvRef(reader.host, "", "h", 1)
-        self.gateways[number].end(request, reader)
+        self.waits.append(started - self.now)
+        delay = started + seconds - self.now
+        self.schedule(delay, self.start_answer, number, request, host)
+
+    def start_answer(
+        self, number: int, request: OpenRequest, prefill_host: KnownHost
+    ) -> None:
+        request.kv = KvRef(prefill_host.host, "", "h", 1)
+        self.gateways[number].end(request, prefill_host)
         request.next_stage = DECODE
         host = self.place(number, request)
         self.answers[host.host] += 1
         self.most_answers = max(self.most_answers, self.answers[host.host])
-        self.plan(ANSWER_SECONDS, self.finish, number, request, host)
+        self.schedule(ANSWER_SECONDS, self.finish, number, request, host)
 
     def finish(self, number: int, request: OpenRequest, host: KnownHost) -> None:
         self.answers[host.host] -= 1
         self.gateways[number].end(request, host)
 
-    def tell(self) -> None:
-        """Tell each gateway what the others have open; it hears that later."""
+    def send_reports(self) -> None:
+        """Send each gateway the open work of the others, with a delay."""
         read = [gateway.pop_parts_read() for gateway in self.gateways]
         for number, backlog in enumerate(self.list_backlogs()):
             parts = [told for n, told in enumerate(read) if n != number]
             parts = [item for told in parts for item in told]
-            self.plan(self.fleet.age / 2, self.hear, number, backlog, parts)
+            self.schedule(
+                self.fleet.age / 2, self.receive_report, number, backlog, parts
+            )
         if self.now < self.seconds:
-            self.plan(self.fleet.age, self.tell)
+            self.schedule(self.fleet.age, self.send_reports)
 
-    def hear(self, number: int, backlog: Backlog, parts: list[PartsRead]) -> None:
+    def receive_report(
+        self, number: int, backlog: Backlog, parts: list[PartsRead]
+    ) -> None:
         self.gateways[number].record_backlog("collector", backlog, self.now)
         for told in parts:
             self.gateways[number].record_parts(told)
 
     def list_backlogs(self) -> Iterator[Backlog]:
-        """List what all gateways but each one have open."""
+        """List, for each gateway, the open work of all others."""
         own = [self.count_own(gateway) for gateway in self.gateways]
         tokens, answers = Counter(), Counter()
         for waiting, making in own:
--- a/tests/engines/test_pace.py
+++ b/tests/engines/test_pace.py
@@ -1,4 +1,4 @@
-"""Tests of learning how answers slow each other down."""
+"""Tests of estimating how decode slows down with the batch size."""
 
 import random
 
@@ -14,21 +14,25 @@
 SLOTS = 64
 
 
-# How much a full batch slows answers down differs by a factor of four from one model to
-# the next: assumed, it leaves answers short of engines at one and prompts at another.
-@pytest.mark.parametrize(("alone", "each"), [(0.030, 0.0012), (0.036, 0.0003)])
-def test_line_is_found_through_scattered_times(alone: float, each: float) -> None:
-    pace, chance = PaceEstimator(), random.Random(1)
+# The slowdown of a full batch differs by a factor of four between models. An assumed
+# value would leave decode short of engines for one model and prefill for another.
+@pytest.mark.parametrize(("base", "per_answer"), [(0.030, 0.0012), (0.036, 0.0003)])
+def test_fit_recovers_the_line_from_noisy_intervals(
+    base: float, per_answer: float
+) -> None:
+    pace, rng = PaceEstimator(), random.Random(1)
     for _ in range(1_000):
-        answers = chance.randint(2, 40)
-        seconds = (alone + each * answers) * chance.uniform(0.7, 1.3)
+        answers = rng.randint(2, 40)
+        seconds = (base + per_answer * answers) * rng.uniform(0.7, 1.3)
         pace.record_events(answers, 1, seconds)
     fitted = pace.fit(SLOTS)
-    assert fitted.interval_at(20) == pytest.approx(alone + each * 20, rel=0.05)
-    assert fitted.interval_at(SLOTS) == pytest.approx(alone + each * SLOTS, rel=0.15)
+    assert fitted.interval_at(20) == pytest.approx(base + per_answer * 20, rel=0.05)
+    assert fitted.interval_at(SLOTS) == pytest.approx(
+        base + per_answer * SLOTS, rel=0.15
+    )
 
 
-def test_slowdown_is_assumed_until_it_is_seen() -> None:
+def test_slowdown_is_assumed_until_observed() -> None:
     pace = PaceEstimator()
     for _ in range(100):
         pace.record_events(8, 1, 0.045)
@@ -39,7 +43,7 @@
     )
 
 
-def test_model_that_turns_slower_is_followed() -> None:
+def test_fit_follows_a_model_that_becomes_slower() -> None:
     pace = PaceEstimator()
     for seconds in (0.03, 0.09):
         for number in range(10_000):
@@ -47,8 +51,8 @@
     assert pace.fit(SLOTS).interval_at(10) == pytest.approx(0.09, rel=0.05)
 
 
-# Engines look too slow for any answer: a paused process finds seconds between events.
-def test_stall_is_no_pace() -> None:
+# A paused process observes seconds between events, and engines would look too slow.
+def test_stalls_are_ignored() -> None:
     pace = PaceEstimator()
     for _ in range(100):
         pace.record_events(4, 1, 0.04)
@@ -56,7 +60,7 @@
     assert pace.fit(SLOTS).interval_at(4) == pytest.approx(0.04)
 
 
-def test_events_that_come_together_count_each() -> None:
+def test_events_received_together_are_counted_individually() -> None:
     pace = PaceEstimator()
     for _ in range(50):
         pace.record_events(4, 5, 0.2)
@@ -64,7 +68,7 @@
     assert pace.fit(SLOTS).interval_at(4) == pytest.approx(0.04)
 
 
-def test_long_answers_bound_the_time_of_an_event() -> None:
+def test_deadlines_bound_the_event_interval() -> None:
     speed = RequiredSpeedEstimator()
     speed.record_answer(40, 8.0)
     assert speed.max_interval == float("inf")
--- a/tests/engines/test_placement.py
+++ b/tests/engines/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of choosing engines."""
+"""Tests of placing requests on engines."""
 
 import pytest
 
@@ -46,7 +46,7 @@
 
 
 class World:
-    """Hold a placement and the hosts that it chooses among."""
+    """Hold a placement and its hosts."""
 
     def __init__(self, hosts: dict[str, str] = HOSTS) -> None:
         self.placement = EnginePlacement(lambda: 0.0)
@@ -60,13 +60,13 @@
     def place(self, request: OpenRequest) -> Placed | Declined:
         return self.placement.place(request, self.hosts, "howrah", 0.0)
 
-    def keep(self, host: str) -> None:
-        """Let an engine keep the shared parts of the requests."""
+    def cache_parts(self, host: str) -> None:
+        """Report the shared parts of the requests as cached at an engine."""
         chain = hash_parts("m", PARTS)[:-1]
         self.placement.record_parts(PartsRead(host, 0, tuple(chain)))
 
-    def load(self, host: str, seconds: float, answers: int = 0) -> None:
-        """Let another gateway have prompts of so many seconds at an engine."""
+    def add_load(self, host: str, seconds: float, answers: int = 0) -> None:
+        """Report prompts of another gateway at an engine, in seconds of prefill."""
         waiting = WaitingTokens(0, int(seconds * INITIAL_PREFILL_RATE))
         share = PeerShare((waiting,), answers)
         self.placement._engines[host].record_peer_share("peer", share, 0.0)
@@ -78,112 +78,115 @@
     return OpenRequest(work, 10.0, True, 0.0, terms)
 
 
-HOME, OTHER, *_ = rank([host for host, role in HOSTS.items() if role == PREFILL], 5)
+PREFERRED, OTHER, *_ = rank(
+    [host for host, role in HOSTS.items() if role == PREFILL], 5
+)
 
 
-# A shared part is read at two engines: two gateways are the first to be asked for it at
-# the same moment, and each chooses for itself.
-def test_shared_parts_that_nobody_has_read_have_one_home() -> None:
+# When two gateways receive the first requests for a shared part at the same time, both
+# must choose the same engine, or the part is prefilled twice.
+def test_uncached_parts_go_to_the_engine_chosen_by_hash() -> None:
     placed = World().place(make_request())
-    assert placed[:2] == (PREFILL, HOME)
+    assert placed[:2] == (PREFILL, PREFERRED)
 
 
-# Prompts pile up at one engine while others idle: that is the home of their parts by
-# name, though nobody has read these yet.
-def test_shared_parts_that_nobody_has_read_go_where_it_is_soonest() -> None:
+# If uncached parts always went to the engine chosen by hash, prompts would queue there
+# while other engines are idle.
+def test_uncached_parts_avoid_a_busy_engine() -> None:
     world = World()
-    world.load(HOME, 0.15)
-    assert world.place(make_request()).host != HOME
+    world.add_load(PREFERRED, 0.15)
+    assert world.place(make_request()).host != PREFERRED
 
 
-def test_prompt_stays_where_its_shared_parts_are_while_it_is_in_time() -> None:
+def test_prompt_goes_to_its_cached_parts_while_on_time() -> None:
     world = World()
-    world.keep(OTHER)
-    world.load(OTHER, 0.15)
+    world.cache_parts(OTHER)
+    world.add_load(OTHER, 0.15)
     assert world.place(make_request()).host == OTHER
 
 
-def test_prompt_leaves_its_shared_parts_when_it_would_be_late_there() -> None:
+def test_prompt_leaves_its_cached_parts_if_late_there() -> None:
     world = World()
-    world.keep(HOME)
-    world.load(HOME, 0.6)
+    world.cache_parts(PREFERRED)
+    world.add_load(PREFERRED, 0.6)
     placed = world.place(make_request())
     assert placed.stage == PREFILL
-    assert placed.host != HOME
+    assert placed.host != PREFERRED
 
 
-# Prompts with long shared parts are late while engines idle that would read them in
-# time: what it costs to read the parts twice weighed more than that they are in time.
-def test_prompt_leaves_long_shared_parts_where_it_would_be_late() -> None:
+# The penalty for repeated prefill of a long shared part must not outweigh that the
+# prompt is late there while idle engines could prefill it on time.
+def test_prompt_leaves_long_cached_parts_if_late_there() -> None:
     world = World()
     parts = (PromptPart("b", 13_000), PromptPart("c", 500))
     chain = hash_parts("m", parts)[:-1]
-    world.placement.record_parts(PartsRead(HOME, 0, tuple(chain)))
-    world.load(HOME, 0.34)
+    world.placement.record_parts(PartsRead(PREFERRED, 0, tuple(chain)))
+    world.add_load(PREFERRED, 0.34)
     request = make_request()
     request.work = request.work._replace(prompt_tokens=13_500)
     request.terms = request.terms._replace(parts=parts)
-    assert world.place(request).host != HOME
+    assert world.place(request).host != PREFERRED
 
 
-# Engines are still later: each late prompt is read by whoever is soonest, with all of
-# its shared parts, though it would be late at their home as well.
-def test_late_prompt_stays_near_its_shared_parts() -> None:
+# A prompt that is late everywhere must not repeat the prefill of its shared parts at
+# the earliest engine, which would delay all engines further.
+def test_late_prompt_stays_with_its_cached_parts() -> None:
     world = World()
-    world.keep(HOME)
+    world.cache_parts(PREFERRED)
     for host, role in HOSTS.items():
         if role == PREFILL:
-            world.load(host, 0.9 if host == HOME else 0.75)
-    assert world.place(make_request()).host == HOME
+            world.add_load(host, 0.9 if host == PREFERRED else 0.75)
+    assert world.place(make_request()).host == PREFERRED
 
 
-def test_prompt_that_nobody_can_begin_in_time_is_refused_with_a_time() -> None:
+def test_prompt_late_everywhere_is_declined_with_retry_after() -> None:
     world = World()
     for host, role in HOSTS.items():
         if role == PREFILL:
-            world.load(host, 5.0)
+            world.add_load(host, 5.0)
     declined = world.place(make_request())
     assert isinstance(declined, Declined)
     assert declined.retry_after > 2.0
 
 
-def test_answer_is_made_near_its_kv_cache_by_the_least_busy_engine() -> None:
+def test_decode_prefers_near_and_idle_engines() -> None:
     world = World()
     request = make_request()
     request.next_stage = DECODE
     request.kv = KvRef("p0", "p0:1", "h", 1)
     assert world.place(request)[:2] == (DECODE, "d0")
-    world.load("d0", 0.0, answers=30)
+    world.add_load("d0", 0.0, answers=30)
     assert world.place(request)[:2] == (DECODE, "d1")
 
 
-# Every request is refused though engines are there: with no engine for prompts left,
-# those that make answers read them as well, if more slowly.
-def test_engines_for_answers_read_prompts_when_no_other_is_left() -> None:
+# Without a prefill engine, decode engines must also prefill, if more slowly, instead of
+# every request being refused.
+def test_decode_engines_prefill_without_prefill_engines() -> None:
     world = World({"d0": DECODE, "d1": DECODE})
     assert world.place(make_request()).host in ("d0", "d1")
 
 
-def test_nothing_is_placed_when_no_engine_makes_answers() -> None:
+def test_prompt_is_declined_without_decode_engines() -> None:
     declined = World({"p0": PREFILL}).place(make_request())
     assert isinstance(declined, Declined)
-    assert "no engine makes answers" in declined.why
+    assert "no decode engine" in declined.why
     assert declined.retry_after == pytest.approx(ROLE_ORDER_SECONDS + ROLE_SECONDS)
 
 
-# A gateway ends for a broken invariant: the only engine for answers could not fetch a
-# KV cache and then crashed; the request is to be read by whoever makes its answer.
-def test_prompt_whose_kv_cache_is_lost_waits_for_an_engine_for_answers() -> None:
+# The only decode engine failed to fetch a KV cache and then crashed. The prompt has to
+# be prefilled by the engine that decodes it; placing it on a prefill engine would break
+# an invariant and end the gateway.
+def test_prompt_with_lost_kv_cache_waits_for_a_decode_engine() -> None:
     request = make_request()
     request.kv_lost = True
     declined = World({"p0": PREFILL}).place(request)
     assert isinstance(declined, Declined)
 
 
-# All callers are refused for as long as the only engine for answers is gone, and come
-# back in a crowd: their prompts could have been read meanwhile, and answered as soon as
-# another engine has changed its role.
-def test_prompt_is_read_where_its_caller_waits_longer_than_the_outage() -> None:
+# If all callers were refused while the only decode engine is gone, they would retry all
+# at once. Prompts whose callers wait long enough are prefilled in the meantime, and
+# decoded as soon as another engine has changed its role.
+def test_prompt_is_prefilled_if_its_caller_outwaits_the_outage() -> None:
     world = World({"p0": PREFILL})
     request = make_request()
     assert isinstance(world.place(request), Declined)
@@ -205,34 +208,34 @@
     return OpenRequest(work, 10.0, True, 0.0, Terms(objective=0.3, parts=parts))
 
 
-def fill_prefill(world: World, seconds: float) -> None:
+def load_prefill_engines(world: World, seconds: float) -> None:
     for host, role in HOSTS.items():
         if role == PREFILL:
-            world.load(host, seconds)
+            world.add_load(host, seconds)
 
 
-# A short question's answer begins late although engines have time: all engines for
-# prompts read long ones, and it waits behind them.
-def test_prompt_late_everywhere_is_read_where_answers_are_made() -> None:
+# While all prefill engines work on long prompts, a short one would be late behind them,
+# although decode engines have time for it.
+def test_short_prompt_late_at_prefill_engines_goes_to_decode_engine() -> None:
     world = World()
     assert world.place(make_short()).stage == PREFILL
-    fill_prefill(world, 0.5)
+    load_prefill_engines(world, 0.5)
     placed = world.place(make_short())
     assert (placed.stage, HOSTS[placed.host]) == (WHOLE, DECODE)
 
 
-def test_prompts_stay_away_from_busy_answers() -> None:
+def test_busy_decode_engines_get_no_prompts() -> None:
     world = World()
-    fill_prefill(world, 0.5)
+    load_prefill_engines(world, 0.5)
     for host in ("d0", "d1"):
-        world.load(host, 0.0, answers=int(SLOTS * MAX_WHOLE_FILL))
+        world.add_load(host, 0.0, answers=int(SLOTS * MAX_WHOLE_FILL))
     assert world.place(make_short()).stage == PREFILL
 
 
-# All answers of an engine pause: prompts are given to it beside them without a bound.
-def test_prompts_beside_answers_are_bounded() -> None:
+# Without a bound, prompts at a decode engine would stall all of its answers.
+def test_prompts_at_decode_engines_are_bounded() -> None:
     world = World()
-    fill_prefill(world, 0.5)
+    load_prefill_engines(world, 0.5)
     for number in range(2 * MAX_WHOLE_PROMPT_TOKENS // 600 + 2):
         request = make_short(f"s{number}")
         request.host = world.place(request).host
@@ -248,7 +251,7 @@
         )
 
 
-def test_prompt_beside_answers_is_read_once_the_answer_begins() -> None:
+def test_prompt_at_decode_engine_is_done_when_its_answer_starts() -> None:
     world = World()
     request = make_short()
     request.stage, request.host = WHOLE, "d0"
@@ -262,7 +265,7 @@
     assert (engine.count_pending_tokens(), engine.count_answers()) == (0, 0)
 
 
-def test_call_goes_to_the_host_with_the_fewest_open_calls() -> None:
+def test_call_goes_to_host_with_fewest_open_calls() -> None:
     world = World()
     work = Work("r", "", "llm", CALL, b"")
     request = OpenRequest(work, 10.0, False, 0.0)
@@ -272,24 +275,23 @@
     assert world.place(request).host == world.hosts[3].host
 
 
-# Prompts go to an engine for parts that it has long dropped, and are read there again:
-# the engine was listed before the first configuration was read, and its memory is taken
-# to be as large as was assumed until then, for as long as the engine is listed.
-def test_memory_is_as_configured_whatever_is_known_first() -> None:
+# If an engine that is listed before the first configuration is read kept the assumed
+# cache size, prompts would be sent there for parts that it has long evicted.
+def test_cache_size_follows_configuration_of_listed_engines() -> None:
     world = World()
     world.placement.configure([UpstreamTerms("llm", EngineTerms(8_000))])
-    home = next(host for host in world.hosts if host.host == HOME)
+    preferred = next(host for host in world.hosts if host.host == PREFERRED)
     request = make_request()
-    world.placement.begin(request, home, 0.0)
-    cache = world.placement._engines[HOME].cache
+    world.placement.begin(request, preferred, 0.0)
+    cache = world.placement._engines[PREFERRED].cache
     assert cache.count_cached_tokens("m", PARTS) == 0
     world.placement.configure([UpstreamTerms("llm", EngineTerms(10_000))])
-    world.placement.begin(request, home, 0.0)
+    world.placement.begin(request, preferred, 0.0)
     assert cache.count_cached_tokens("m", PARTS) == 6_000
 
 
-class Notes(Observer):
-    """Keep which upstreams' answers were told of."""
+class AnswerRecorder(Observer):
+    """Record the upstreams of complete answers."""
 
     def __init__(self) -> None:
         self.answered: list[str] = []
@@ -298,13 +300,13 @@
         self.answered.append(upstream)
 
 
-# Plain services are reported to all gateways as if engines stood behind them.
-def test_only_engines_answers_are_learned_from() -> None:
+# Demand must not be reported for plain services, which have no engines.
+def test_only_answers_of_engines_are_recorded() -> None:
     world = World()
-    world.placement.observer = notes = Notes()
+    world.placement.observer = recorder = AnswerRecorder()
     request = make_request()
     desk = KnownHost("desk-1", "howrah", "desk", live=True)
     engine = next(host for host in world.hosts if host.host == "d0")
     for host in (desk, engine):
         world.placement.finish(request, host)
-    assert notes.answered == ["llm"]
+    assert recorder.answered == ["llm"]
--- a/tests/engines/test_state.py
+++ b/tests/engines/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of an engine."""
+"""Tests of the engine state and the prompt cache model."""
 
 import pytest
 from hypothesis import given
@@ -25,7 +25,7 @@
     return [PromptPart(name, tokens) for name in names]
 
 
-def test_wait_counts_what_came_before() -> None:
+def test_wait_includes_earlier_prompts() -> None:
     engine = make_engine()
     engine.begin_prefill("long", int(INITIAL_PREFILL_RATE), 1, 10.0)
     assert engine.predict_wait(1, 10.0) == pytest.approx(1.0)
@@ -34,30 +34,33 @@
     assert engine.predict_wait(1, 11.1) == 0.0
 
 
-# Urgent prompts are taken for late, put behind others and sent away from their shared
-# parts, though the engine takes them up at its next piece; or they are predicted to be
-# first, and wait behind a long one. Which of the two is seen of the engine.
+# Some engines start an urgent prompt at their next chunk, others finish a long one
+# first. With the wrong assumption, urgent prompts are treated as late and sent away
+# from their cached parts, or they wait unexpectedly. The order is learned from the
+# engine.
 @pytest.mark.parametrize("takes_urgent_first", [True, False])
-def test_wait_follows_the_order_that_is_seen(takes_urgent_first: bool) -> None:
+def test_predicted_wait_follows_the_observed_queue_order(
+    takes_urgent_first: bool,
+) -> None:
     engine = make_engine()
-    piece = CHUNK_TOKENS / INITIAL_PREFILL_RATE
+    chunk = CHUNK_TOKENS / INITIAL_PREFILL_RATE
     for number in range(100):
         begin = 10.0 * number
         engine.begin_prefill("long", int(INITIAL_PREFILL_RATE), 2, begin)
         engine.begin_prefill("urgent", 100, 0, begin)
-        seen = piece if takes_urgent_first else 1.0
-        engine.end_prefill("urgent", begin + seen + PREFILL_OVERHEAD_SECONDS, True)
+        wait = chunk if takes_urgent_first else 1.0
+        engine.end_prefill("urgent", begin + wait + PREFILL_OVERHEAD_SECONDS, True)
         engine.end_prefill("long", begin + 1.0 + PREFILL_OVERHEAD_SECONDS, True)
     now = 2_000.0
     engine.begin_prefill("long", int(engine.rate), 2, now)
-    expected = piece if takes_urgent_first else 1.0
+    expected = chunk if takes_urgent_first else 1.0
     assert engine.predict_wait(0, now) == pytest.approx(expected, abs=0.1)
     assert engine.predict_wait(2, now) == pytest.approx(1.0, abs=0.01)
 
 
-# What is put behind all else waits for what comes later too: learned from, it would
-# look as if nothing was read by priority.
-def test_late_prompts_teach_no_order() -> None:
+# Late prompts also wait for requests that arrive after them. If their waits were used,
+# it would look as if the engine ignored priorities.
+def test_late_prompts_do_not_affect_the_queue_order() -> None:
     engine = make_engine()
     engine.begin_prefill("long", int(INITIAL_PREFILL_RATE), 8, 0.0)
     engine.begin_prefill("late", 100, 7, 0.0)
@@ -66,7 +69,7 @@
     assert engine.queue_order.fifo_share == before
 
 
-def test_share_tells_waiting_tokens_by_priority() -> None:
+def test_share_lists_waiting_tokens_by_priority() -> None:
     engine = make_engine()
     engine.begin_prefill("a", 100, 2, 0.0)
     engine.begin_prefill("b", 50, 0, 0.0)
@@ -76,7 +79,7 @@
     assert engine.build_share(("other",)) == (((0, 50), (2, 107)), 1)
 
 
-def test_wait_counts_what_other_gateways_sent() -> None:
+def test_wait_includes_prompts_of_other_gateways() -> None:
     engine = make_engine()
     engine.record_peer_share(
         "peer", PeerShare((WaitingTokens(2, int(INITIAL_PREFILL_RATE)),), 2), 10.0
@@ -87,10 +90,10 @@
     assert engine.predict_wait(2, 11.0) == 0.0
 
 
-def test_rate_is_learned_from_a_spell_of_work() -> None:
+def test_rate_is_learned_from_busy_periods() -> None:
     engine = make_engine()
-    for spell in range(60):
-        begin = 10.0 * spell
+    for period in range(60):
+        begin = 10.0 * period
         engine.begin_prefill("a", 20_000, 1, begin)
         engine.begin_prefill("b", 20_000, 1, begin + 0.1)
         engine.end_prefill("a", begin + 0.5 + PREFILL_OVERHEAD_SECONDS, True)
@@ -98,9 +101,9 @@
     assert engine.rate == pytest.approx(40_000, rel=0.01)
 
 
-# Prompts are sent to an engine that has turned slow as if it were fast: it is never
-# idle under the load, and its rate was learned when it was.
-def test_rate_is_learned_while_the_engine_is_at_work() -> None:
+# Under sustained load an engine is never idle. If its rate were learned only when it
+# is, an engine that became slower would still get prompts as if it were fast.
+def test_rate_is_learned_while_the_engine_is_busy() -> None:
     engine = make_engine()
     engine.begin_prefill("always", 1_000_000, 1, 0.0)
     for number in range(200):
@@ -109,14 +112,14 @@
     assert engine.rate == pytest.approx(25_000, rel=0.05)
 
 
-def test_given_up_prompts_teach_nothing() -> None:
+def test_abandoned_prompts_do_not_affect_the_rate() -> None:
     engine = make_engine()
     engine.begin_prefill("a", 20_000, 1, 0.0)
     engine.end_prefill("a", 5.0, False)
     assert engine.rate == INITIAL_PREFILL_RATE
 
 
-def test_part_counts_only_behind_kept_parts() -> None:
+def test_part_counts_only_after_cached_parts() -> None:
     cache = PromptCache(10_000)
     cache.record_prompt("m", make_parts("a", "b", "c"))
     assert cache.count_cached_tokens("m", make_parts("a", "b", "x")) == 200
@@ -125,7 +128,7 @@
     assert cache.count_cached_tokens("other", make_parts("a", "b")) == 0
 
 
-def test_least_recently_used_parts_go_first() -> None:
+def test_least_recently_used_parts_are_evicted_first() -> None:
     cache = PromptCache(300)
     cache.record_prompt("m", make_parts("a", "b"))
     cache.record_prompt("m", make_parts("x", "y"))
@@ -133,7 +136,7 @@
     assert cache.count_cached_tokens("m", make_parts("a", "b")) == 0
 
 
-def test_marks_tell_starts_apart_and_from_none() -> None:
+def test_marks_distinguish_starts_and_unknown_starts() -> None:
     starts = (0, 1, 0xFFFF_0000, 1_790_000_000_123, 1_790_000_000_124)
     marks = [make_start_mark(started_ms) for started_ms in starts]
     assert marks[0] == 0
@@ -141,8 +144,8 @@
     assert all(0 < mark <= 0xFFFF for mark in marks[1:])
 
 
-# An engine is taken for busy or idle for good: what is kept as a sum drifts from the
-# shares that it sums up, as others tell, tell anew and go.
+# If the incremental sums drifted from the shares as peers report, update and leave, an
+# engine would look busy or idle forever.
 @given(
     st.lists(
         st.tuples(
@@ -152,11 +155,11 @@
         )
     )
 )
-def test_sums_of_others_are_what_they_told_last(told: list[tuple]) -> None:
+def test_sums_match_the_last_shares_of_peers(reports: list[tuple]) -> None:
     engine = make_engine()
     engine.begin_prefill("own", 7, 1, 0.0)
     last: dict[str, tuple[int, int, int]] = {}
-    for peer, waiting, answers in told:
+    for peer, waiting, answers in reports:
         if waiting is None:
             engine.drop_peer(peer)
             last.pop(peer, None)
@@ -169,8 +172,8 @@
     urgent = sum(t for t, priority, _ in last.values() if priority <= 1)
     assert engine.count_pending_tokens(1) == 7 + urgent
     assert engine.count_answers() == sum(answers for _, _, answers in last.values())
-    for left_out in ((), ("a",), ("a", "b")):
-        share = engine.build_share(left_out)
-        kept = [told for peer, told in last.items() if peer not in left_out]
+    for excluded in ((), ("a",), ("a", "b")):
+        share = engine.build_share(excluded)
+        kept = [item for peer, item in last.items() if peer not in excluded]
         assert share.tokens == 7 + sum(tokens for tokens, _, _ in kept)
         assert share.answers == sum(answers for _, _, answers in kept)
