--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -141,7 +141,7 @@
         engine.drop_peer(peer)
         unmatched[peer] = share
 
-    def make_backlog(
+    def build_backlog(
         self,
         hosts: Iterable[str] | None = None,
         excluded: Collection[str] | None = None,
@@ -169,7 +169,7 @@
             return
         engine.cache.record_parts(read.parts)
 
-    def record_kept_parts(self, host: str, cached: Iterable[CachedPart]) -> int:
+    def record_cached_parts(self, host: str, cached: Iterable[CachedPart]) -> int:
         """Record the parts that an engine reports as cached; return their number."""
         engine = self._engines.get(host)
         if engine is None:
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -280,7 +280,7 @@
             self._hub.send(peer, Suspicions(group))
 
     def _make_backlog(self, hosts: Iterable[str] | None, peer: str) -> Backlog:
-        return self._placement.make_backlog(hosts, self._list_left_out(peer))
+        return self._placement.build_backlog(hosts, self._list_left_out(peer))
 
     def _tell_demand(self, now: float) -> None:
         for peer in self._circle.audience:
--- a/radishtally/gateway/recall.py
+++ b/radishtally/gateway/recall.py
@@ -69,5 +69,5 @@
         if kept.is_error():
             log_message("recall:engine_unread", engine=instance.host, reason=kept.error)
             return
-        count = self._placement.record_kept_parts(instance.host, kept.ok)
+        count = self._placement.record_cached_parts(instance.host, kept.ok)
         log_message("recall:engine_read", engine=instance.host, parts=count)
