--- a/radishtally/claims/core.py
+++ b/radishtally/claims/core.py
@@ -99,7 +99,7 @@
         self.claim_write_ids: frozenset[str] = frozenset()
         """Write ids under which the claim itself may have been written."""
         self.write_ids: set[str] = set()
-        """Write ids under which this value may have been written or may still arrive."""
+        """Write ids under which this value may have been, or may yet be, written."""
         self.in_flight = False
         self.send_alone = False
         self.size = estimate_row_bytes(value)
@@ -348,12 +348,12 @@
     def _revoke(self, job: _PendingWrite, now: float) -> list[Command]:
         """Revoke a claim that may be stored although its caller was told "not run".
 
-        The write whose reply was lost may have been applied or may still arrive. Nothing
-        ran, as the caller was told, but its repeat would find the key claimed and get
-        "unknown" for ever. Therefore "not run" is written over our own claim, or in its
-        place if it is not there yet, so that the late write fails its condition. Until
-        that write is confirmed, a repeat is refused as "not run" here and as "unknown"
-        at other entries; afterwards it may claim the key.
+        The write whose reply was lost may have been applied or may still arrive.
+        Nothing ran, as the caller was told, but its repeat would find the key claimed
+        and get "unknown" for ever. Therefore "not run" is written over our own claim,
+        or in its place if it is not there yet, so that the late write fails its
+        condition. Until that write is confirmed, a repeat is refused as "not run" here
+        and as "unknown" at other entries; afterwards it may claim the key.
         """
         if not job.write_ids:
             self._remove(job)
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""Test the claims on idempotency keys."""
+"""Tests of claims on idempotency keys."""
 
 import asyncio
 from collections import Counter
@@ -46,7 +46,7 @@
 LIMITS = ClaimLimits()
 ENTRIES = ("e1", "e2", "e3")
 KEYS = ("k1", "k2")
-SECONDS = 2.0
+CLAIM_TIMEOUT = 2.0
 POLL_SECONDS = 0.01
 POLLS = 500
 EXPIRES = 1_900_000_000
@@ -55,11 +55,11 @@
 REPLY_LOST = "reply lost"
 LATE = "late"
 REFUSED = "refused"
-FATES = (SERVED, SERVED, REPLY_LOST, LATE, REFUSED)
+BEHAVIOURS = (SERVED, SERVED, REPLY_LOST, LATE, REFUSED)
 
 
-class Asked(NamedTuple):
-    """Hold a request of a caller."""
+class PendingRequest(NamedTuple):
+    """Describe a caller's request for a claim."""
 
     entry: str
     claim: Claim
@@ -89,31 +89,31 @@
         if isinstance(command, OutcomeLost):
             self.lost.append(command.cause)
 
-    def serve(self, fate: str, now: float) -> None:
-        """Let the table meet the oldest call."""
+    def serve(self, behaviour: str, now: float) -> None:
+        """Process the oldest call to the table with the given behaviour."""
         call = self.calls.pop(0)
         if isinstance(call, ReadRow):
-            failed = fate in (REFUSED, LATE)
+            failed = behaviour in (REFUSED, LATE)
             row = RowRead(call.key, self.rows.read(call.key))
             self.handle(RowReadFailed(call.key) if failed else row, now)
             return
-        self.handle(GroupSettled(call.write_id, self.settle(call, fate)), now)
+        self.handle(GroupSettled(call.write_id, self.settle(call, behaviour)), now)
 
-    def settle(self, call: SendGroup, fate: str):
-        if fate == REFUSED:
+    def settle(self, call: SendGroup, behaviour: str):
+        if behaviour == REFUSED:
             return Error(Unavailable(""))
-        if fate == LATE:
+        if behaviour == LATE:
             self.late.append(call)
             return Error(Unclear(""))
         result = self.rows.apply(list(call.puts), call.write_id)
-        return Error(Unclear("")) if fate == REPLY_LOST else result
+        return Error(Unclear("")) if behaviour == REPLY_LOST else result
 
-    def land_late(self) -> None:
+    def apply_late_write(self) -> None:
         group = self.late.pop(0)
         self.rows.apply(list(group.puts), group.write_id)
 
     def run(self, now: float, seconds: float) -> float:
-        """Go on undisturbed with a table that works."""
+        """Let time pass while the table works without faults."""
         until = now + seconds
         while now < until:
             now += 0.05
@@ -125,10 +125,10 @@
 
 @settings(max_examples=300, stateful_step_count=60)
 class ClaimMachine(RuleBasedStateMachine):
-    """Let callers repeat keys at any entry while replies are lost and entries die.
+    """Repeat keys at any entry while replies are lost and entries crash.
 
-    What must not be seen: a call that ran twice, a call that ran although its caller
-    was told "not run", or a repeat that gets another answer than the first one.
+    A call must not run twice or run although its caller was told "not run", and a
+    repeat must not get a different answer than the first request.
     """
 
     def __init__(self) -> None:
@@ -137,9 +137,9 @@
         self.rows = Rows()
         self.number = 0
         self.entries = {name: Entry(f"{name}-0", self.rows) for name in ENTRIES}
-        self.asked: dict[int, Asked] = {}
-        self.open: dict[int, Asked] = {}
-        """Granted and not yet run."""
+        self.asked: dict[int, PendingRequest] = {}
+        self.open: dict[int, PendingRequest] = {}
+        """Granted calls that have not run yet."""
         self.ran: Counter[str] = Counter()
         self.refused: set[str] = set()
         self.first: dict[str, bytes] = {}
@@ -148,8 +148,8 @@
     def ask(self, entry: str, key: str) -> None:
         self.number += 1
         claim = Claim("t", key, f"r{self.number}", "hash")
-        self.asked[self.number] = Asked(entry, claim)
-        event = ClaimRequested(self.number, claim, self.now + SECONDS, EXPIRES)
+        self.asked[self.number] = PendingRequest(entry, claim)
+        event = ClaimRequested(self.number, claim, self.now + CLAIM_TIMEOUT, EXPIRES)
         self.entries[entry].handle(event, self.now)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 2.5]))
@@ -160,31 +160,31 @@
     def tick(self, entry: str) -> None:
         self.entries[entry].handle(Tick(), self.now)
 
-    @rule(entry=st.sampled_from(ENTRIES), fate=st.sampled_from(FATES))
-    def serve(self, entry: str, fate: str) -> None:
+    @rule(entry=st.sampled_from(ENTRIES), behaviour=st.sampled_from(BEHAVIOURS))
+    def serve(self, entry: str, behaviour: str) -> None:
         if self.entries[entry].calls:
-            self.entries[entry].serve(fate, self.now)
+            self.entries[entry].serve(behaviour, self.now)
 
     @rule(entry=st.sampled_from(ENTRIES))
-    def land_late_write(self, entry: str) -> None:
+    def deliver_late_write(self, entry: str) -> None:
         if self.entries[entry].late:
-            self.entries[entry].land_late()
+            self.entries[entry].apply_late_write()
 
     @rule(entry=st.sampled_from(ENTRIES))
-    def run_undisturbed(self, entry: str) -> None:
+    def run_without_faults(self, entry: str) -> None:
         self.now = self.entries[entry].run(self.now, 0.5)
 
     @rule(entry=st.sampled_from(ENTRIES))
-    def die(self, entry: str) -> None:
-        """Replace the process; what it sent may still arrive."""
-        dead = self.entries[entry]
+    def crash(self, entry: str) -> None:
+        """Replace the process; writes that it has sent may still arrive."""
+        crashed = self.entries[entry]
         self.number += 1
         fresh = Entry(f"{entry}-{self.number}", self.rows)
-        sent = [call for call in dead.calls if isinstance(call, SendGroup)]
-        fresh.late = dead.late + sent
+        sent = [call for call in crashed.calls if isinstance(call, SendGroup)]
+        fresh.late = crashed.late + sent
         self.entries[entry] = fresh
-        gone = [n for n, asked in self.open.items() if asked.entry == entry]
-        for number in gone:
+        abandoned = [n for n, asked in self.open.items() if asked.entry == entry]
+        for number in abandoned:
             del self.open[number]
 
     @precondition(lambda self: self.open)
@@ -207,17 +207,19 @@
         self.entries[entry].handle(CallReleased(claim), self.now)
 
     @invariant()
-    def take_answers(self) -> None:
+    def process_replies(self) -> None:
         for entry in self.entries.values():
             for number, outcome in entry.answers.items():
-                self.take_answer(self.asked[number], number, outcome)
+                self.process_reply(self.asked[number], number, outcome)
             entry.answers.clear()
 
     @invariant()
     def check_ran_once(self) -> None:
         assert all(count <= 1 for count in self.ran.values()), f"ran twice: {self.ran}"
 
-    def take_answer(self, asked: Asked, number: int, outcome: ClaimOutcome) -> None:
+    def process_reply(
+        self, asked: PendingRequest, number: int, outcome: ClaimOutcome
+    ) -> None:
         if isinstance(outcome, Granted):
             self.open[number] = asked
         if isinstance(outcome, StoreAway):
@@ -227,7 +229,7 @@
         assert not isinstance(outcome, KeyReused)
 
     def teardown(self) -> None:
-        """See that every outcome reaches the table once the faults are over."""
+        """Check that every outcome reaches the table once the faults are over."""
         for entry in self.entries.values():
             self.now = entry.run(self.now, 8.0)
             assert entry.core.waiting == 0
@@ -251,7 +253,7 @@
 
 
 def ask(entry: Entry, number: int, claim: Claim, now: float = 0.0) -> None:
-    entry.handle(ClaimRequested(number, claim, now + SECONDS, EXPIRES), now)
+    entry.handle(ClaimRequested(number, claim, now + CLAIM_TIMEOUT, EXPIRES), now)
 
 
 ANSWER = StoredAnswer(201, (("content-type", "text/plain"),), b"sent")
@@ -268,7 +270,7 @@
     ],
 )
 @pytest.mark.parametrize("same_entry", [True, False])
-def test_repeat_is_answered_by_what_became_of_the_first(
+def test_repeat_is_answered_by_the_outcome_of_the_first(
     rows: Rows, entry: Entry, settled, body_hash: str, expected, same_entry: bool
 ) -> None:
     first = make_claim("r1")
@@ -294,7 +296,7 @@
     assert len(group.puts) == 40
 
 
-def test_conflicting_claim_does_not_hold_up_the_others(rows: Rows, entry: Entry):
+def test_conflicting_claim_does_not_delay_the_others(rows: Rows, entry: Entry):
     other = Entry("e2-0", rows)
     ask(other, 1, make_claim("r0", "k3"))
     now = other.run(0.0, 0.5)
@@ -306,8 +308,8 @@
     assert [entry.answers[number] for number in range(5)] == expected
 
 
-def test_claim_whose_reply_was_lost_is_found_by_its_write_id(entry: Entry) -> None:
-    # The claim takes effect and its reply is lost. The row is read: it carries the
+def test_claim_whose_reply_was_lost_is_recognised_by_its_write_id(entry: Entry) -> None:
+    # The claim is written but the reply is lost. The row that is then read carries the
     # write id of this process, so the call is granted and runs once.
     ask(entry, 1, make_claim("r1"))
     entry.handle(Tick(), 1.0)
@@ -317,10 +319,12 @@
     assert entry.answers[1] == Granted()
 
 
-def test_claim_given_up_unclear_can_be_claimed_again(rows: Rows, entry: Entry) -> None:
-    # The claim takes effect, its reply is lost and the store stays away until the
-    # deadline. The caller is told "not run", which is true. When the store is back,
-    # the claim is taken back by its write id, and the caller's repeat may run.
+def test_key_of_an_unclear_abandoned_claim_can_be_claimed_again(
+    rows: Rows, entry: Entry
+) -> None:
+    # The claim is written, the reply is lost and the store is down until the deadline.
+    # The caller is correctly told "not run". When the store recovers, the claim is
+    # found by its write id and revoked, and the caller's repeat may run.
     ask(entry, 1, make_claim("r1"))
     entry.handle(Tick(), 0.5)
     entry.serve(REPLY_LOST, 0.5)
@@ -334,11 +338,9 @@
     assert other.answers[2] == Granted()
 
 
-def test_claim_that_stands_after_the_deadline_is_taken_back(
-    rows: Rows, entry: Entry
-) -> None:
-    # The store is slow: the claim's transaction is answered only after its caller was
-    # told "not run". The claim then stands, but nobody will run the call.
+def test_claim_stored_after_the_deadline_is_revoked(rows: Rows, entry: Entry) -> None:
+    # The store is slow: the claim's transaction succeeds only after its caller was told
+    # "not run". The claim is then stored, but no caller will run the call.
     ask(entry, 1, make_claim("r1"))
     entry.handle(Tick(), 0.5)
     entry.handle(Tick(), 2.5)
@@ -351,10 +353,10 @@
     assert other.answers[2] == Granted()
 
 
-def test_claim_given_up_is_not_made_by_its_late_write(rows: Rows, entry: Entry):
-    # The claim's write is stuck on its way. The caller is told "not run" at the
-    # deadline; "not run" is written in the claim's place. When the stuck write arrives
-    # it fails its condition, so the key is free and not claimed for ever.
+def test_late_write_of_an_abandoned_claim_fails_its_condition(rows: Rows, entry: Entry):
+    # The claim's write is delayed. The caller is told "not run" at the deadline, and
+    # "not run" is written in the claim's place. When the delayed write arrives it fails
+    # its condition, so the key does not stay claimed for ever.
     claim = make_claim("r1")
     ask(entry, 1, claim)
     entry.handle(Tick(), 0.5)
@@ -363,11 +365,11 @@
     entry.handle(Tick(), 2.5)
     assert entry.answers[1] == StoreAway()
     entry.run(2.5, 3.0)
-    entry.land_late()
+    entry.apply_late_write()
     assert rows.read(make_claim_key(claim)).value["state"] == "not_run"
 
 
-def test_malformed_row_does_not_spoil_its_group(entry: Entry) -> None:
+def test_invalid_row_does_not_fail_its_group(entry: Entry) -> None:
     for number in range(3):
         ask(entry, number, make_claim(f"r{number}", f"k{number}"))
     entry.handle(Tick(), 0.5)
@@ -382,7 +384,7 @@
     assert [entry.answers[n] for n in range(3)] == [StoreAway(), Granted(), Granted()]
 
 
-def test_throttled_group_is_halved_until_it_passes(entry: Entry) -> None:
+def test_throttled_group_is_halved_until_it_succeeds(entry: Entry) -> None:
     for number in range(8):
         ask(entry, number, make_claim(f"r{number}", f"k{number}"))
     sizes = []
@@ -398,7 +400,7 @@
     assert all(entry.answers[number] == Granted() for number in range(8))
 
 
-def test_outcome_waits_for_the_store_and_repeats_know_it(entry: Entry) -> None:
+def test_outcome_is_kept_in_memory_until_the_store_recovers(entry: Entry) -> None:
     claim = make_claim("r1")
     ask(entry, 1, claim)
     now = entry.run(0.0, 0.5)
@@ -415,7 +417,7 @@
     assert entry.core.waiting == 0
 
 
-def test_large_body_is_left_out_and_said_so(rows: Rows, entry: Entry) -> None:
+def test_large_body_is_dropped_and_marked_so(rows: Rows, entry: Entry) -> None:
     claim = make_claim("r1")
     ask(entry, 1, claim)
     now = entry.run(0.0, 0.5)
@@ -428,7 +430,7 @@
     assert other.answers[2] == Repeated(ANSWER._replace(body=b"", body_kept=False))
 
 
-def test_waiting_claims_are_bounded() -> None:
+def test_queued_claims_are_bounded() -> None:
     entry = Entry("e1-0", Rows())
     entry.core = ClaimCore("e1-0", WriteIds("e1-0"), ClaimLimits(max_waiting=3))
     for number in range(4):
@@ -436,11 +438,11 @@
     assert entry.answers == {3: StoreAway()}
 
 
-def test_claims_in_a_long_outage_are_refused_at_once(entry: Entry) -> None:
-    """The first caller waits its time out, the next one is told at once.
+def test_claims_are_refused_at_once_in_a_long_outage(entry: Entry) -> None:
+    """The first caller waits for its full timeout, the next one is refused at once.
 
-    The store refuses everything. When it is back, the first claim after the pause finds
-    that out, and claims are granted again.
+    The store refuses everything. Once it recovers, the first claim after the backoff
+    succeeds and claims are granted again.
     """
     ask(entry, 1, make_claim("r1"))
     now = 0.0
@@ -459,7 +461,7 @@
     assert entry.answers[3] == Granted()
 
 
-def test_finish_of_a_call_that_was_not_granted_is_told(entry: Entry) -> None:
+def test_finish_of_a_call_that_was_not_granted_is_reported(entry: Entry) -> None:
     entry.handle(CallFinished(make_claim("r1"), ANSWER), 0.0)
     assert entry.lost == ["not granted here"]
 
@@ -473,8 +475,8 @@
     return await store.claim("t", key, request, "hash")
 
 
-def test_store_claims_keeps_and_repeats(table: MemoryTable) -> None:
-    async def play() -> None:
+def test_store_claims_and_repeats_the_answer(table: MemoryTable) -> None:
+    async def scenario() -> None:
         first, second = (
             ClaimStore(table, "e1-0", WriteIds("e1-0")),
             ClaimStore(table, "e2-0", WriteIds("e2-0")),
@@ -488,12 +490,12 @@
         assert await claim_at(second, "r3") == Repeated(ANSWER)
         await second.stop()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("fault", ["lose_replies", "drop_writes"])
-def test_store_settles_an_unclear_claim(table: MemoryTable, fault: str) -> None:
-    async def play() -> None:
+def test_store_resolves_an_unclear_claim(table: MemoryTable, fault: str) -> None:
+    async def scenario() -> None:
         store = ClaimStore(table, "e1-0", WriteIds("e1-0"))
         store.start()
         setattr(table, fault, 1)
@@ -502,11 +504,13 @@
         await store.stop()
         assert store.waiting == 0
 
-    run(play())
+    run(scenario())
 
 
-def test_store_away_refuses_and_another_request_may_run(table: MemoryTable) -> None:
-    async def play() -> None:
+def test_unavailable_store_refuses_and_a_later_request_may_run(
+    table: MemoryTable,
+) -> None:
+    async def scenario() -> None:
         store = ClaimStore(table, "e1-0", WriteIds("e1-0"), seconds=0.05)
         store.start()
         table.down = True
@@ -519,15 +523,15 @@
         assert outcome == Granted()
         await store.stop()
 
-    run(play())
+    run(scenario())
 
 
-def test_caller_that_goes_away_before_the_grant_leaves_the_key_free(
+def test_caller_that_disconnects_before_the_grant_leaves_the_key_free(
     table: MemoryTable,
 ) -> None:
-    # The caller's connection closes while its claim is on its way. The claim is then
-    # granted to nobody; it is taken back, so that the caller's repeat may run.
-    async def play() -> None:
+    # The caller disconnects while its claim is pending. Nobody would run the call, so
+    # the claim is released and the caller's repeat may run.
+    async def scenario() -> None:
         store = ClaimStore(table, "e1-0", WriteIds("e1-0"))
         store.start()
         asking = asyncio.create_task(claim_at(store, "r1"))
@@ -543,10 +547,10 @@
         assert outcome == Granted()
         await store.stop()
 
-    run(play())
+    run(scenario())
 
 
-def test_row_is_written_under_its_condition(entry: Entry) -> None:
+def test_claim_is_written_under_its_condition(entry: Entry) -> None:
     ask(entry, 1, make_claim("r1"))
     entry.handle(Tick(), 1.0)
     [group] = entry.calls
