--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -46,7 +46,7 @@
 LIMITS = ClaimLimits()
 ENTRIES = ("e1", "e2", "e3")
 KEYS = ("k1", "k2")
-CLAIM_TIMEOUT = 2.0
+CLAIM_TIMEOUT_SECONDS = 2.0
 POLL_SECONDS = 0.01
 POLLS = 500
 EXPIRES = 1_900_000_000
@@ -149,7 +149,9 @@
         self.number += 1
         claim = Claim("t", key, f"r{self.number}", "hash")
         self.asked[self.number] = PendingRequest(entry, claim)
-        event = ClaimRequested(self.number, claim, self.now + CLAIM_TIMEOUT, EXPIRES)
+        event = ClaimRequested(
+            self.number, claim, self.now + CLAIM_TIMEOUT_SECONDS, EXPIRES
+        )
         self.entries[entry].handle(event, self.now)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 2.5]))
@@ -253,7 +255,9 @@
 
 
 def ask(entry: Entry, number: int, claim: Claim, now: float = 0.0) -> None:
-    entry.handle(ClaimRequested(number, claim, now + CLAIM_TIMEOUT, EXPIRES), now)
+    entry.handle(
+        ClaimRequested(number, claim, now + CLAIM_TIMEOUT_SECONDS, EXPIRES), now
+    )
 
 
 ANSWER = StoredAnswer(201, (("content-type", "text/plain"),), b"sent")
