--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -7,8 +7,8 @@
 
 from eliot import log_message
 
-from radishtally.engines.news import Others
 from radishtally.engines.placement import EnginePlacement
+from radishtally.engines.staleness import PeerStaleness
 from radishtally.gateway.const import BACKLOG_SECONDS
 from radishtally.gateway.topology import (
     Circle,
@@ -30,8 +30,8 @@
     Suspicions,
 )
 from radishtally.serving.suspects import Suspects, group_suspicions
-from radishtally.stages.const import TELL_SECONDS
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.const import REPORT_INTERVAL_SECONDS
+from radishtally.stages.role_controller import RoleController
 
 COLLECT_SECONDS: Final = 0.002
 """Time between two rounds for each gateway that a collector tells: whatever their
@@ -63,7 +63,7 @@
         own: str,
         hub: LinkHub,
         placement: EnginePlacement,
-        stages: StageKeeper,
+        stages: RoleController,
         contend: Callable[[bool], None] = lambda _: None,
         suspects: Suspects | None = None,
     ) -> None:
@@ -98,7 +98,7 @@
         self._sites = sites
         self._linked = None
         self._interval = self._find_interval()
-        self._placement.unseen.others = self._describe_others()
+        self._placement.unseen_requests.peers = self._describe_others()
 
     async def run(self) -> None:
         """Tell for good."""
@@ -111,7 +111,7 @@
             self._tell_backlog(now)
             self._tell_parts()
             self._tell_suspicions(now)
-            if now >= told_demand + TELL_SECONDS:
+            if now >= told_demand + REPORT_INTERVAL_SECONDS:
                 told_demand = now
                 self._tell_demand(now)
 
@@ -141,12 +141,12 @@
             return
         now = time.monotonic()
         if isinstance(message, Backlog):
-            self._placement.take_backlog(peer, message, now)
+            self._placement.record_backlog(peer, message, now)
             self._heard.update(share.host for share in message.shares)
         elif isinstance(message, DemandReport):
-            self._stages.take_report(peer, message, now)
+            self._stages.record_report(peer, message, now)
         elif isinstance(message, PartsRead):
-            self._placement.take_parts(message)
+            self._placement.record_parts(message)
             if self._collects:
                 self._heard_parts.append((peer, message))
         elif isinstance(message, Suspicions):
@@ -178,13 +178,13 @@
         others = len(list_data_centres(self._sites)) - 1
         return max(BACKLOG_SECONDS, (len(ours) + others) * COLLECT_SECONDS)
 
-    def _describe_others(self) -> Others:
+    def _describe_others(self) -> PeerStaleness:
         """Say how many others there are, and how old news of them is at most."""
         # Each, then who collects; and who collects in the other data centre.
         tellers = 1 if is_mesh(self._sites) else 2
         if tellers > 1 and len(list_data_centres(self._sites)) > 1:
             tellers += 1
-        return Others(len(self._sites) - 1, tellers * self._interval)
+        return PeerStaleness(len(self._sites) - 1, tellers * self._interval)
 
     def _follow_links(self) -> None:
         """Take whom to tell and to believe by the links that are up."""
@@ -241,7 +241,7 @@
         return frozenset((peer,))
 
     def _tell_backlog(self, now: float) -> None:
-        hosts: set[str] | None = self._placement.take_changed()
+        hosts: set[str] | None = self._placement.pop_changed_hosts()
         if self._collects:
             hosts |= self._heard
         self._heard.clear()
@@ -255,7 +255,7 @@
 
     def _tell_parts(self) -> None:
         """Tell what engines were first given: nothing is told of what they keep."""
-        told = [(self._own, parts) for parts in self._placement.take_read()]
+        told = [(self._own, parts) for parts in self._placement.pop_parts_read()]
         told += self._heard_parts
         self._heard_parts = []
         for peer in self._circle.audience:
@@ -284,5 +284,5 @@
 
     def _tell_demand(self, now: float) -> None:
         for peer in self._circle.audience:
-            for report in self._stages.make_reports(now, self._list_left_out(peer)):
+            for report in self._stages.build_reports(now, self._list_left_out(peer)):
                 self._hub.send(peer, report)
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -9,7 +9,7 @@
 
 from eliot import log_message
 
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.absences import Absences
 from radishtally.gateway.const import (
@@ -33,7 +33,7 @@
 from radishtally.links.messages import Hello, Message
 from radishtally.runtime import Runtime
 from radishtally.serving.state import DispatchCore
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.role_controller import RoleController
 from radishtally.store.core import Row, Table
 
 GONE_SECONDS: Final = 600.0
@@ -47,8 +47,8 @@
     runtime: Runtime
     placement: EnginePlacement
     recall: Recall
-    stages: StageKeeper
-    lease: LeaseHolder
+    stages: RoleController
+    lease: LeaseDriver
     core: DispatchCore
     table: Table
 
--- a/radishtally/serving/placement.py
+++ b/radishtally/serving/placement.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple, Protocol
 
 from radishtally.links.messages import CALL, PREFILL, WHOLE
-from radishtally.routing.core import POLICIES, Choice, Wanted, needs_split
+from radishtally.routing.core import POLICIES, RoutingPolicy, WorkSpec, needs_split
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.requests import OpenRequest
 
@@ -59,7 +59,7 @@
 class RankedPlacement:
     """Choose by the load that agents report."""
 
-    def __init__(self, choice: Choice = POLICIES["rendezvous"]) -> None:
+    def __init__(self, choice: RoutingPolicy = POLICIES["rendezvous"]) -> None:
         self.choice = choice
 
     def place(
@@ -98,9 +98,9 @@
         """Do nothing: KnownHost counts the work in flight."""
 
 
-def _to_wanted(request: OpenRequest, place: str, now: float) -> Wanted:
+def _to_wanted(request: OpenRequest, place: str, now: float) -> WorkSpec:
     work = request.work
-    return Wanted(
+    return WorkSpec(
         request.next_stage,
         work.prefix,
         work.model,
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -31,7 +31,7 @@
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.requests import OpenRequest
 from radishtally.serving.suspects import ENDS_TO_DENY, HostEnd, Suspects
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.role_controller import RoleController
 
 MANY = MESH_GATEWAYS + 8
 ENGINE = Instance("d-1", "llm", "d-1:1", "howrah", False, 64, DECODE)
@@ -110,7 +110,7 @@
         self.net = net
         self.placement = EnginePlacement(lambda: 0.0)
         self.placement.set_instance(ENGINE)
-        self.stages = StageKeeper(
+        self.stages = RoleController(
             name, None, lambda: [ENGINE], None, self.placement.measure_rate
         )
         self.contends = False
@@ -142,7 +142,7 @@
 
     def restart_engine(self, started_ms: int) -> None:
         """Learn that the engine has started again."""
-        self.placement.restart(ENGINE.host)
+        self.placement.reset_engine(ENGINE.host)
         self.placement.set_instance(ENGINE._replace(started_ms=started_ms))
 
     def count(self) -> int:
@@ -237,7 +237,7 @@
     net = Net(MANY, data_centres)
     net.play(0.0)
     for gateway in net.gateways.values():
-        gateway.stages.note_request("llm", 750_000, 0, 0.0)
+        gateway.stages.record_request("llm", 750_000, 0, 0.0)
     net.play(2.0)
     totals = [
         gateway.stages._demands["llm"].collect(4.0, ("nobody",))
@@ -325,7 +325,7 @@
     net.play(0.0)
     part = HashedPart(7, 5_000)
     for gateway in net.gateways.values():
-        gateway.placement.take_parts(PartsRead(ENGINE.host, 0, (part,)))
+        gateway.placement.record_parts(PartsRead(ENGINE.host, 0, (part,)))
     net.add("late")
     for name in net.find_linked("late"):
         net.gateways[name].loads.greet("late")
