--- a/radishtally/direct/__init__.py
+++ b/radishtally/direct/__init__.py
@@ -1,1 +1,1 @@
-"""Direct upstreams: hosts that an entry reaches itself, with no agent beside them."""
+"""Direct upstreams: hosts that are reached over HTTP, without an agent."""
--- a/radishtally/direct/answer_checks.py
+++ b/radishtally/direct/answer_checks.py
@@ -1,4 +1,4 @@
-"""Tell whether an answer may belong to another request, or lack a part."""
+"""Checks whether an answer belongs to its request and is complete."""
 
 from collections.abc import Collection
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class AnswerMismatch(StrEnum):
-    """Say why an answer may not be the request's own."""
+    """Reasons why an answer may belong to another request."""
 
     FOREIGN = "it names another request"
     UNNAMED = "it names no request"
@@ -18,7 +18,7 @@
 
 
 class IncompleteReason(StrEnum):
-    """Say why an answer may lack a part, though nothing broke it off."""
+    """Reasons why an answer may be incomplete although no connection error occurred."""
 
     CUT_EVENT = "closed within an event"
     NO_EVENT = "closed before the first event"
@@ -27,34 +27,34 @@
 
 
 class IncompleteAnswerError(aiohttp.ClientPayloadError):
-    """Say why an answer is not taken for a whole one."""
+    """Raised when an answer may be incomplete."""
 
-    def __init__(self, flaw: IncompleteReason) -> None:
-        super().__init__(f"the answer may not be whole: {flaw}")
+    def __init__(self, reason: IncompleteReason) -> None:
+        super().__init__(f"the answer may be incomplete: {reason}")
 
 
 class MismatchedAnswerError(aiohttp.ClientPayloadError):
-    """Say why an answer is not taken for the request's own."""
+    """Raised when an answer may belong to another request."""
 
-    def __init__(self, doubt: AnswerMismatch) -> None:
-        super().__init__(f"not the request's answer: {doubt}")
+    def __init__(self, mismatch: AnswerMismatch) -> None:
+        super().__init__(f"not the request's answer: {mismatch}")
 
 
 def find_mismatch(
     names: Collection[str], request: str, usage: Usage
 ) -> AnswerMismatch | None:
-    """Find why an answer may not be the request's own, by the names that it bears."""
+    """Return why an answer may belong to another request, by the request ids in it."""
     if len(names) > 1:
         return AnswerMismatch.SEVERAL
     if names and request not in names:
         return AnswerMismatch.FOREIGN
-    # The first answer on a connection can belong to no earlier request.
+    # The first answer on a connection cannot belong to an earlier request.
     return AnswerMismatch.UNNAMED if usage.carried and not names else None
 
 
-def describe(error: BaseException) -> str:
-    """Say how an exchange failed, for logs."""
-    # Texts of the library's errors hold parts of answers.
+def describe_error(error: BaseException) -> str:
+    """Describe how an exchange failed, for logs."""
+    # The library's error texts may contain parts of answers, so only the type is shown.
     if isinstance(error, MismatchedAnswerError | IncompleteAnswerError):
         return str(error)
     return type(error).__name__
--- a/radishtally/direct/answers.py
+++ b/radishtally/direct/answers.py
@@ -1,4 +1,4 @@
-"""Read the answers of hosts that have no agent, and report as an agent would."""
+"""Read answers of hosts without an agent and report them as agent messages."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -39,12 +39,12 @@
 from radishtally.serving.terms import Terms
 
 Receive = Callable[[str, Message], None]
-Name = tuple[str, int]
+AttemptId = tuple[str, int]
 
 
 @dataclass(slots=True)
 class _Progress:
-    """Follow the answer to one attempt."""
+    """Track how much of an attempt's answer has been passed on."""
 
     offset: int
     tokens: int
@@ -52,7 +52,7 @@
 
 
 class AnswerReader:
-    """Read answers, each to the end that its host gives it."""
+    """Read answers to their end and report them as messages."""
 
     def __init__(
         self,
@@ -65,62 +65,62 @@
         self._receive = receive
         self._probes = probes
         self._is_leaving = is_leaving
-        self.on_mismatch: Callable[[AnswerMismatch], None] = lambda doubt: None
+        self.on_mismatch: Callable[[AnswerMismatch], None] = lambda mismatch: None
         self.on_notice: Callable[[Instance, Notice], None] = lambda host, notice: None
 
     async def read(
         self, response: WatchedResponse, instance: Instance, offer: Offer, terms: Terms
     ) -> None:
-        """Read the answer to an offer; raise if it breaks off or is not taken."""
+        """Read the answer to an offer; raise if it breaks off or is rejected."""
         host = instance.host
-        name = offer.work.request, offer.attempt
+        attempt_id = offer.work.request, offer.attempt
         head = self._dialect.read_head(
             response.status, decode_headers(response.raw_headers)
         )
-        doubt = find_mismatch(head.names, offer.work.request, response.usage)
-        if doubt is not None:
-            # Whatever follows on the connection can't be told apart either.
+        mismatch = find_mismatch(head.names, offer.work.request, response.usage)
+        if mismatch is not None:
+            # Later answers on this connection could not be matched to requests either.
             response.abort()
-            self._note_doubt(doubt, head, response.usage, instance, offer)
-            raise MismatchedAnswerError(doubt)
+            self._report_mismatch(mismatch, head, response.usage, instance, offer)
+            raise MismatchedAnswerError(mismatch)
         self.report_notice(response, instance)
         if head.not_run:
             reason = REPLACED if head.is_replaced else f"status {head.status}"
-            self._receive(host, Refused(*name, reason, 0.0))
+            self._receive(host, Refused(*attempt_id, reason, 0.0))
             return
-        self._receive(host, Accepted(*name, 0.0))
+        self._receive(host, Accepted(*attempt_id, 0.0))
         if offer.stage == PREFILL:
             await self._read_handle(response, instance, offer)
             return
         if not head.signature and head.status < 300:
-            raise aiohttp.ClientPayloadError("the answer is not the host's own")
+            raise aiohttp.ClientPayloadError("the answer lacks the host's signature")
         if offer.work.kind == CALL or head.status != OK:
-            await self._collect(response, instance, offer, head)
+            await self._read_whole(response, instance, offer, head)
             return
-        await self._follow(response, instance, offer, terms, head)
+        await self._stream(response, instance, offer, terms, head)
 
     def report_notice(self, response: WatchedResponse, instance: Instance) -> None:
-        """Take what the head of any answer says of its host."""
+        """Report the host status in the head of an answer, if there is any."""
         headers = decode_headers(response.raw_headers)
         notice = self._dialect.read_notice(response.status, headers)
         if notice != NO_NOTICE:
             self.on_notice(instance, notice)
 
-    def _note_doubt(
+    def _report_mismatch(
         self,
-        doubt: AnswerMismatch,
+        mismatch: AnswerMismatch,
         head: Head,
         usage: Usage,
         instance: Instance,
         offer: Offer,
     ) -> None:
-        self.on_mismatch(doubt)
+        self.on_mismatch(mismatch)
         log_message(
             "upstream:answer_doubted",
             request=offer.work.request,
             attempt=offer.attempt,
             upstream_host=instance.host,
-            doubt=doubt,
+            doubt=mismatch,
             names=head.names,
             status=head.status,
             signature=head.signature,
@@ -128,14 +128,14 @@
             carried=usage.carried,
         )
 
-    async def _check_close(
+    async def _check_unframed_end(
         self, instance: Instance, offer: Offer, rest: int = 0, is_empty: bool = False
     ) -> None:
-        """Raise if an answer that ended with its connection may lack a part.
+        """Raise if an answer that ended with its connection may be incomplete.
 
-        A process that is killed closes its connections like one that is done.
+        A killed process closes its connections just like one that has finished.
         """
-        # What leaves ends soon after its last answer.
+        # A draining host terminates soon after its last answer.
         is_leaving = self._is_leaving(instance.host)
         has_ended = not is_leaving and await self._probes.probe(instance)
         log_message(
@@ -156,39 +156,41 @@
     async def _read_handle(
         self, response: WatchedResponse, instance: Instance, offer: Offer
     ) -> None:
-        name = offer.work.request, offer.attempt
+        attempt_id = offer.work.request, offer.attempt
         read = self._dialect.read_handle(await response.read(), instance)
         if response.status != OK or read.is_error():
             reason = f"no KV cache, status {response.status}"
-            self._receive(instance.host, Lost(*name, Ran.NO, reason, 0))
+            self._receive(instance.host, Lost(*attempt_id, Ran.NO, reason, 0))
             return
-        progress = _begin(offer)
+        progress = _start_progress(offer)
         checksum = progress.checksum.intdigest()
-        end = Handover(*name, progress.offset, checksum, read.ok)
+        end = Handover(*attempt_id, progress.offset, checksum, read.ok)
         self._receive(instance.host, end)
 
-    async def _collect(
+    async def _read_whole(
         self, response: WatchedResponse, instance: Instance, offer: Offer, head: Head
     ) -> None:
-        """Take an answer as a whole before any of it is passed on."""
+        """Read a complete answer before passing any of it on."""
         host = instance.host
-        name = offer.work.request, offer.attempt
+        attempt_id = offer.work.request, offer.attempt
         body = bytearray()
         async for data in response.content.iter_chunked(READ_BYTES):
             body += data
             if len(body) > MAX_ANSWER_BYTES:
-                text = f"the answer is over {MAX_ANSWER_BYTES} bytes"
+                text = f"the answer is larger than {MAX_ANSWER_BYTES} bytes"
                 raise aiohttp.ClientPayloadError(text)
         response.check_end()
         if not response.is_framed:
-            await self._check_close(instance, offer)
+            await self._check_unframed_end(instance, offer)
         checksum = xxhash.xxh64_intdigest(bytes(body))
         if body:
-            self._receive(host, Chunk(*name, 0, bytes(body), 0))
-        end = Finished(*name, len(body), checksum, head.status, "", 0, 0, head.headers)
+            self._receive(host, Chunk(*attempt_id, 0, bytes(body), 0))
+        end = Finished(
+            *attempt_id, len(body), checksum, head.status, "", 0, 0, head.headers
+        )
         self._receive(host, end)
 
-    async def _follow(
+    async def _stream(
         self,
         response: WatchedResponse,
         instance: Instance,
@@ -196,46 +198,57 @@
         terms: Terms,
         head: Head,
     ) -> None:
-        """Pass on the events of a stream as they come whole."""
+        """Pass on the events of a stream as they become complete."""
         host = instance.host
-        name = offer.work.request, offer.attempt
-        progress = _begin(offer)
+        attempt_id = offer.work.request, offer.attempt
+        progress = _start_progress(offer)
         splitter = EventSplitter()
-        self._receive(host, Begun(*name, head.status, head.headers))
+        self._receive(host, Begun(*attempt_id, head.status, head.headers))
         async for data in response.content.iter_any():
-            found = splitter.feed(data)
-            if found is None:
+            batch = splitter.feed(data)
+            if batch is None:
                 continue
             is_first = progress.offset == len(offer.done)
-            if is_first and not _begins_as_asked(found.first, offer, terms):
+            if is_first and not _starts_as_requested(batch.first, offer, terms):
                 raise IncompleteAnswerError(IncompleteReason.OTHER_EVENT)
-            progress.tokens = max(progress.tokens, found.last)
-            self._pass_on(host, name, progress, found.data)
+            progress.tokens = max(progress.tokens, batch.last)
+            self._pass_on(host, attempt_id, progress, batch.data)
         response.check_end()
         if not response.is_framed:
             is_empty = progress.offset == len(offer.done)
-            await self._check_close(instance, offer, len(splitter.rest), is_empty)
+            await self._check_unframed_end(
+                instance, offer, len(splitter.rest), is_empty
+            )
         if splitter.rest:
-            self._pass_on(host, name, progress, splitter.rest)
+            self._pass_on(host, attempt_id, progress, splitter.rest)
         length, checksum = progress.offset, progress.checksum.intdigest()
         end = Finished(
-            *name, length, checksum, head.status, "", 0, progress.tokens, head.headers
+            *attempt_id,
+            length,
+            checksum,
+            head.status,
+            "",
+            0,
+            progress.tokens,
+            head.headers,
         )
         self._receive(host, end)
 
-    def _pass_on(self, host: str, name: Name, progress: _Progress, data: bytes) -> None:
-        chunk = Chunk(*name, progress.offset, data, progress.tokens)
+    def _pass_on(
+        self, host: str, attempt_id: AttemptId, progress: _Progress, data: bytes
+    ) -> None:
+        chunk = Chunk(*attempt_id, progress.offset, data, progress.tokens)
         progress.offset += len(data)
         progress.checksum.update(data)
         self._receive(host, chunk)
 
 
-def _begins_as_asked(first: int, offer: Offer, terms: Terms) -> bool:
-    """Tell whether a run begins behind what its caller has, by its first event's id."""
+def _starts_as_requested(first: int, offer: Offer, terms: Terms) -> bool:
+    """Return whether a stream starts after the events that its caller already has."""
     if offer.done:
         return continues_stream(first, offer.done)
     return not first or first > terms.resumed_after
 
 
-def _begin(offer: Offer) -> _Progress:
+def _start_progress(offer: Offer) -> _Progress:
     return _Progress(len(offer.done), offer.tokens_done, xxhash.xxh64(offer.done))
--- a/radishtally/direct/core.py
+++ b/radishtally/direct/core.py
@@ -1,4 +1,4 @@
-"""Contracts between the entry and the hosts that it reaches without an agent."""
+"""Types and protocols for hosts that are reached without an agent."""
 
 from enum import StrEnum
 from typing import Final, NamedTuple, Protocol
@@ -13,7 +13,7 @@
     """Describe one start of an upstream's host."""
 
     host: str
-    """Name; where starts are told apart, a host keeps it when it starts again."""
+    """Name; a host keeps it across restarts if the deployment reports start times."""
     upstream: str
     address: str
     """IP and port."""
@@ -23,16 +23,16 @@
     role: str = ""
     """PREFILL, DECODE or MIXED for an engine, empty for a plain service."""
     started_ms: int = 0
-    """Unix milliseconds of the start; 0 where the deployment does not tell it."""
+    """Start time in Unix milliseconds; 0 if the deployment does not report it."""
 
 
 def is_same_start(one_ms: int, other_ms: int) -> bool:
-    """Tell whether two sources may show one start; what tells none shows any."""
+    """Return whether two start times may be the same; an unknown one matches any."""
     return not one_ms or not other_ms or one_ms == other_ms
 
 
 class UpstreamCall(NamedTuple):
-    """Hold a request as it goes out to a host."""
+    """Describe an HTTP request to a host."""
 
     method: str
     path: str
@@ -41,47 +41,47 @@
 
 
 class Head(NamedTuple):
-    """Hold what the head of a host's answer says."""
+    """Describe the head of a host's answer."""
 
     status: int
     names: tuple[str, ...]
-    """Requests that the answer says it belongs to: one, if nothing went wrong."""
+    """Ids of the requests that the answer claims to belong to; normally exactly one."""
     not_run: bool
-    """Whether the host promises that it did not run the request and won't."""
+    """Whether the host guarantees that it did not and will not run the request."""
     is_replaced: bool
     """Whether another instance has the address now."""
     signature: str
-    """The host's mark on an answer that it made itself, empty on any other."""
+    """Signature of a host on its own answers; empty on answers of intermediaries."""
     headers: Headers
-    """To be passed on to the caller."""
+    """Headers to pass on to the caller."""
 
 
 class Notice(NamedTuple):
-    """Hold what a host says of itself in the head of any answer."""
+    """Describe a host's status as reported in the head of any answer."""
 
     is_leaving: bool = False
-    """Whether it ends soon, and wants no new work."""
+    """Whether the host is about to stop and accepts no new work."""
     pause: float = 0.0
-    """Seconds for which it wants no work from this process."""
+    """Seconds for which the host asks for no work from this process."""
 
 
 NO_NOTICE: Final = Notice()
 
 
 class EngineReport(NamedTuple):
-    """Hold what an engine says of itself."""
+    """Describe the state that an engine reports."""
 
     role: str
     sequence: int
-    """Orders that it has taken since its start."""
+    """Number of orders accepted since its start."""
     is_busy: bool
-    """Whether an order is being carried out."""
+    """Whether an order is in progress."""
     started_ms: int = 0
-    """Unix milliseconds of its start; 0 where the deployment does not tell it."""
+    """Start time in Unix milliseconds; 0 if the deployment does not report it."""
 
 
 class CachedPart(NamedTuple):
-    """Name a part of prompts that an engine keeps."""
+    """Describe a prompt part that an engine has in its KV cache."""
 
     model: str
     name: str
@@ -89,58 +89,58 @@
 
 
 class OrderOutcome(StrEnum):
-    """Say what became of an order."""
+    """Outcomes of an order to an engine."""
 
     TAKEN = "taken"
     HOLDS = "holds"
-    """The engine is as ordered already."""
+    """The engine already is in the ordered state."""
     BUSY = "busy"
-    """Another order came before it."""
+    """Another order is in progress."""
     STALE = "stale"
-    """A newer holder of the lease has given orders since."""
+    """A newer holder of the lease has issued orders since."""
     REFUSED = "refused"
-    """The engine will never carry it out."""
+    """The engine will never execute the order."""
     UNREACHED = "unreached"
     UNCLEAR = "unclear"
-    """It may be carried out, now or later."""
+    """The order may be executed now or later."""
 
 
 class Dialect(Protocol):
-    """Translate between offers and what a deployment's hosts speak."""
+    """Translate between offers and the HTTP interface of a deployment's hosts."""
 
     def encode_offer(
         self, offer: Offer, terms: Terms, instance: Instance
     ) -> UpstreamCall:
-        """Give the request that carries out an offer."""
+        """Build the request that executes an offer."""
 
     def encode_drop(self, kv: KvRef) -> UpstreamCall:
-        """Give the request that frees a KV cache that nobody will fetch."""
+        """Build the request that frees a KV cache that no engine will fetch."""
 
     def encode_report(self, instance: Instance) -> UpstreamCall:
-        """Give the request that asks an engine what it does."""
+        """Build the request that queries an engine's state."""
 
     def read_report(self, body: bytes) -> Result[EngineReport, str]:
-        """Read what an engine says of itself."""
+        """Decode an engine's state report."""
 
     def encode_cached_parts(self, instance: Instance) -> UpstreamCall:
-        """Give the request that asks an engine which parts of prompts it keeps."""
+        """Build the request that lists an engine's cached prompt parts."""
 
     def read_cached_parts(self, body: bytes) -> Result[list[CachedPart], str]:
-        """Read which parts of prompts an engine keeps."""
+        """Decode the list of an engine's cached prompt parts."""
 
     def encode_order(
         self, instance: Instance, role: str, owner: str, fencing: int, sequence: int
     ) -> UpstreamCall:
-        """Give the request that orders an engine to take a role."""
+        """Build the request that orders an engine to assume a role."""
 
     def read_order(self, status: int) -> OrderOutcome:
-        """Read what an engine says to an order."""
+        """Decode the status of an engine's answer to an order."""
 
     def read_head(self, status: int, headers: Headers) -> Head:
-        """Read the head of an answer."""
+        """Decode the head of an answer."""
 
     def read_notice(self, status: int, headers: Headers) -> Notice:
-        """Read what the head of any answer says of its host."""
+        """Decode the host status in the head of any answer."""
 
     def read_handle(self, body: bytes, instance: Instance) -> Result[KvRef, str]:
-        """Read where the KV cache of a computed prompt lies."""
+        """Decode the location of a computed prompt's KV cache."""
--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -1,4 +1,4 @@
-"""Run offers at hosts that have no agent, and report as an agent would."""
+"""Run offers at hosts without an agent and report the results as agent messages."""
 
 import asyncio
 from typing import Final
@@ -7,9 +7,13 @@
 from eliot import log_message
 from yarl import URL
 
-from radishtally.direct.answer_checks import AnswerMismatch, describe
+from radishtally.direct.answer_checks import AnswerMismatch, describe_error
 from radishtally.direct.answers import AnswerReader, Receive
-from radishtally.direct.const import DROP_SECONDS, OK, ORDER_SECONDS
+from radishtally.direct.const import (
+    ENGINE_CALL_TIMEOUT_SECONDS,
+    FREE_KV_TIMEOUT_SECONDS,
+    OK,
+)
 from radishtally.direct.core import (
     CachedPart,
     Dialect,
@@ -43,7 +47,7 @@
 
 
 class DirectHosts:
-    """Reach the hosts of all direct upstreams over HTTP."""
+    """Send requests to the hosts of all direct upstreams over HTTP."""
 
     def __init__(self, dialect: Dialect, receive: Receive) -> None:
         self._dialect = dialect
@@ -54,66 +58,68 @@
         self.answers = AnswerReader(dialect, receive, self._probes, self._is_leaving)
 
     async def start(self) -> None:
-        """Open the pools of connections."""
-        self._pooled = open_session(False, self._note_unasked)
-        # A connection that is kept open may be closed by its host just as a call goes
-        # out on it, or may have died unnoticed; whether the call ran can't be told
-        # then. A new connection that fails surely carried nothing.
-        self._fresh = open_session(True, self._note_unasked)
+        """Open the connection pools."""
+        self._pooled = open_session(False, self._report_unrequested)
+        # A host may close a pooled connection just as a call is sent on it, or the
+        # connection may be dead already; it is then unknown whether the call ran. A new
+        # connection that fails to open certainly carried nothing.
+        self._fresh = open_session(True, self._report_unrequested)
 
     async def stop(self) -> None:
-        """End all that is under way and close the connections."""
+        """Cancel all running attempts and close the connections."""
         await asyncio.gather(*self._tasks.cancel_all(), return_exceptions=True)
         await self._pooled.close()
         await self._fresh.close()
 
     def set_instance(self, instance: Instance) -> None:
-        """Take where a host is and what it does."""
+        """Add or update a host's address and role."""
         self._instances[instance.host] = instance
 
     def forget(self, host: str) -> None:
-        """Forget a host; what runs there goes on."""
+        """Remove a host; attempts that run there continue."""
         self._instances.pop(host, None)
 
     def run(self, host: str, offer: Offer, terms: Terms) -> None:
-        """Carry out an offer; what comes of it is reported as messages."""
-        name = offer.work.request, offer.attempt
+        """Execute an offer; its results are reported as messages."""
+        attempt_id = offer.work.request, offer.attempt
         instance = self._instances.get(host)
         if instance is None:
             loop = asyncio.get_running_loop()
-            loop.call_soon(self._receive, host, Refused(*name, LEAVING, 0.0))
+            loop.call_soon(self._receive, host, Refused(*attempt_id, LEAVING, 0.0))
             return
-        self._tasks.start(*name, self._run(instance, offer, terms))
+        self._tasks.start(*attempt_id, self._run(instance, offer, terms))
 
     def cancel(self, message: Cancel) -> None:
-        """End an attempt: the closed connection tells its host to drop the work."""
+        """Cancel an attempt; closing its connection makes the host drop the work."""
         self._tasks.cancel(message.request, message.attempt)
 
     def drop(self, kv: KvRef) -> None:
-        """Free a KV cache that nobody will fetch."""
-        self._tasks.keep(self._drop(kv))
+        """Free a KV cache that no engine will fetch."""
+        self._tasks.keep(self._free_kv(kv))
 
     async def read_report(self, instance: Instance) -> Result[EngineReport, str]:
-        """Ask an engine what it does."""
-        read = await self._ask(instance, self._dialect.encode_report(instance))
+        """Query an engine's state."""
+        read = await self._query(instance, self._dialect.encode_report(instance))
         return read.bind(self._dialect.read_report)
 
     async def read_cached_parts(
         self, instance: Instance
     ) -> Result[list[CachedPart], str]:
-        """Ask an engine which parts of prompts it keeps."""
-        read = await self._ask(instance, self._dialect.encode_cached_parts(instance))
+        """Query the prompt parts in an engine's KV cache."""
+        read = await self._query(instance, self._dialect.encode_cached_parts(instance))
         return read.bind(self._dialect.read_cached_parts)
 
-    async def _ask(self, instance: Instance, call: UpstreamCall) -> Result[bytes, str]:
-        """Give the body of an engine's answer to a question about itself.
+    async def _query(
+        self, instance: Instance, call: UpstreamCall
+    ) -> Result[bytes, str]:
+        """Query an engine and return the body of its answer.
 
-        Its connection carries nothing else: the answer bears no name, and one that was
-        late for an earlier request would be believed.
+        The connection is used for this query only: the answer has no request id, so a
+        late answer to an earlier request on it would be mistaken for this one.
         """
         try:
             async with (
-                asyncio.timeout(ORDER_SECONDS),
+                asyncio.timeout(ENGINE_CALL_TIMEOUT_SECONDS),
                 self._send(instance.address, call, False) as response,
             ):
                 self.answers.report_notice(response, instance)
@@ -121,16 +127,16 @@
                     return Error(f"status {response.status}")
                 return Ok(await response.read())
         except BROKEN as error:
-            return Error(describe(error))
+            return Error(describe_error(error))
 
     async def order_role(
         self, instance: Instance, role: str, owner: str, fencing: int, sequence: int
     ) -> OrderOutcome:
-        """Order an engine to take a role."""
+        """Order an engine to assume a role."""
         call = self._dialect.encode_order(instance, role, owner, fencing, sequence)
         try:
             async with (
-                asyncio.timeout(ORDER_SECONDS),
+                asyncio.timeout(ENGINE_CALL_TIMEOUT_SECONDS),
                 self._send(instance.address, call, False) as response,
             ):
                 self.answers.report_notice(response, instance)
@@ -141,32 +147,32 @@
             log_message(
                 "upstream:order_unclear",
                 upstream_host=instance.host,
-                error=describe(error),
+                error=describe_error(error),
             )
             return OrderOutcome.UNCLEAR
 
     async def _run(self, instance: Instance, offer: Offer, terms: Terms) -> None:
         host = instance.host
-        name = offer.work.request, offer.attempt
+        attempt_id = offer.work.request, offer.attempt
         call = self._dialect.encode_offer(offer, terms, instance)
         repeatable = offer.work.idempotent or offer.stage == PREFILL
         try:
             async with self._send(instance.address, call, repeatable) as response:
                 await self.answers.read(response, instance, offer, terms)
         except NOT_CONNECTED as error:
-            self._receive(host, Lost(*name, Ran.NO, UNREACHED, 0))
+            self._receive(host, Lost(*attempt_id, Ran.NO, UNREACHED, 0))
             log_message("upstream:unreached", upstream_host=host, error=repr(error))
         except BROKEN as error:
-            # A prompt that was to be computed has not run: no token was made of it.
+            # Computing the prompt does not count as running: no token was generated.
             ran = Ran.NO if offer.stage == PREFILL else Ran.UNKNOWN
             has_ended = await self._probes.has_ended(instance, error)
-            reason = ENDED if has_ended else describe(error)
-            self._receive(host, Lost(*name, ran, reason, 0))
+            reason = ENDED if has_ended else describe_error(error)
+            self._receive(host, Lost(*attempt_id, ran, reason, 0))
 
     def _send(
-        self, address: str, call: UpstreamCall, on_kept: bool
+        self, address: str, call: UpstreamCall, reuse_connection: bool
     ) -> "aiohttp.client._RequestContextManager":
-        session = self._pooled if on_kept else self._fresh
+        session = self._pooled if reuse_connection else self._fresh
         return session.request(
             call.method,
             URL(f"http://{address}{call.path}", encoded=True),
@@ -176,19 +182,19 @@
             middlewares=(SendOnce(),),
         )
 
-    def _note_unasked(self) -> None:
+    def _report_unrequested(self) -> None:
         self.answers.on_mismatch(AnswerMismatch.UNASKED)
 
     def _is_leaving(self, host: str) -> bool:
-        """Tell whether a host ends soon, and regularly."""
+        """Return whether a host is draining or no longer listed."""
         known = self._instances.get(host)
         return known is None or known.is_draining
 
-    async def _drop(self, kv: KvRef) -> None:
+    async def _free_kv(self, kv: KvRef) -> None:
         call = self._dialect.encode_drop(kv)
         try:
             async with (
-                asyncio.timeout(DROP_SECONDS),
+                asyncio.timeout(FREE_KV_TIMEOUT_SECONDS),
                 self._send(kv.url, call, False) as response,
             ):
                 instance = self._instances.get(kv.host)
--- a/radishtally/direct/pool.py
+++ b/radishtally/direct/pool.py
@@ -1,4 +1,4 @@
-"""Open pools of connections to hosts, and watch the answers on them."""
+"""Connection pools to hosts, and responses that keep track of their connection."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,31 +8,31 @@
 from aiohttp.connector import Connection
 
 from radishtally.connector import KeepingConnector, KeptHandler, Usage
-from radishtally.direct.const import CONNECT_SECONDS, POOL_SECONDS
+from radishtally.direct.const import CONNECT_SECONDS, IDLE_CONNECTION_SECONDS
 from radishtally.direct.sockets import open_socket
 from radishtally.exchange import CheckedResponse
 
 SKIPPED_HEADERS: Final = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-"""Headers that the library would add of its own: hosts get the caller's alone."""
+"""Headers that aiohttp would add; hosts receive only those of the caller."""
 
 
 class WatchedResponse(CheckedResponse):
-    """Know how the connection of an answer was before it."""
+    """Record how the connection of an answer was used before."""
 
     usage = Usage()
     _watched: KeptHandler | None = None
 
     async def start(self, connection: Connection) -> "WatchedResponse":
-        """Read the head, and keep hold of the connection."""
+        """Read the head and remember the connection."""
         self.usage = connection.protocol.usage
         return await super().start(connection)
 
     def abort(self) -> None:
-        """Close the connection, also if the library has given it back.
+        """Close the connection, even if aiohttp has returned it to the pool.
 
-        It does so at the end of an answer, which may have come with the head. If that
-        was another request's, the own one is still to come: each later request on the
-        connection would be given the answer of the one before it.
+        aiohttp returns it at the end of an answer, which may arrive together with the
+        head. If that answer belonged to another request, our own is still to come, and
+        every later request on the connection would get the answer of the one before it.
         """
         self.close()
         if self._watched is not None:
@@ -40,7 +40,7 @@
 
 
 async def is_connection_refused(address: str) -> bool:
-    """Tell whether nothing listens at an IP and port that can be reached."""
+    """Return whether a reachable IP and port refuses connections."""
     ip, port = address.rsplit(":", 1)
     try:
         async with asyncio.timeout(CONNECT_SECONDS):
@@ -54,17 +54,17 @@
 
 
 def open_session(
-    force_close: bool, on_unasked: Callable[[], None]
+    force_close: bool, on_unrequested: Callable[[], None]
 ) -> aiohttp.ClientSession:
-    """Open a pool of connections, or one that opens a connection for each request."""
-    more = {} if force_close else {"keepalive_timeout": POOL_SECONDS}
+    """Open a connection pool, or with `force_close` one without connection reuse."""
+    extra = {} if force_close else {"keepalive_timeout": IDLE_CONNECTION_SECONDS}
     connector = KeepingConnector(
         "upstream",
-        on_unasked,
+        on_unrequested,
         limit=0,
         force_close=force_close,
         socket_factory=open_socket,
-        **more,
+        **extra,
     )
     timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
     return aiohttp.ClientSession(
--- a/radishtally/direct/probes.py
+++ b/radishtally/direct/probes.py
@@ -1,4 +1,4 @@
-"""Tell whether hosts have ended."""
+"""Probes that detect terminated hosts."""
 
 import asyncio
 
@@ -11,16 +11,16 @@
 
 
 class HostProbes:
-    """Look whether hosts have ended, once for all that ask together."""
+    """Probe whether hosts have terminated; concurrent callers share a probe."""
 
     def __init__(self) -> None:
         self._running: dict[Instance, asyncio.Task[bool]] = {}
 
     async def has_ended(self, instance: Instance, error: BaseException) -> bool:
-        """Tell whether an answer broke off because its host has ended.
+        """Return whether an answer broke off because its host has terminated.
 
-        A reset, a cut link and a spoiled answer look alike on the connection, and say
-        nothing of the request. Answers that break off together are looked into once.
+        A reset, a cut link and a corrupt answer look alike on the connection and say
+        nothing about the request. Answers that break off together share one probe.
         """
         is_foreign = isinstance(error, MismatchedAnswerError)
         if is_foreign or not isinstance(error, aiohttp.ClientError):
@@ -28,7 +28,7 @@
         return await self.probe(instance)
 
     async def probe(self, instance: Instance) -> bool:
-        """Tell whether nothing listens at a host any more."""
+        """Return whether nothing listens at the host's address any more."""
         probe = self._running.get(instance)
         if probe is None:
             probe = asyncio.create_task(_probe(instance))
--- a/radishtally/direct/sockets.py
+++ b/radishtally/direct/sockets.py
@@ -1,4 +1,4 @@
-"""Open sockets whose peers can't go silent unnoticed."""
+"""Sockets that detect a silent peer."""
 
 import socket
 from typing import Any
@@ -14,22 +14,23 @@
 def open_socket(info: tuple[Any, ...]) -> socket.socket:
     """Open the socket of an outgoing connection.
 
-    Something between the two ends may forget an open connection: nothing arrives any
-    more and no error tells. The answer would be waited for until the deadline. Probes
-    and the bound on unconfirmed bytes turn the silence into an error.
+    A middlebox may drop an open connection from its tables: no data arrives any more
+    and no error is raised, so the answer would be awaited until the deadline.
+    Keep-alive probes and the limit on unacknowledged data turn the silence into an
+    error.
     """
     family, kind, protocol, _, _ = info
-    opened = socket.socket(family, kind, protocol)
-    opened.setblocking(False)
-    watch_peer(opened)
-    return opened
+    sock = socket.socket(family, kind, protocol)
+    sock.setblocking(False)
+    enable_keepalive(sock)
+    return sock
 
 
-def watch_peer(opened: socket.socket) -> None:
-    """Let the kernel probe the connection's other end."""
+def enable_keepalive(sock: socket.socket) -> None:
+    """Enable TCP keep-alive probes and the limit on unacknowledged data."""
     tcp = socket.IPPROTO_TCP
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
-    opened.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_SECONDS)
-    opened.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    opened.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_SECONDS)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/radishtally/direct/stream.py
+++ b/radishtally/direct/stream.py
@@ -1,41 +1,41 @@
-"""Cut a stream of server-sent events into whole events."""
+"""Split a stream of server-sent events into complete events."""
 
 import re
 from itertools import pairwise
 from typing import Final, NamedTuple
 
-BOUNDARY: Final = re.compile(rb"\r?\n\r?\n")
-ID: Final = re.compile(rb"^id:[ ]?(\d+)\r?$", re.MULTILINE)
+EVENT_BOUNDARY: Final = re.compile(rb"\r?\n\r?\n")
+EVENT_ID: Final = re.compile(rb"^id:[ ]?(\d+)\r?$", re.MULTILINE)
 
 
 class EventBatch(NamedTuple):
-    """Hold whole events in a row."""
+    """Hold consecutive complete events."""
 
     data: bytes
     first: int
-    """Id of the first of them that has one, else 0."""
+    """Id of the first event that has one, or 0."""
     last: int
-    """Id of the last of them that has one, else 0."""
+    """Id of the last event that has one, or 0."""
 
 
 def continues_stream(first: int, done: bytes) -> bool:
-    """Tell whether a run that begins with an event's id goes on behind other events.
+    """Return whether an attempt that starts at event id `first` continues `done`.
 
-    Ids grow. Those of a stream that have grown one by one so far number its events, so
-    that a greater step leaves some out.
+    Ids increase. If all ids of the stream so far are consecutive, they number its
+    events, and a larger step means that events are missing.
     """
-    ids = [int(found) for found in ID.findall(done)]
+    ids = [int(text) for text in EVENT_ID.findall(done)]
     if not ids or first <= ids[-1]:
         return False
-    is_counting = all(after == before + 1 for before, after in pairwise(ids))
-    return first == ids[-1] + 1 or not is_counting
+    ids_are_consecutive = all(after == before + 1 for before, after in pairwise(ids))
+    return first == ids[-1] + 1 or not ids_are_consecutive
 
 
 class EventSplitter:
-    """Hold back an event that has not come whole.
+    """Buffer an event until it is complete.
 
-    A host that breaks off may do so within an event. Passed on, its beginning would
-    stand before the next host's event, and the caller would read neither.
+    A host may fail in the middle of an event. If the partial event were passed on, the
+    next host's event would be appended to it and the caller could parse neither.
     """
 
     def __init__(self) -> None:
@@ -43,17 +43,17 @@
 
     @property
     def rest(self) -> bytes:
-        """Give what has come of an event that is not whole."""
+        """Data of an event that is not complete yet."""
         return self._rest
 
     def feed(self, data: bytes) -> EventBatch | None:
-        """Take what has come; give the events that are whole now, if there are any."""
+        """Add received data and return the events that it completes, or None."""
         data = self._rest + data
-        end = max((found.end() for found in BOUNDARY.finditer(data)), default=0)
+        end = max((match.end() for match in EVENT_BOUNDARY.finditer(data)), default=0)
         self._rest = data[end:]
         if not end:
             return None
-        whole = data[:end]
-        ids = ID.findall(whole)
+        complete = data[:end]
+        ids = EVENT_ID.findall(complete)
         first, last = (int(ids[0]), int(ids[-1])) if ids else (0, 0)
-        return EventBatch(whole, first, last)
+        return EventBatch(complete, first, last)
--- a/tests/direct/test_answer_checks.py
+++ b/tests/direct/test_answer_checks.py
@@ -1,28 +1,28 @@
-"""Tests of telling whether an answer is the request's own."""
+"""Tests of checking whether an answer belongs to its request."""
 
 import pytest
 
 from radishtally.connector import Usage
 from radishtally.direct.answer_checks import AnswerMismatch, find_mismatch
 
-KEPT = Usage(age=1.0, carried=3)
+REUSED_CONNECTION = Usage(age=1.0, carried=3)
 
 
 @pytest.mark.parametrize(
-    ("names", "usage", "doubt"),
+    ("names", "usage", "mismatch"),
     [
         (("r1",), Usage(), None),
-        (("r1",), KEPT, None),
+        (("r1",), REUSED_CONNECTION, None),
         ((), Usage(), None),
-        ((), KEPT, AnswerMismatch.UNNAMED),
+        ((), REUSED_CONNECTION, AnswerMismatch.UNNAMED),
         (("r0",), Usage(), AnswerMismatch.FOREIGN),
-        (("r0",), KEPT, AnswerMismatch.FOREIGN),
-        (("",), KEPT, AnswerMismatch.FOREIGN),
+        (("r0",), REUSED_CONNECTION, AnswerMismatch.FOREIGN),
+        (("",), REUSED_CONNECTION, AnswerMismatch.FOREIGN),
         (("r1", "r0"), Usage(), AnswerMismatch.SEVERAL),
-        (("r1", "r1"), KEPT, AnswerMismatch.SEVERAL),
+        (("r1", "r1"), REUSED_CONNECTION, AnswerMismatch.SEVERAL),
     ],
 )
-def test_answer_is_doubted(
-    names: tuple[str, ...], usage: Usage, doubt: AnswerMismatch | None
+def test_mismatch_is_found(
+    names: tuple[str, ...], usage: Usage, mismatch: AnswerMismatch | None
 ) -> None:
-    assert find_mismatch(names, "r1", usage) == doubt
+    assert find_mismatch(names, "r1", usage) == mismatch
