--- a/tests/direct/test_answer_checks.py
+++ b/tests/direct/test_answer_checks.py
@@ -5,21 +5,21 @@
 from radishtally.connector import Usage
 from radishtally.direct.answer_checks import AnswerMismatch, find_mismatch
 
-REUSED_CONNECTION = Usage(age=1.0, carried=3)
+KEPT = Usage(age=1.0, carried=3)
 
 
 @pytest.mark.parametrize(
     ("names", "usage", "mismatch"),
     [
         (("r1",), Usage(), None),
-        (("r1",), REUSED_CONNECTION, None),
+        (("r1",), KEPT, None),
         ((), Usage(), None),
-        ((), REUSED_CONNECTION, AnswerMismatch.UNNAMED),
+        ((), KEPT, AnswerMismatch.UNNAMED),
         (("r0",), Usage(), AnswerMismatch.FOREIGN),
-        (("r0",), REUSED_CONNECTION, AnswerMismatch.FOREIGN),
-        (("",), REUSED_CONNECTION, AnswerMismatch.FOREIGN),
+        (("r0",), KEPT, AnswerMismatch.FOREIGN),
+        (("",), KEPT, AnswerMismatch.FOREIGN),
         (("r1", "r0"), Usage(), AnswerMismatch.SEVERAL),
-        (("r1", "r1"), REUSED_CONNECTION, AnswerMismatch.SEVERAL),
+        (("r1", "r1"), KEPT, AnswerMismatch.SEVERAL),
     ],
 )
 def test_mismatch_is_found(
