--- a/radishtally/serving/suspects.py
+++ b/radishtally/serving/suspects.py
@@ -31,7 +31,7 @@
 class HostEnd(NamedTuple):
     """Describe the termination of a host while a request was open there."""
 
-    known: int
+    known_ends: int
     """Consecutive ends that were known when the request was offered to the host."""
     seconds: float
     """Time for which the host had been answering the request."""
@@ -62,45 +62,45 @@
 
     def count_ends(self, content: str, now: float) -> int:
         """Return the number of consecutive host ends under a request."""
-        known = self._find(content, now)
-        return 0 if known is None else known.ends
+        suspect = self._find(content, now)
+        return 0 if suspect is None else suspect.ends
 
     def count_denied(self, now: float) -> int:
         """Return the number of requests that are currently denied."""
         return sum(
-            known.ends >= ENDS_TO_DENY and now < known.until
-            for known in self._suspects.values()
+            suspect.ends >= ENDS_TO_DENY and now < suspect.until
+            for suspect in self._suspects.values()
         )
 
     def find_denial_seconds(self, content: str, now: float) -> float:
         """Return the seconds a request stays denied for; 0 if it may be offered."""
-        known = self._find(content, now)
-        if known is None or known.ends < ENDS_TO_DENY:
+        suspect = self._find(content, now)
+        if suspect is None or suspect.ends < ENDS_TO_DENY:
             return 0.0
-        return max(0.0, known.until - now)
+        return max(0.0, suspect.until - now)
 
     def record_offer(self, content: str, now: float) -> int:
         """Record an offer of a request and return its number of consecutive ends."""
-        known = self._find(content, now)
-        if known is None:
+        suspect = self._find(content, now)
+        if suspect is None:
             return 0
-        if known.ends >= ENDS_TO_DENY:
+        if suspect.ends >= ENDS_TO_DENY:
             # The denial has expired; a single trial run shows whether the request still
             # makes its host terminate.
-            known.until = now + TRIAL_SECONDS
+            suspect.until = now + TRIAL_SECONDS
             self.mark_changed(content)
-        return known.ends
+        return suspect.ends
 
     def record_host_end(self, content: str, end: HostEnd, now: float) -> int:
         """Record a host's end under a request; return its consecutive ends."""
         if not content:
             return 0
-        known = self._find(content, now) or _Suspect(0, 0.0, 0.0)
-        if known.ends and end.seconds > _find_outlived_seconds(known):
-            known = _Suspect(0, 0.0, 0.0)
-        ends = max(known.ends, min(end.known, known.ends) + 1)
+        suspect = self._find(content, now) or _Suspect(0, 0.0, 0.0)
+        if suspect.ends and end.seconds > _find_outlived_seconds(suspect):
+            suspect = _Suspect(0, 0.0, 0.0)
+        ends = max(suspect.ends, min(end.known_ends, suspect.ends) + 1)
         until = now + _find_memory_seconds(ends)
-        self._set(content, _Suspect(ends, max(known.seconds, end.seconds), until))
+        self._set(content, _Suspect(ends, max(suspect.seconds, end.seconds), until))
         self.mark_changed(content)
         return ends
 
@@ -115,25 +115,25 @@
         if not suspicion.ends:
             self._suspects.pop(content, None)
             return False
-        known = self._find(content, now) or _Suspect(0, 0.0, 0.0)
-        if suspicion.ends < known.ends:
+        suspect = self._find(content, now) or _Suspect(0, 0.0, 0.0)
+        if suspicion.ends < suspect.ends:
             return False
         until = now + min(suspicion.left, MAX_DENY_SECONDS)
         merged = _Suspect(suspicion.ends, suspicion.seconds, until)
-        if suspicion.ends == known.ends:
-            until = max(until, known.until)
+        if suspicion.ends == suspect.ends:
+            until = max(until, suspect.until)
             merged = replace(
-                merged, until=until, seconds=max(merged.seconds, known.seconds)
+                merged, until=until, seconds=max(merged.seconds, suspect.seconds)
             )
         self._set(content, merged)
-        return known.ends < ENDS_TO_DENY <= merged.ends
+        return suspect.ends < ENDS_TO_DENY <= merged.ends
 
     def list_all(self, now: float) -> list[Suspicion]:
         """List all suspicions, for a peer that may have none of them."""
         return [
-            _to_suspicion(content, known, now)
-            for content, known in self._suspects.items()
-            if now < known.until or known.ends >= ENDS_TO_DENY
+            _to_suspicion(content, suspect, now)
+            for content, suspect in self._suspects.items()
+            if now < suspect.until or suspect.ends >= ENDS_TO_DENY
         ]
 
     def mark_changed(self, content: str) -> None:
@@ -147,14 +147,14 @@
         suspicions = []
         while self._changed and len(suspicions) < MAX_SUSPICIONS_PER_MESSAGE:
             content, _ = self._changed.popitem(last=False)
-            known = self._find(content, now) or _Suspect(0, 0.0, now)
-            suspicions.append(_to_suspicion(content, known, now))
+            suspect = self._find(content, now) or _Suspect(0, 0.0, now)
+            suspicions.append(_to_suspicion(content, suspect, now))
         return suspicions
 
     def _find(self, content: str, now: float) -> _Suspect | None:
-        known = self._suspects.get(content)
-        if known is None or now < known.until or known.ends >= ENDS_TO_DENY:
-            return known
+        suspect = self._suspects.get(content)
+        if suspect is None or now < suspect.until or suspect.ends >= ENDS_TO_DENY:
+            return suspect
         del self._suspects[content]
         return None
 
@@ -168,8 +168,8 @@
         """Choose the entry to evict: the oldest of those with few ends."""
         few = (
             content
-            for content, known in self._suspects.items()
-            if known.ends < ENDS_TO_ISOLATE
+            for content, suspect in self._suspects.items()
+            if suspect.ends < ENDS_TO_ISOLATE
         )
         return next(few, None) or next(iter(self._suspects))
 
@@ -183,13 +183,13 @@
     ]
 
 
-def _to_suspicion(content: str, known: _Suspect, now: float) -> Suspicion:
-    left = max(0.0, known.until - now)
-    return Suspicion(content, known.ends, known.seconds, left)
+def _to_suspicion(content: str, suspect: _Suspect, now: float) -> Suspicion:
+    left = max(0.0, suspect.until - now)
+    return Suspicion(content, suspect.ends, suspect.seconds, left)
 
 
-def _find_outlived_seconds(known: _Suspect) -> float:
-    return max(MIN_OUTLIVED_SECONDS, OUTLIVED_FACTOR * known.seconds)
+def _find_outlived_seconds(suspect: _Suspect) -> float:
+    return max(MIN_OUTLIVED_SECONDS, OUTLIVED_FACTOR * suspect.seconds)
 
 
 def _find_memory_seconds(ends: int) -> float:
