--- a/tests/direct/test_answer_checks.py
+++ b/tests/direct/test_answer_checks.py
@@ -1,4 +1,4 @@
-"""Tests of telling whether an answer is the request's own."""
+"""Tests of checking whether an answer belongs to its request."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("names", "usage", "doubt"),
+    ("names", "usage", "mismatch"),
     [
         (("r1",), Usage(), None),
         (("r1",), KEPT, None),
@@ -22,7 +22,7 @@
         (("r1", "r1"), KEPT, AnswerMismatch.SEVERAL),
     ],
 )
-def test_answer_is_doubted(
-    names: tuple[str, ...], usage: Usage, doubt: AnswerMismatch | None
+def test_mismatch_is_found(
+    names: tuple[str, ...], usage: Usage, mismatch: AnswerMismatch | None
 ) -> None:
-    assert find_mismatch(names, "r1", usage) == doubt
+    assert find_mismatch(names, "r1", usage) == mismatch
