--- a/radishtally/store/__init__.py
+++ b/radishtally/store/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts of the stores that the product keeps its state in, and their clients."""
+"""Interfaces and clients of the platform's services that store the product's state."""
--- a/radishtally/store/client.py
+++ b/radishtally/store/client.py
@@ -1,4 +1,4 @@
-"""Call the platform over HTTP and tell what surely was not sent."""
+"""HTTP client for the platform that distinguishes unsent requests from lost replies."""
 
 import asyncio
 from typing import Final, NamedTuple
@@ -8,25 +8,25 @@
 from radishtally.connector import KeepingConnector
 from radishtally.outcome import Error, Ok, Result
 
-CONNECT_PART: Final = 0.5
-"""Part of a call's timeout that may pass before the request is sent."""
+CONNECT_TIMEOUT_FRACTION: Final = 0.5
+"""Connect timeout, as a fraction of a call's total timeout."""
 
 
 class Reply(NamedTuple):
-    """Hold a whole reply."""
+    """Represent a complete reply."""
 
     status: int
     body: bytes
 
 
 class NotSent(NamedTuple):
-    """Say that the request never left this host."""
+    """Error: the request was never sent."""
 
     message: str
 
 
 class NoReply(NamedTuple):
-    """Say that the request may have arrived, but no whole reply came back."""
+    """Error: the request may have arrived, but no complete reply came back."""
 
     message: str
 
@@ -35,11 +35,13 @@
 
 
 class _Pool:
-    """Count the calls that still use a session."""
+    """Hold a session, and count the calls that use it."""
 
     def __init__(self, timeout: float) -> None:
-        limits = aiohttp.ClientTimeout(total=timeout, connect=timeout * CONNECT_PART)
-        # Nothing in an answer says which call it belongs to.
+        limits = aiohttp.ClientTimeout(
+            total=timeout, connect=timeout * CONNECT_TIMEOUT_FRACTION
+        )
+        # Replies carry no request id, so a reply can't be matched to its call.
         connector = KeepingConnector("platform")
         self.session = aiohttp.ClientSession(connector=connector, timeout=limits)
         self.calls = 0
@@ -47,7 +49,7 @@
 
 
 class HttpClient:
-    """Keep connections to one service of the platform."""
+    """Call one service of the platform over pooled connections."""
 
     def __init__(self, timeout: float) -> None:
         self._timeout = timeout
@@ -61,8 +63,8 @@
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
     ) -> Result[Reply, CallError]:
-        """Send one request and read its whole reply."""
-        pool = self._enter()
+        """Send one request and read its complete reply."""
+        pool = self._acquire_pool()
         try:
             async with pool.session.request(
                 method, url, headers=headers, data=body, allow_redirects=False
@@ -71,12 +73,12 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Error(NotSent(_describe(error)))
         except TimeoutError as error:
-            self._retire(pool)
+            self._retire_pool(pool)
             return Error(NoReply(_describe(error)))
         except (aiohttp.ClientError, OSError) as error:
             return Error(NoReply(_describe(error)))
         finally:
-            await self._leave(pool)
+            await self._release_pool(pool)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -84,23 +86,23 @@
         if pool is not None:
             await pool.session.close()
 
-    def _enter(self) -> _Pool:
-        # A session is bound to the running loop, so the first call makes it.
+    def _acquire_pool(self) -> _Pool:
+        # A session is bound to the running event loop, so the first call creates it.
         if self._pool is None:
             self._pool = _Pool(self._timeout)
         self._pool.calls += 1
         return self._pool
 
-    def _retire(self, pool: _Pool) -> None:
-        # Failure: something between the two ends forgets open connections, which
-        # then stay silent for good. Symptom: every idle connection costs the next
-        # call a whole timeout. New calls therefore get new connections after the
-        # first timeout, and calls under way keep the old ones to their end.
+    def _retire_pool(self, pool: _Pool) -> None:
+        # Failure: a device on the network path drops its state of open connections,
+        # which then stay silent forever. Symptom: each idle connection costs the next
+        # call that uses it a full timeout. Therefore, after the first timeout, new
+        # calls get new connections, and calls in flight finish on the old ones.
         pool.retired = True
         if self._pool is pool:
             self._pool = None
 
-    async def _leave(self, pool: _Pool) -> None:
+    async def _release_pool(self, pool: _Pool) -> None:
         pool.calls -= 1
         if pool.retired and pool.calls == 0:
             await asyncio.shield(pool.session.close())
--- a/radishtally/store/core.py
+++ b/radishtally/store/core.py
@@ -1,4 +1,4 @@
-"""Contracts of the platform's services, as the rest of the system sees them."""
+"""Interfaces of the platform's table, object store and host list."""
 
 from typing import Any, Final, NamedTuple, Protocol
 
@@ -8,45 +8,45 @@
 """Expected revision of a row that must not exist yet."""
 
 MAX_WRITES: Final = 100
-"""Most rows that one transaction may touch, as DynamoDB sets it."""
+"""Maximum number of rows in one transaction, a limit of DynamoDB."""
 
 
 class Key(NamedTuple):
-    """Name a row."""
+    """Identify a row by its partition key and sort key."""
 
     pk: str
     sk: str
 
 
 class Row(NamedTuple):
-    """Hold a row as it was read."""
+    """Represent a row that was read."""
 
     key: Key
     rev: int
     write_id: str
     value: dict[str, Any]
     era: int = 0
-    """Era of the store whose answer showed the row; 0 where it tells none."""
+    """Era of the store that returned the row; 0 if the store reports none."""
 
 
 class Put(NamedTuple):
-    """Write a row, if its revision is the expected one."""
+    """Write a row if it has the expected revision."""
 
     key: Key
     value: dict[str, Any]
     expect: int | None
-    """Revision that must stand; ABSENT for a new row, None for no condition."""
+    """Required current revision; ABSENT for a new row, None for no condition."""
 
 
 class Delete(NamedTuple):
-    """Remove a row, if its revision is the expected one."""
+    """Delete a row if it has the expected revision."""
 
     key: Key
     expect: int
 
 
 class Check(NamedTuple):
-    """Hold the transaction to a row's revision without writing it."""
+    """Require a row to have the expected revision, without writing it."""
 
     key: Key
     expect: int
@@ -56,25 +56,25 @@
 
 
 class Conflict(NamedTuple):
-    """Say which writes of the transaction failed their condition; none took effect."""
+    """Error: the conditions of these writes failed; no write took effect."""
 
     indexes: tuple[int, ...]
 
 
 class Unavailable(NamedTuple):
-    """Say that the service surely did not carry out the call."""
+    """Error: the service definitely did not carry out the call."""
 
     message: str
 
 
 class Unclear(NamedTuple):
-    """Say that the call may have taken effect: its reply was lost."""
+    """Error: the outcome is unknown; the call may have taken effect."""
 
     message: str
 
 
 class Invalid(NamedTuple):
-    """Say that the service refused the call as malformed."""
+    """Error: the service rejected the call as malformed."""
 
     message: str
 
@@ -103,28 +103,28 @@
     async def transact(
         self, writes: list[Write], write_id: str
     ) -> Result[None, TableError]:
-        """Carry out all writes or none; every row written keeps the write id."""
+        """Carry out all writes or none; each written row stores the write id."""
 
 
 class Objects(Protocol):
-    """Keep immutable objects under their content hash."""
+    """Store immutable objects under their content hash."""
 
     async def put(self, key: str, body: bytes) -> Result[None, Unavailable]:
         """Store an object."""
 
     async def get(self, key: str) -> Result[bytes | None, Unavailable]:
-        """Read an object; none if it is not there."""
+        """Read an object; return None if it does not exist."""
 
 
 class ListedHost(NamedTuple):
-    """Hold one line of the platform's host list."""
+    """Represent one entry of the platform's host list."""
 
     host: str
     place: str
     upstream: str
-    """Upstream that the host's agent stands beside, or ENTRY."""
+    """Upstream that the host's agent runs beside, or ENTRY."""
     address: str
-    """IP and port of the host's links."""
+    """IP address and port for links to the host."""
     state: str
     """LIVE or LEAVING."""
 
--- a/radishtally/store/hostlist.py
+++ b/radishtally/store/hostlist.py
@@ -1,4 +1,4 @@
-"""Read the host list: Prometheus HTTP service discovery."""
+"""Client of the host list, which uses Prometheus HTTP service discovery."""
 
 from typing import Final, NamedTuple
 
@@ -9,8 +9,8 @@
 from radishtally.store.core import LEAVING, LIVE, ListedHost, Unavailable
 
 DEFAULT_TIMEOUT_SECONDS: Final = 2.0
-PATH: Final = "/hosts"
-ATTR_LABELS: Final = ("host", "place", "upstream", "state")
+HOSTS_PATH: Final = "/hosts"
+REQUIRED_LABELS: Final = ("host", "place", "upstream", "state")
 
 
 class _Group(NamedTuple):
@@ -19,10 +19,10 @@
 
 
 class HttpHostList:
-    """Read the platform's lagging list of hosts over HTTP."""
+    """Read the platform's host list, which may be stale, over HTTP."""
 
     def __init__(self, url: str, *, timeout: float = DEFAULT_TIMEOUT_SECONDS) -> None:
-        self._url = url.rstrip("/") + PATH
+        self._url = url.rstrip("/") + HOSTS_PATH
         self._client = HttpClient(timeout)
 
     async def read(self) -> Result[list[ListedHost], Unavailable]:
@@ -39,12 +39,12 @@
 
 def _parse_reply(reply: Reply) -> Result[list[ListedHost], Unavailable]:
     if reply.status != 200:
-        return Error(Unavailable(f"status {reply.status}"))
+        return Error(Unavailable(f"unexpected status {reply.status}"))
     try:
         data = msgspec.json.decode(reply.body, type=list[dict[str, object]])
         groups = [_parse_group(entry) for entry in data]
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Error(Unavailable(f"broken reply: {error}"))
+        return Error(Unavailable(f"malformed reply: {error}"))
     return Ok([host for group in groups for host in _list_hosts(group)])
 
 
@@ -54,11 +54,11 @@
 
 
 def _list_hosts(group: _Group) -> list[ListedHost]:
-    # The list may hold hosts of others, which lack these labels.
-    if not all(name in group.labels for name in ATTR_LABELS):
+    # The list may contain hosts of other systems, which lack these labels.
+    if not all(name in group.labels for name in REQUIRED_LABELS):
         return []
-    host, place, upstream, state = (group.labels[name] for name in ATTR_LABELS)
-    # A state that is not known gets no new work.
+    host, place, upstream, state = (group.labels[name] for name in REQUIRED_LABELS)
+    # A host in an unknown state must get no new work.
     state = LIVE if state == LIVE else LEAVING
     return [
         ListedHost(host, place, upstream, target, state) for target in group.targets
--- a/radishtally/store/ids.py
+++ b/radishtally/store/ids.py
@@ -1,14 +1,15 @@
-"""Give out the ids by which a process knows its own writes again."""
+"""Generate the ids by which a process recognizes its own writes."""
 
 import itertools
 from typing import Final
 
 
 class WriteIds:
-    """Number the writes of one start of a process; all its parts share one.
+    """Generate unique write ids for one incarnation of a process.
 
-    A writer whose reply was lost takes a row that bears its id for its own write. A
-    part that is made anew and counts for itself would take an older row for it.
+    All components of a process share one generator. A writer whose reply was lost
+    recognizes its write by the row's id; a component that was recreated with a counter
+    of its own would mistake an older row for that write.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -16,5 +17,5 @@
         self._numbers = itertools.count(1)
 
     def make(self) -> str:
-        """Give an id that no other write has."""
+        """Return an id that no other write has."""
         return f"{self.incarnation}-{next(self._numbers)}"
--- a/radishtally/store/settle.py
+++ b/radishtally/store/settle.py
@@ -1,4 +1,4 @@
-"""Find out what became of a transaction whose reply was lost."""
+"""Retry a transaction until its outcome is known."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 INITIAL_BACKOFF_SECONDS: Final = 0.05
 MAX_BACKOFF_SECONDS: Final = 1.0
 
-Verdict = Result[None, TableError]
+Outcome = Result[None, TableError]
 
 
 async def transact_settled(
@@ -33,44 +33,45 @@
     *,
     deadline: float,
     clock: Callable[[], float] = time.monotonic,
-) -> Verdict:
-    """Write until the outcome is known, or say at the deadline that it is unclear.
+) -> Outcome:
+    """Retry a transaction until its outcome is known or the deadline passes.
 
-    The write id must be new, and rows that others write too need a condition.
+    At the deadline, the result is Unclear if an attempt may have taken effect. The
+    write id must be new, and writes of rows shared with other writers need a condition.
     """
     unclear: Unclear | None = None
-    unclear_in = 0
-    pause = INITIAL_BACKOFF_SECONDS
-    while (left := deadline - clock()) > 0:
+    unclear_era = 0
+    backoff = INITIAL_BACKOFF_SECONDS
+    while (remaining := deadline - clock()) > 0:
         era = _get_era(table)
-        result = await _transact_within(table, writes, write_id, left)
+        result = await _transact_within(table, writes, write_id, remaining)
         if result.is_ok():
             return result
         error = result.error
         if isinstance(error, Conflict):
-            verdict = await _judge_conflict(
-                table, writes, write_id, error, unclear, unclear_in
+            outcome = await _resolve_conflict(
+                table, writes, write_id, error, unclear, unclear_era
             )
-            if verdict is not None:
-                return verdict
-            error = Unclear("conflict, and its rows can't be read")
+            if outcome is not None:
+                return outcome
+            error = Unclear("conflict, and the rows can't be read to resolve it")
         elif unclear is None and not isinstance(error, Unclear):
             return result
-        # Failure: the reply of a write is lost, and the next attempt is turned away.
-        # Symptom: taking the later answer for the outcome of the earlier attempt,
-        # which may have taken effect or still be under way. Once unclear, only a
-        # write that passed or a conflict that is not our own settles it.
+        # Failure: the reply to one attempt is lost, and the next attempt is refused.
+        # Symptom: the refusal is taken for the outcome of the earlier attempt, which
+        # may have taken effect or still be in flight. Once an attempt is unclear, only
+        # a successful write, or a conflict with another writer, decides the outcome.
         if isinstance(error, Unclear):
-            unclear_in = era if unclear is None else unclear_in
+            unclear_era = era if unclear is None else unclear_era
             unclear = error
-        await asyncio.sleep(min(random.uniform(0.5, 1) * pause, deadline - clock()))
-        pause = min(2 * pause, MAX_BACKOFF_SECONDS)
+        await asyncio.sleep(min(random.uniform(0.5, 1) * backoff, deadline - clock()))
+        backoff = min(2 * backoff, MAX_BACKOFF_SECONDS)
     return Error(unclear or Unavailable("deadline passed before the write was sent"))
 
 
 async def _transact_within(
     table: Table, writes: list[Write], write_id: str, seconds: float
-) -> Verdict:
+) -> Outcome:
     try:
         async with asyncio.timeout(seconds):
             return await table.transact(writes, write_id)
@@ -78,25 +79,25 @@
         return Error(Unclear("no reply before the deadline"))
 
 
-async def _judge_conflict(
+async def _resolve_conflict(
     table: Table,
     writes: list[Write],
     write_id: str,
     conflict: Conflict,
     unclear: Unclear | None,
-    unclear_in: int,
-) -> Verdict | None:
+    unclear_era: int,
+) -> Outcome | None:
     # Failure: the store is restored from an older copy after an unclear attempt.
-    # Symptom: rows that the attempt wrote have gone back, and it is taken for one that
-    # never passed, while it may still be carried out. Then nothing but the write id
-    # tells.
-    def is_one_era(row: Row | None = None) -> bool:
-        eras = {_get_era(table), unclear_in if row is None else row.era}
-        return unclear is None or eras == {unclear_in}
-
-    # Had an attempt of ours passed, every row that it wrote under a condition would
-    # have moved on and would conflict now. One that does not tells that none passed.
-    if is_one_era() and any(
+    # Symptom: the rows that it wrote are reverted, so it seems never to have succeeded,
+    # although it may still be carried out. Across eras only the write id is conclusive.
+    def is_same_era(row: Row | None = None) -> bool:
+        eras = {_get_era(table), unclear_era if row is None else row.era}
+        return unclear is None or eras == {unclear_era}
+
+    # If an earlier attempt had succeeded, every row it wrote under a condition would
+    # have a new revision and conflict now. A row without a conflict proves that no
+    # attempt succeeded.
+    if is_same_era() and any(
         index not in conflict.indexes and _is_conditional(write)
         for index, write in enumerate(writes)
     ):
@@ -109,13 +110,13 @@
             return None
         if read.ok is not None and read.ok.write_id == write_id:
             return Ok(None)
-        if is_one_era(read.ok) and _is_first_successor(write, read.ok):
+        if is_same_era(read.ok) and _is_next_revision(write, read.ok):
             return Error(conflict)
     return Error(conflict if unclear is None else unclear)
 
 
 def _get_era(table: Table) -> int:
-    """Give the newest era that a table has seen; 0 for one that knows none."""
+    """Return the newest era that a table has seen; 0 if it tracks none."""
     return getattr(table, "era", 0)
 
 
@@ -125,9 +126,10 @@
     )
 
 
-def _is_first_successor(write: Put, row: Row | None) -> bool:
-    # Revisions grow by one with each write. A row one above the expected revision
-    # was written once since, and by another; one further on may hide our write.
+def _is_next_revision(write: Put, row: Row | None) -> bool:
+    # Each conditional write increases the revision by one. A row one above the expected
+    # revision was written once since, by another writer; a higher one may hide this
+    # process's own write.
     if row is None or write.expect is None:
         return False
     return row.rev == (1 if write.expect == ABSENT else write.expect + 1)
--- a/radishtally/store/table.py
+++ b/radishtally/store/table.py
@@ -1,4 +1,4 @@
-"""Speak to the table service: a subset of DynamoDB JSON over HTTP."""
+"""Client of the table service, which offers a subset of DynamoDB JSON over HTTP."""
 
 import hashlib
 from functools import singledispatch
@@ -25,7 +25,7 @@
 )
 
 DEFAULT_TIMEOUT_SECONDS: Final = 2.0
-ATTR_TARGET: Final = "X-Amz-Target"
+TARGET_HEADER: Final = "X-Amz-Target"
 TARGET_PREFIX: Final = "DynamoDB_20120810."
 CONTENT_TYPE: Final = "application/x-amz-json-1.0"
 THROTTLED: Final = frozenset(
@@ -36,7 +36,7 @@
         "TransactionInProgressException",
     }
 )
-"""Errors of calls that the service did not carry out and that may be sent again."""
+"""Error types of calls that the service did not carry out and that may be retried."""
 
 Attributes = dict[str, dict[str, str]]
 
@@ -79,8 +79,8 @@
             page = (await self._read("Query", body)).bind(_parse_page)
             if page.is_error():
                 return page
-            more, start = page.ok
-            rows.extend(more)
+            page_rows, start = page.ok
+            rows.extend(page_rows)
             if start is None:
                 break
         return Ok(rows)
@@ -88,12 +88,12 @@
     async def transact(
         self, writes: list[Write], write_id: str
     ) -> Result[None, TableError]:
-        """Carry out all writes or none; every row written keeps the write id."""
+        """Carry out all writes or none; each written row stores the write id."""
         items = [_encode_write(write, self._name, write_id) for write in writes]
         result = await self._call("TransactWriteItems", {"TransactItems": items})
         if result.is_error():
-            return Error(_judge_write_error(result.error))
-        return _judge_write(result.ok)
+            return Error(_classify_call_error(result.error))
+        return _classify_write_reply(result.ok)
 
     async def close(self) -> None:
         """Close the connections."""
@@ -122,13 +122,13 @@
         result = await self._call(operation, body)
         if result.is_error():
             return Error(Unavailable(result.error.message))
-        return _judge_read(result.ok)
+        return _classify_read_reply(result.ok)
 
     async def _call(
         self, operation: str, body: dict[str, Any]
     ) -> Result[Reply, CallError]:
         headers = {
-            ATTR_TARGET: TARGET_PREFIX + operation,
+            TARGET_HEADER: TARGET_PREFIX + operation,
             "Content-Type": CONTENT_TYPE,
         }
         data = msgspec.json.encode(body)
@@ -136,12 +136,12 @@
 
 
 def compute_revision(write: Put, write_id: str) -> int:
-    """Give the revision that the row has after this write."""
+    """Compute the row's revision after this write."""
     if write.expect is not None:
         return write.expect + 1
-    # Failure: a row written without condition starts again at a revision that a
-    # reader has seen before. Symptom: the reader's conditional write passes and
-    # undoes this one. A revision drawn from the write id is never one seen before.
+    # Failure: an unconditional write resets the row to a revision that a reader has
+    # seen before. Symptom: the reader's conditional write succeeds and undoes this one.
+    # A revision derived from the write id does not repeat an earlier one.
     return int.from_bytes(hashlib.sha256(write_id.encode()).digest()[:6])
 
 
@@ -201,60 +201,62 @@
     return str(data.get("__type", "")).rpartition("#")[2]
 
 
-def _judge_read(reply: Reply) -> Result[dict[str, Any], ReadError]:
+def _classify_read_reply(reply: Reply) -> Result[dict[str, Any], ReadError]:
     data = _decode_object(reply.body)
     if data is None or reply.status not in (200, 400):
-        return Error(Unavailable(f"broken reply, status {reply.status}"))
+        return Error(Unavailable(f"malformed reply, status {reply.status}"))
     if reply.status == 200:
         return Ok(data)
     kind = _get_error_type(data)
     if not kind or kind in THROTTLED:
-        return Error(Unavailable(kind or "error without a type"))
+        return Error(Unavailable(kind or "error reply without a type"))
     return Error(Invalid(_describe(kind, data)))
 
 
 @singledispatch
-def _judge_write_error(error: CallError) -> TableError:
+def _classify_call_error(error: CallError) -> TableError:
     raise TypeError(f"not a call error: {error!r}")
 
 
-@_judge_write_error.register
+@_classify_call_error.register
 def _(error: NotSent) -> TableError:
     return Unavailable(error.message)
 
 
-@_judge_write_error.register
+@_classify_call_error.register
 def _(error: NoReply) -> TableError:
     return Unclear(error.message)
 
 
-def _judge_write(reply: Reply) -> Result[None, TableError]:
-    # Failure: a reply that the service did not write whole, or that something
-    # before it made up. Symptom: a write that took effect is taken for one that
-    # did not. Only an answer in the service's own form counts as known.
+def _classify_write_reply(reply: Reply) -> Result[None, TableError]:
+    # Failure: the reply is truncated, or was made up by a proxy in front of the
+    # service. Symptom: a write that took effect is taken for one that did not. Only a
+    # reply in the service's own format counts as a known outcome.
     data = _decode_object(reply.body)
     if data is None or reply.status not in (200, 400):
-        return Error(Unclear(f"broken reply, status {reply.status}"))
+        return Error(Unclear(f"malformed reply, status {reply.status}"))
     if reply.status == 200:
         return Ok(None)
     kind = _get_error_type(data)
     if not kind:
-        return Error(Unclear("error without a type"))
+        return Error(Unclear("error reply without a type"))
     if kind in THROTTLED:
         return Error(Unavailable(kind))
     if kind == "TransactionCanceledException":
-        return Error(_judge_cancellation(data))
+        return Error(_classify_cancellation(data))
     return Error(Invalid(_describe(kind, data)))
 
 
-def _judge_cancellation(data: dict[str, Any]) -> Conflict | Unavailable:
+def _classify_cancellation(data: dict[str, Any]) -> Conflict | Unavailable:
     reasons = data.get("CancellationReasons")
     reasons = reasons if isinstance(reasons, list) else []
     codes = [part.get("Code") for part in reasons if isinstance(part, dict)]
     failed = [i for i, code in enumerate(codes) if code == "ConditionalCheckFailed"]
     if failed:
         return Conflict(tuple(failed))
-    return Unavailable(f"cancelled: {sorted({str(code) for code in codes})}")
+    return Unavailable(
+        f"transaction cancelled: {sorted({str(code) for code in codes})}"
+    )
 
 
 def _describe(kind: str, data: dict[str, Any]) -> str:
@@ -268,7 +270,7 @@
     try:
         return Ok(_decode_row(data["Item"]))
     except (LookupError, TypeError, ValueError) as error:
-        return Error(Unavailable(f"broken item: {error!r}"))
+        return Error(Unavailable(f"malformed item: {error!r}"))
 
 
 def _parse_page(
@@ -277,7 +279,7 @@
     try:
         rows = [_decode_row(item) for item in data["Items"]]
     except (LookupError, TypeError, ValueError) as error:
-        return Error(Unavailable(f"broken items: {error!r}"))
+        return Error(Unavailable(f"malformed items: {error!r}"))
     return Ok((rows, data.get("LastEvaluatedKey")))
 
 
--- a/tests/store/common.py
+++ b/tests/store/common.py
@@ -1,4 +1,4 @@
-"""Helpers that the tests of the platform's clients share."""
+"""Shared helpers for tests of the platform's clients."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, Final, TypeVar
@@ -7,9 +7,9 @@
 from tests.common import run
 
 TIMEOUT: Final = 0.3
-"""Timeout of calls that are to fail; others have time."""
+"""Timeout of calls that are expected to fail; others use a longer one."""
 
-DISTURBED: Final = (
+SERVICE_FAULTS: Final = (
     {"mode": "down"},
     {"mode": "lose_reply"},
     {"mode": "slow", "seconds": 60},
@@ -18,17 +18,19 @@
 
 
 def name_outcome(result: Result[Any, Any]) -> str:
-    """Name the kind of an outcome."""
+    """Return `Ok` or the type name of the error."""
     return "Ok" if result.is_ok() else type(result.error).__name__
 
 
-def use(build: Callable[[], Any], work: Callable[[Any], Awaitable[T]]) -> T:
-    """Run work with a client and close it."""
+def run_with_client(
+    build: Callable[[], Any], run_calls: Callable[[Any], Awaitable[T]]
+) -> T:
+    """Run work with a new client and close the client."""
 
     async def body() -> T:
         client = build()
         try:
-            return await work(client)
+            return await run_calls(client)
         finally:
             await client.close()
 
--- a/tests/store/memory.py
+++ b/tests/store/memory.py
@@ -1,4 +1,4 @@
-"""Fakes of the platform's table and object store that lose and delay calls."""
+"""In-memory table and object store that can lose and delay calls."""
 
 import asyncio
 from typing import Final
@@ -19,22 +19,22 @@
 
 PASS: Final = "pass"
 REQUEST_LOST: Final = "lost"
-"""The write never arrives, and the writer learns nothing."""
+"""The write never arrives, and the writer gets no reply."""
 REPLY_LOST: Final = "kept"
 """The write takes effect, and its reply is lost."""
 DELAYED: Final = "late"
 """The write arrives before the next one, and its reply is lost."""
 DELAYED_TO_END: Final = "last"
-"""The write arrives when all others are done, and its reply is lost."""
+"""The write arrives after all others, and its reply is lost."""
 THROTTLED: Final = "throttled"
 OVERTAKEN: Final = "other"
-"""Somebody else writes all rows first; then the write passes."""
+"""Another writer writes all rows first; then the write is handled."""
 READ_FAILS: Final = "unread"
-"""The write passes, and the next read fails."""
+"""The write is handled, and the next read fails."""
 
 
 class FaultyTable:
-    """Serve rows in memory and show a list of faults, one a transaction."""
+    """Store rows in memory and inject a list of faults, one per transaction."""
 
     def __init__(self, faults: list[str] | None = None) -> None:
         self._rows = Rows()
@@ -42,15 +42,15 @@
         self.faults = list(faults or [])
         self.applied: list[str] = []
         """Write ids in the order in which they took effect."""
-        self._late: list[tuple[list[Write], str]] = []
-        self._last: list[tuple[list[Write], str]] = []
-        self._unreadable = 0
+        self._delayed: list[tuple[list[Write], str]] = []
+        self._delayed_to_end: list[tuple[list[Write], str]] = []
+        self._failing_reads = 0
 
     async def get(self, key: Key) -> Result[Row | None, ReadError]:
         """Read one row."""
         await asyncio.sleep(0)
-        if self._unreadable:
-            self._unreadable -= 1
+        if self._failing_reads:
+            self._failing_reads -= 1
             return Error(Unavailable("unread"))
         return Ok(self.rows.get(key))
 
@@ -69,13 +69,13 @@
     async def transact(
         self, writes: list[Write], write_id: str
     ) -> Result[None, TableError]:
-        """Carry out all writes or none, or show the next fault."""
+        """Carry out all writes or none, or inject the next fault."""
         await asyncio.sleep(0)
-        self._deliver(self._late)
+        self._deliver(self._delayed)
         fault = self.faults.pop(0) if self.faults else PASS
         if fault in (DELAYED, DELAYED_TO_END):
-            waiting = self._late if fault == DELAYED else self._last
-            waiting.append((writes, write_id))
+            pending = self._delayed if fault == DELAYED else self._delayed_to_end
+            pending.append((writes, write_id))
         if fault in (REQUEST_LOST, DELAYED, DELAYED_TO_END):
             return Error(Unclear(fault))
         if fault == THROTTLED:
@@ -83,24 +83,24 @@
         if fault == OVERTAKEN:
             self.write_as_other(writes)
         if fault == READ_FAILS:
-            self._unreadable = 1
+            self._failing_reads = 1
         result = self._carry_out(writes, write_id)
         return Error(Unclear(fault)) if fault == REPLY_LOST else result
 
     def deliver_all(self) -> None:
-        """Let all writes that are still under way arrive."""
-        self._deliver(self._late)
-        self._deliver(self._last)
+        """Carry out all writes that are still in flight."""
+        self._deliver(self._delayed)
+        self._deliver(self._delayed_to_end)
 
     def write_as_other(self, writes: list[Write]) -> None:
-        """Write the rows as another writer who knows their revisions."""
+        """Write the rows as another writer that knows their revisions."""
         keys = [write.key for write in writes if isinstance(write, Put)]
         puts: list[Write] = [Put(key, {}, self._get_revision(key)) for key in keys]
         self._carry_out(puts, "other")
 
-    def _deliver(self, waiting: list[tuple[list[Write], str]]) -> None:
-        while waiting:
-            self._carry_out(*waiting.pop(0))
+    def _deliver(self, pending: list[tuple[list[Write], str]]) -> None:
+        while pending:
+            self._carry_out(*pending.pop(0))
 
     def _get_revision(self, key: Key) -> int:
         row = self.rows.get(key)
@@ -116,7 +116,7 @@
 
 
 class MemoryObjects:
-    """Keep objects in memory; the given number of next calls fail."""
+    """Store objects in memory; the next `failing` calls fail."""
 
     def __init__(self) -> None:
         self.objects: dict[str, bytes] = {}
--- a/tests/store/scripted.py
+++ b/tests/store/scripted.py
@@ -1,4 +1,4 @@
-"""An HTTP server that answers with given bytes."""
+"""HTTP server that answers with scripted bytes."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -15,7 +15,7 @@
 async def serve_replies(
     choose: Callable[[int], bytes | None],
 ) -> AsyncIterator[str]:
-    """Answer the n-th request of each connection with choose(n); none is silence."""
+    """Answer the n-th request of each connection with choose(n); None is no reply."""
     connections: set[asyncio.StreamWriter] = set()
 
     async def answer(
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of calls to the platform over HTTP."""
+"""Tests of the HTTP client for the platform."""
 
 import asyncio
 
@@ -6,9 +6,10 @@
 from tests.common import READ_SECONDS, answer_twice, run
 
 
-# A process goes by the answer to another question: the platform answers a call twice,
-# and the second answer waits on the connection that the next call takes.
-def test_second_answer_is_not_taken_for_the_next_one() -> None:
+# Guards against a reply that is taken for that of another call: the platform answers a
+# call twice, and the second reply is buffered on the connection that the next call
+# uses.
+def test_duplicate_reply_is_not_taken_for_the_next_calls_reply() -> None:
     async def play() -> None:
         async with answer_twice(b"first", b"second") as address:
             client = HttpClient(timeout=5.0)
--- a/tests/store/test_hostlist.py
+++ b/tests/store/test_hostlist.py
@@ -1,4 +1,4 @@
-"""The host list's client keeps the contract."""
+"""Tests of the host list's client."""
 
 import json
 
@@ -7,7 +7,7 @@
 from radishtally.store.core import LEAVING, LIVE, ListedHost
 from radishtally.store.hostlist import HttpHostList
 from tests.common import run
-from tests.store.common import DISTURBED, TIMEOUT, use
+from tests.store.common import SERVICE_FAULTS, TIMEOUT, run_with_client
 from tests.store.scripted import build_reply, serve_replies
 
 GOWN = ListedHost("gown-1", "howrah", "gown-llm", "127.0.0.9:7000", LIVE)
@@ -19,7 +19,9 @@
 
 
 def read(url, timeout=5.0):
-    return use(lambda: HttpHostList(url, timeout=timeout), HttpHostList.read)
+    return run_with_client(
+        lambda: HttpHostList(url, timeout=timeout), HttpHostList.read
+    )
 
 
 def list_host(service, host, state):
@@ -27,7 +29,7 @@
     service.post("/_hosts", {**host._asdict(), **more})
 
 
-def test_hosts_come_leave_and_go(service):
+def test_hosts_are_listed_as_live_leaving_and_gone(service):
     service.set_fault("up")
     list_host(service, GOWN, LIVE)
     assert read(service.url).ok == [GOWN]
@@ -37,7 +39,7 @@
     assert read(service.url).ok == []
 
 
-@pytest.mark.parametrize("fault", DISTURBED)
+@pytest.mark.parametrize("fault", SERVICE_FAULTS)
 def test_faults(service, fault):
     service.set_fault(**fault)
     assert read(service.url, TIMEOUT).is_error()
@@ -49,8 +51,8 @@
     return json.dumps([{"targets": [GOWN.address], "labels": merged}])
 
 
-# The list is broken, or says what the system does not know. A broken list must not
-# look like an empty fleet, and a host in an unknown state must get no new work.
+# The list is malformed or has unknown content. A malformed list must not look like an
+# empty fleet, and a host in an unknown state must get no new work.
 @pytest.mark.parametrize(
     ("reply", "hosts"),
     [
--- a/tests/store/test_objects.py
+++ b/tests/store/test_objects.py
@@ -1,4 +1,4 @@
-"""The object store's client keeps the contract."""
+"""Tests of the object store's client."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from radishtally.store.objects import HttpObjects
 from tests.common import run
 from tests.store import common
-from tests.store.common import DISTURBED, TIMEOUT, name_outcome
+from tests.store.common import SERVICE_FAULTS, TIMEOUT, name_outcome
 from tests.store.scripted import build_reply, serve_replies
 
 
@@ -15,11 +15,13 @@
     return start_shared_standin("objects")
 
 
-def use(url, work, timeout=5.0):
-    return common.use(lambda: HttpObjects(url, "bucket", timeout=timeout), work)
+def run_with_client(url, work, timeout=5.0):
+    return common.run_with_client(
+        lambda: HttpObjects(url, "bucket", timeout=timeout), work
+    )
 
 
-def test_objects_come_back_as_stored(service):
+def test_stored_objects_are_read_back(service):
     service.set_fault("up")
     body = bytes(range(256)) * 1000
 
@@ -28,10 +30,10 @@
         assert await objects.put("config/some", body) == Ok(None)
         assert await objects.get("config/some") == Ok(body)
 
-    use(service.url, work)
+    run_with_client(service.url, work)
 
 
-@pytest.mark.parametrize("fault", DISTURBED)
+@pytest.mark.parametrize("fault", SERVICE_FAULTS)
 def test_faults(service, fault):
     service.set_fault(**fault)
 
@@ -39,11 +41,11 @@
         assert name_outcome(await objects.put("config/a", b"x")) == "Unavailable"
         assert name_outcome(await objects.get("config/a")) == "Unavailable"
 
-    use(service.url, work, TIMEOUT)
+    run_with_client(service.url, work, TIMEOUT)
 
 
-# Something before the store answers. Only the store's own "NoSuchKey" says that an
-# object is absent; taken from anybody else, files would seem to be gone.
+# A proxy in front of the store answers. Only the store's own "NoSuchKey" means that an
+# object is absent; any other 404 would make configuration files seem to be gone.
 @pytest.mark.parametrize(
     ("reply", "outcome"),
     [
@@ -65,10 +67,10 @@
     assert result == outcome if outcome else name_outcome(result) == "Unavailable"
 
 
-def test_silent_connections_cost_a_retry_and_no_failure():
-    # A device between the ends forgets the open connection: it answered once and is
-    # silent for good, while new ones work. The operator's change is checked after one
-    # timeout instead of being refused as if the store were away.
+def test_silent_connection_causes_a_retry_and_no_failure():
+    # A device on the network path drops its state of the open connection, which then
+    # stays silent, while new connections work. An operator's change must go on after
+    # one timeout instead of being refused as if the store were down.
     async def body():
         async with serve_replies(
             lambda n: None if n else build_reply(200, "{}")
--- a/tests/store/test_settle.py
+++ b/tests/store/test_settle.py
@@ -1,4 +1,4 @@
-"""A transaction whose reply is lost is settled and never guessed."""
+"""Tests that the outcome of a transaction with a lost reply is known, never guessed."""
 
 import asyncio
 import itertools
@@ -33,7 +33,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_pause(monkeypatch):
+def no_backoff(monkeypatch):
     monkeypatch.setattr(settle, "INITIAL_BACKOFF_SECONDS", 0.0)
 
 
@@ -42,9 +42,9 @@
     return run(transact_settled(table, writes, "mine", deadline=ATTEMPTS, clock=clock))
 
 
-# The writer's reply is lost, or its next attempt is turned away, while others write.
-# First the listed faults happen, one an attempt; then all attempts pass. The writer
-# must learn whether its write took effect, and "Unclear" only if nothing can tell.
+# The writer's reply is lost, or its next attempt is refused, while others write. The
+# listed faults happen first, one per attempt; then all attempts are handled. The writer
+# must learn whether its write took effect, and "Unclear" only if that can't be known.
 @pytest.mark.parametrize(
     ("faults", "outcome", "times_applied"),
     [
@@ -75,8 +75,8 @@
     assert table.applied.count("mine") == times_applied
 
 
-# Whatever is lost, late or raced, what the writer is told stays true after the last
-# write under way has arrived: Ok means once, Conflict and Unavailable mean never.
+# Whatever is lost, delayed or raced, the reported outcome must still be true after the
+# last write in flight has arrived: Ok means once, Conflict and Unavailable mean never.
 @given(
     faults=st.lists(
         st.sampled_from(
@@ -96,7 +96,7 @@
     expect=st.sampled_from([ABSENT, 1, 2]),
     rows=st.integers(1, 3),
 )
-def test_outcome_is_true(faults, expect, rows):
+def test_reported_outcome_is_true(faults, expect, rows):
     table = FaultyTable(faults)
     puts = [Put(Key("p", str(n)), {}, expect) for n in range(rows)]
     for _ in range(expect):
@@ -109,14 +109,14 @@
         assert times == (1 if outcome == "Ok" else 0)
 
 
-def test_unmoved_row_tells_that_nothing_passed_without_a_read():
+def test_unchanged_row_proves_that_no_attempt_succeeded_without_a_read():
     table = FaultyTable([REQUEST_LOST])
     table.write_as_other([Put(HEAD, {}, ABSENT)])
     writes = [Put(HEAD, {}, 1), Put(Key("new", "row"), {}, ABSENT), Check(LEASE, 3)]
     assert write(table, writes) == Error(Conflict((2,)))
 
 
-def test_passed_deadline_sends_nothing():
+def test_nothing_is_sent_after_the_deadline():
     table = FaultyTable()
     coroutine = transact_settled(table, [Put(HEAD, {}, None)], "mine", deadline=0.0)
     result = run(coroutine)
@@ -125,8 +125,8 @@
 
 
 def test_call_without_reply_ends_at_the_deadline(monkeypatch):
-    # The table takes the write and goes silent. The writer has a deadline of its own
-    # and must hear by then that the outcome is unclear, not wait for the table.
+    # The table accepts the write and never replies. By its own deadline, the writer
+    # must learn that the outcome is unclear instead of waiting for the table.
     async def hang(writes, write_id):
         await asyncio.Event().wait()
 
@@ -142,13 +142,13 @@
 
 
 class RestoredTable(FaultyTable):
-    """Be restored before the second attempt, which meets another's write there."""
+    """Restore a copy before the second attempt, which then conflicts with a new row."""
 
     def __init__(self, faults: list[str], is_restored: bool) -> None:
         super().__init__(faults)
         self.era = 1
         self.copy: dict[Key, Row] = {}
-        """Rows that a restore goes back to."""
+        """Rows that a restore brings back."""
         self._attempts = 0
         self._is_restored = is_restored
 
@@ -160,7 +160,7 @@
         return Ok(read.ok._replace(era=self.era))
 
     async def transact(self, writes, write_id):
-        """Carry out all writes or none, in the era that is now."""
+        """Carry out all writes or none, in the current era."""
         self._attempts += 1
         if self._attempts == 2:
             self._restore()
@@ -175,10 +175,10 @@
         self.era += 1
 
 
-# A writer is told that its write never passed, and it stands all the same or is done
-# later: the first attempt was unclear, the store was restored from an older copy, and
-# the next attempt meets another's write there. A row one further on, or one that has
-# not moved, tells of the attempts in its own era only.
+# Guards against a writer that is told that its write failed, although it took effect or
+# does so later: the first attempt was unclear, the store was restored from an older
+# copy, and the next attempt conflicts with another writer there. A row that is one
+# revision ahead, or unchanged, proves something only about attempts in its own era.
 @pytest.mark.parametrize("rows", [1, 2])
 @pytest.mark.parametrize(
     ("fault", "is_restored", "outcome"),
@@ -192,7 +192,9 @@
         (DELAYED_TO_END, True, "Unclear"),
     ],
 )
-def test_restore_between_sending_and_judging(fault, is_restored, outcome, rows):
+def test_restore_between_an_unclear_attempt_and_its_retry(
+    fault, is_restored, outcome, rows
+):
     table = RestoredTable([fault], is_restored)
     puts = [Put(Key("p", str(n)), {}, 1) for n in range(rows)]
     table.write_as_other(puts)
@@ -200,9 +202,9 @@
     assert name_outcome(write(table, puts)) == outcome
 
 
-# What stands under the write's id has passed, also where the store was restored from a
-# copy made behind the write.
-def test_write_id_decides_after_a_restore():
+# A row with the write's id proves that the write took effect, even if the store was
+# restored from a copy made after the write.
+def test_write_id_decides_the_outcome_after_a_restore():
     table = RestoredTable([REPLY_LOST], is_restored=True)
     puts = [Put(Key("p", str(n)), {}, ABSENT) for n in range(2)]
     table.copy = {puts[1].key: Row(puts[1].key, 1, "mine", {})}
--- a/tests/store/test_table.py
+++ b/tests/store/test_table.py
@@ -1,4 +1,4 @@
-"""The table's client keeps the contract and tells what is known of an outcome."""
+"""Tests of the table's client and of the outcomes that it reports."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 from radishtally.store.table import HttpTable, compute_revision
 from tests.common import find_address, run
 from tests.store import common
-from tests.store.common import DISTURBED, TIMEOUT, name_outcome
+from tests.store.common import SERVICE_FAULTS, TIMEOUT, name_outcome
 from tests.store.scripted import build_reply, serve_replies
 
 SILENCE_TIMEOUT = 1.5
@@ -35,8 +35,8 @@
     return request.node.name
 
 
-def use(url, name, work, timeout=5.0):
-    return common.use(lambda: HttpTable(url, name, timeout=timeout), work)
+def run_with_client(url, name, work, timeout=5.0):
+    return common.run_with_client(lambda: HttpTable(url, name, timeout=timeout), work)
 
 
 def test_rows_and_conditions(service, name):
@@ -56,12 +56,13 @@
         assert await table.transact([Delete(key, 2)], "w5") == Ok(None)
         assert await table.get(key) == Ok(None)
 
-    use(service.url, name, work)
+    run_with_client(service.url, name, work)
 
 
 def test_unconditional_write_never_reuses_a_revision(service, name):
-    # A reader holds revision 1; somebody writes without condition. Were the row at
-    # revision 1 again, the reader's conditional write would pass and undo it.
+    # A reader has seen revision 1, and another writer writes without condition. If the
+    # row were at revision 1 again, the reader's conditional write would succeed and
+    # undo the other one.
     key = Key("a", "1")
 
     async def work(table):
@@ -71,7 +72,7 @@
         row = (await table.get(key)).ok
         assert row.rev == compute_revision(Put(key, {}, None), "w2")
 
-    use(service.url, name, work)
+    run_with_client(service.url, name, work)
 
 
 @pytest.mark.parametrize(
@@ -93,22 +94,22 @@
         rows = await table.query("p", **arguments)
         assert [row.key.sk for row in rows.ok] == expected
 
-    use(service.url, name, work)
+    run_with_client(service.url, name, work)
 
 
-def test_query_goes_on_after_a_short_page(service, name):
+def test_query_continues_after_a_short_page(service, name):
     async def work(table):
         for n in range(5):
             put = Put(Key("p", str(n)), {"text": "x" * 300_000}, ABSENT)
             assert (await table.transact([put], f"w{n}")).is_ok()
         assert len((await table.query("p")).ok) == 5
 
-    use(service.url, name, work)
+    run_with_client(service.url, name, work)
 
 
-# The service fails in its ways. A caller may repeat a write, or refuse its request
-# with "not run", only after Unavailable; after Unclear it has to settle the outcome.
-@pytest.mark.parametrize("fault", DISTURBED)
+# The service fails. A caller may retry a write, or reject its request as "not run",
+# only after Unavailable; after Unclear it must determine the outcome first.
+@pytest.mark.parametrize("fault", SERVICE_FAULTS)
 def test_faults(service, name, fault):
     async def work(table):
         put = Put(Key("a", "1"), {}, ABSENT)
@@ -116,10 +117,10 @@
         assert name_outcome(await table.transact([put], "w")) == "Unclear"
         assert name_outcome(await table.get(put.key)) == "Unavailable"
 
-    use(service.url, name, work, TIMEOUT)
+    run_with_client(service.url, name, work, TIMEOUT)
 
 
-def test_lost_reply_hides_a_write_that_took_effect(service, name):
+def test_write_with_a_lost_reply_is_unclear_and_takes_effect(service, name):
     async def work(table):
         key = Key("a", "1")
         service.set_fault("lose_reply", count=1)
@@ -127,10 +128,10 @@
         assert name_outcome(result) == "Unclear"
         assert (await table.get(key)).ok.write_id == "w"
 
-    use(service.url, name, work)
+    run_with_client(service.url, name, work)
 
 
-def test_refused_connection_is_surely_not_run(start_standin):
+def test_refused_connection_means_that_nothing_was_run(start_standin):
     service = start_standin("table", "--address", find_address())
     service.process.kill()
     service.process.wait()
@@ -139,10 +140,10 @@
         write = await table.transact([Put(Key("a", "1"), {}, None)], "w")
         return name_outcome(write), name_outcome(await table.get(Key("a", "1")))
 
-    assert use(service.url, "t", work) == ("Unavailable", "Unavailable")
+    assert run_with_client(service.url, "t", work) == ("Unavailable", "Unavailable")
 
 
-def test_throttled_write_is_surely_not_run(start_standin):
+def test_throttled_write_means_that_nothing_was_run(start_standin):
     service = start_standin("table", "--writes-per-second", "1")
 
     async def work(table):
@@ -150,7 +151,7 @@
         write = await table.transact(puts, "w")
         return name_outcome(write), await table.get(puts[0].key)
 
-    assert use(service.url, "t", work) == ("Unavailable", Ok(None))
+    assert run_with_client(service.url, "t", work) == ("Unavailable", Ok(None))
 
 
 def build_error(kind, **more):
@@ -162,8 +163,8 @@
     return build_error("TransactionCanceledException", CancellationReasons=reasons)
 
 
-# Something answers that is broken, cut short or not the service at all. Only an
-# answer in the service's own form may count as known for a write.
+# The reply is malformed, truncated or not from the service at all. Only a reply in the
+# service's own format may count as a known outcome of a write.
 @pytest.mark.parametrize(
     ("reply", "write", "read"),
     [
@@ -200,10 +201,10 @@
     assert run(body()) == (write, read)
 
 
-def test_silent_connections_cost_one_timeout():
-    # A device between the ends forgets the open connections: each answered once and
-    # is silent for good, while new ones work. Four idle connections are kept. The
-    # caller sees one timeout, then answers again, and not one timeout for each.
+def test_silent_connections_cause_a_single_timeout():
+    # A device on the network path drops its state of the open connections, which then
+    # stay silent, while new connections work. Four idle connections are pooled. The
+    # caller must see one timeout and then replies again, not one timeout for each.
     async def body():
         async with serve_replies(
             lambda n: None if n else build_reply(200, "{}")
