--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -7,19 +7,19 @@
 from eliot import log_message
 from yarl import URL
 
+from radishtally.direct.answer_checks import AnswerMismatch, describe
 from radishtally.direct.answers import AnswerReader, Receive
 from radishtally.direct.const import DROP_SECONDS, OK, ORDER_SECONDS
 from radishtally.direct.core import (
+    CachedPart,
     Dialect,
     EngineReport,
     Instance,
-    KeptPart,
     OrderOutcome,
     UpstreamCall,
 )
-from radishtally.direct.doubts import Doubt, describe
-from radishtally.direct.ends import Ends
 from radishtally.direct.pool import open_session
+from radishtally.direct.probes import HostProbes
 from radishtally.exchange import BROKEN, SendOnce
 from radishtally.links.messages import (
     ENDED,
@@ -50,8 +50,8 @@
         self._receive = receive
         self._tasks = AttemptTasks()
         self._instances: dict[str, Instance] = {}
-        self._ends = Ends()
-        self.answers = AnswerReader(dialect, receive, self._ends, self._is_leaving)
+        self._probes = HostProbes()
+        self.answers = AnswerReader(dialect, receive, self._probes, self._is_leaving)
 
     async def start(self) -> None:
         """Open the pools of connections."""
@@ -98,10 +98,12 @@
         read = await self._ask(instance, self._dialect.encode_report(instance))
         return read.bind(self._dialect.read_report)
 
-    async def read_kept(self, instance: Instance) -> Result[list[KeptPart], str]:
+    async def read_cached_parts(
+        self, instance: Instance
+    ) -> Result[list[CachedPart], str]:
         """Ask an engine which parts of prompts it keeps."""
-        read = await self._ask(instance, self._dialect.encode_kept(instance))
-        return read.bind(self._dialect.read_kept)
+        read = await self._ask(instance, self._dialect.encode_cached_parts(instance))
+        return read.bind(self._dialect.read_cached_parts)
 
     async def _ask(self, instance: Instance, call: UpstreamCall) -> Result[bytes, str]:
         """Give the body of an engine's answer to a question about itself.
@@ -114,7 +116,7 @@
                 asyncio.timeout(ORDER_SECONDS),
                 self._send(instance.address, call, False) as response,
             ):
-                self.answers.take_notice(response, instance)
+                self.answers.report_notice(response, instance)
                 if response.status != OK:
                     return Error(f"status {response.status}")
                 return Ok(await response.read())
@@ -131,7 +133,7 @@
                 asyncio.timeout(ORDER_SECONDS),
                 self._send(instance.address, call, False) as response,
             ):
-                self.answers.take_notice(response, instance)
+                self.answers.report_notice(response, instance)
                 return self._dialect.read_order(response.status)
         except NOT_CONNECTED:
             return OrderOutcome.UNREACHED
@@ -157,7 +159,7 @@
         except BROKEN as error:
             # A prompt that was to be computed has not run: no token was made of it.
             ran = Ran.NO if offer.stage == PREFILL else Ran.UNKNOWN
-            has_ended = await self._ends.has_ended(instance, error)
+            has_ended = await self._probes.has_ended(instance, error)
             reason = ENDED if has_ended else describe(error)
             self._receive(host, Lost(*name, ran, reason, 0))
 
@@ -175,7 +177,7 @@
         )
 
     def _note_unasked(self) -> None:
-        self.answers.on_doubt(Doubt.UNASKED)
+        self.answers.on_mismatch(AnswerMismatch.UNASKED)
 
     def _is_leaving(self, host: str) -> bool:
         """Tell whether a host ends soon, and regularly."""
@@ -191,7 +193,7 @@
             ):
                 instance = self._instances.get(kv.host)
                 if instance is not None and instance.address == kv.url:
-                    self.answers.take_notice(response, instance)
+                    self.answers.report_notice(response, instance)
                 await response.read()
         except BROKEN as error:
             log_message(
--- a/radishtally/gateway/commands.py
+++ b/radishtally/gateway/commands.py
@@ -16,15 +16,15 @@
 from radishtally.links.messages import Cancel, Offer
 from radishtally.outcome import Refusal
 from radishtally.serving import events
-from radishtally.serving.const import FIRST_FAILURE
+from radishtally.serving.const import MIN_FAILURE_STATUS
 from radishtally.serving.replies import Replies
-from radishtally.serving.state import EntryCore
+from radishtally.serving.state import DispatchCore
 
 
 class Parts(Protocol):
     """Be what answers requests in a gateway."""
 
-    core: EntryCore
+    core: DispatchCore
     hosts: DirectHosts
     metrics: GatewayMetrics
     replies: Replies
@@ -68,7 +68,7 @@
 
 @carry_out_command.register
 def _(command: events.Finish, parts: Parts) -> None:
-    is_good = command.end.status < FIRST_FAILURE
+    is_good = command.end.status < MIN_FAILURE_STATUS
     parts.metrics.ended(command.request, ANSWERED if is_good else FAILED)
     parts.replies.put(command)
 
@@ -80,7 +80,7 @@
 
 
 @carry_out_command.register
-def _(command: events.Break, parts: Parts) -> None:
+def _(command: events.AbortAnswer, parts: Parts) -> None:
     parts.note_refusal(command.request, command.refusal)
     parts.metrics.ended(command.request, BROKEN_OFF)
     parts.replies.put(command)
@@ -94,5 +94,5 @@
 
 
 @carry_out_command.register
-def _(command: events.Note, parts: Parts) -> None:
+def _(command: events.RecordStep, parts: Parts) -> None:
     log_message("request:step", request=command.request, text=command.text)
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -34,7 +34,7 @@
 from radishtally.gateway.core import CallerDialect, CallerRequest
 from radishtally.gateway.endings import Given
 from radishtally.gateway.front import Front
-from radishtally.gateway.members import Change, Members
+from radishtally.gateway.members import HostChange, Members
 from radishtally.gateway.metrics import GatewayMetrics
 from radishtally.gateway.peers import Peers
 from radishtally.gateway.recall import Recall
@@ -46,9 +46,9 @@
 from radishtally.routes.config import CallerLimits, FleetConfiguration
 from radishtally.runtime import Runtime, Waker, read_boot_clock
 from radishtally.serving import events
-from radishtally.serving.core import EntryCore, handle_event
+from radishtally.serving.core import DispatchCore, handle_event
 from radishtally.serving.replies import Replies, Reply
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.role_controller import RoleController
 from radishtally.store.core import Table
 from radishtally.store.ids import WriteIds
 
@@ -77,7 +77,7 @@
         self.runtime.describe_beliefs = self._describe_beliefs
         self._gateways: int | None = None
         """Gateways that share the retries, once they are listed."""
-        self.core = EntryCore(
+        self.core = DispatchCore(
             settings.host,
             settings.data_centre,
             random.Random(),
@@ -88,17 +88,17 @@
             ),
             # A host without an agent says nothing before its answer begins, and that
             # may take as long as its queue: only the deadline bounds it.
-            offer_seconds=float("inf"),
-            refusals_cost=True,
-            prompts_run=False,
+            offer_timeout=float("inf"),
+            refusals_cost_retries=True,
+            prefill_counts_as_run=False,
         )
         self.hosts = DirectHosts(upstreams, self.runtime.guard_call(self._receive))
-        self.hosts.answers.on_doubt = self.metrics.doubted
+        self.hosts.answers.on_mismatch = self.metrics.doubted
         self.hosts.answers.on_notice = self.runtime.guard_call(self.take_notice)
         self.front = Front(self, callers)
         self._stop_begun: float | None = None
         self.lease = make_lease(self)
-        self.stages = StageKeeper(
+        self.stages = RoleController(
             settings.host,
             self.hosts,
             self.list_served_hosts,
@@ -171,7 +171,7 @@
         await asyncio.sleep(LEAVE_POLL_SECONDS)
         while await self.front.close_idle() and time.monotonic() < until:
             await asyncio.sleep(LEAVE_POLL_SECONDS)
-        self.handle(events.Leave())
+        self.handle(events.Shutdown())
         await asyncio.sleep(LEAVE_POLL_SECONDS)
 
     async def _unload(self, *more: asyncio.Task) -> None:
@@ -292,7 +292,7 @@
         named = configuration.upstreams
         return [host for host in self.members if host.upstream in named]
 
-    def apply(self, changes: list[Change]) -> None:
+    def apply(self, changes: list[HostChange]) -> None:
         """Take what became of the upstreams' hosts."""
         for change in changes:
             carry_out(change, self)
