--- a/radishtally/gateway/__init__.py
+++ b/radishtally/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry in front of hosts without agents, on a platform that configures it."""
+"""Gateway: the entry for hosts without agents, configured by an outside platform."""
--- a/radishtally/gateway/bounds.py
+++ b/radishtally/gateway/bounds.py
@@ -1,4 +1,4 @@
-"""Work out what a deployment's bounds leave to one gateway."""
+"""Derive one gateway's limits from the bounds of the deployment."""
 
 import msgspec
 from xxhash import xxh32_intdigest
@@ -19,21 +19,21 @@
 
 
 def hash_bounds(bounds: Bounds) -> str:
-    """Give a short mark of the settings that all gateways of a deployment share."""
+    """Return a short hash of the bounds that all gateways of a deployment share."""
     return f"{xxh32_intdigest(msgspec.json.encode(bounds)):08x}"
 
 
 def find_min_retry_rate(bounds: Bounds, gateways: int) -> float:
-    """Find the retries a second that one of some gateways may always make."""
+    """Return the retries per second that one of these gateways may always make."""
     every_second = bounds.retry_slack / bounds.retry_window_seconds
     return every_second * RETRY_SHARE / gateways
 
 
 def find_gather_seconds(bounds: Bounds, gateways: int | None) -> float:
-    """Find how long one of some gateways may gather changes of the store.
+    """Return how long one gateway may let changes in the store accumulate.
 
-    A host whose entry is gone gets no request once its time to drain is over, and may
-    be missed for MISSING_GRACE_SECONDS of that first.
+    A host whose entry is removed must get no request after its drain time, and may be
+    kept as missing for MISSING_GRACE_SECONDS of that time.
     """
     longest = max(
         0.0, bounds.drain_ms / 1000 - MISSING_GRACE_SECONDS - GATHER_MARGIN_SECONDS
@@ -46,7 +46,7 @@
 
 
 def make_lease_terms(bounds: Bounds) -> LeaseTerms:
-    """Make the times of the lease under which engines are given their roles."""
+    """Build the terms of the lease whose holder assigns roles to engines."""
     granted = max(LEASE_SECONDS, LEASE_HANDOVER_FACTOR * bounds.lease_ms / 1000)
     return LeaseTerms(
         granted, LEASE_MARGIN_SECONDS, LEASE_RENEW_SECONDS, LEASE_READ_SECONDS
--- a/radishtally/gateway/cache_discovery.py
+++ b/radishtally/gateway/cache_discovery.py
@@ -1,4 +1,4 @@
-"""Ask engines what they keep, where all gateways may have forgotten it."""
+"""Discover at startup which prompt parts the engines hold in their caches."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -13,43 +13,44 @@
 from radishtally.routing.core import rank
 
 ENGINE_POLL_SECONDS: Final = 0.1
-"""Time between two looks whether engines are listed yet."""
+"""Interval between checks whether engines are listed yet."""
 MAX_ENGINE_POLLS: Final = 30
-"""Looks after which no engines are waited for: what is listed later has just started,
-and keeps nothing."""
+"""Number of checks after which waiting for engines ends: an engine that is listed later
+has just started, and its cache is empty."""
 
 
 class CacheReader(Protocol):
-    """Reach engines."""
+    """Read the cache contents of engines."""
 
     async def read_kept(self, instance: Instance) -> Result[list[KeptPart], str]:
-        """Ask an engine which parts of prompts it keeps."""
+        """Query which prompt parts an engine holds in its cache."""
 
 
 class CacheDiscovery:
-    """Learn at the start of a gateway which parts of prompts engines keep.
+    """Learn when a gateway starts which prompt parts the engines hold.
 
-    Gateways that all stop at once forget it, and each part would be read again at
-    another engine. On a fleet of six 1.5 million tokens were read again on a day that
-    ends so, 0.3 million on one that does not, before engines were asked. Each engine is
-    asked by one gateway alone, chosen by name, which tells the others: an answer holds
-    up the engine's work, and one that is asked by thirty would feel it.
+    If all gateways stop at once, this knowledge is lost, and each part would be
+    prefilled again at another engine. Without these queries, a fleet of six prefilled
+    1.5 million tokens again on a day that ended with such a stop, and 0.3 million on
+    one that did not. Each engine is queried by only one gateway, chosen by name, which
+    informs the others: a query delays the engine's work, and thirty of them would
+    noticeably slow it down.
     """
 
     def __init__(
         self,
-        own: str,
+        own_name: str,
         engines: CacheReader,
         placement: EnginePlacement,
         list_instances: Callable[[], list[Instance]],
     ) -> None:
-        self._own = own
+        self._own_name = own_name
         self._engines = engines
         self._placement = placement
         self._list_instances = list_instances
 
     async def run(self, names: Collection[str]) -> None:
-        """Ask those engines that fall to this one of some gateways, once each."""
+        """Query once each of the engines that are assigned to this gateway."""
         for _ in range(MAX_ENGINE_POLLS):
             listed = [item for item in self._list_instances() if item.role]
             if listed:
@@ -60,7 +61,7 @@
 
     def _is_assigned(self, instance: Instance, names: Collection[str]) -> bool:
         key = xxh3_64_intdigest(instance.host.encode())
-        return rank(names, key)[0] == self._own
+        return rank(names, key)[0] == self._own_name
 
     async def _read_engine(self, instance: Instance) -> None:
         kept = await self._engines.read_kept(instance)
--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -1,4 +1,4 @@
-"""Carry out what became of the upstreams' hosts."""
+"""Apply changes of the upstreams' hosts to the parts of the gateway."""
 
 from functools import singledispatch
 from typing import Protocol
@@ -25,7 +25,7 @@
 
 
 class ChangeTargets(Protocol):
-    """Be what knows of hosts in a gateway."""
+    """Give access to the parts of a gateway that hold state about hosts."""
 
     members: Members
     hosts: DirectHosts
@@ -34,13 +34,13 @@
     stages: StageKeeper
 
     def handle(self, event: events.Event) -> None:
-        """Give the core an event and carry out its commands."""
+        """Handle an event and execute the resulting commands."""
 
 
 @singledispatch
 def apply_change(change: HostChange, targets: ChangeTargets) -> None:
-    """Bring one change to all parts."""
-    raise TypeError(f"no way to carry out {type(change)}")
+    """Apply one change to all parts that hold state about the host."""
+    raise TypeError(f"no handler for host changes of type {type(change)}")
 
 
 @apply_change.register
@@ -107,7 +107,7 @@
 
 
 def _start_dispatch(instance: Instance, targets: ChangeTargets) -> None:
-    """Let a host get work; what is open at an earlier start of it is lost."""
+    """Allow dispatch to a host, and cancel requests open at its earlier start."""
     host = instance.host
     incarnation = targets.members.starts.name_incarnation(host)
     for request in targets.core.list_outdated(host, incarnation):
--- a/radishtally/gateway/commands.py
+++ b/radishtally/gateway/commands.py
@@ -1,4 +1,4 @@
-"""Carry out what the core decides about requests."""
+"""Execute the commands that the core issues for requests."""
 
 from functools import singledispatch
 from typing import Protocol
@@ -22,7 +22,7 @@
 
 
 class CommandTargets(Protocol):
-    """Be what answers requests in a gateway."""
+    """Give access to the parts of a gateway that commands act on."""
 
     core: EntryCore
     hosts: DirectHosts
@@ -30,13 +30,13 @@
     replies: Replies
 
     def record_refusal(self, request: str, refusal: Refusal) -> None:
-        """Take note of an answer of the gateway's own."""
+        """Log and count a refusal by the gateway itself."""
 
 
 @singledispatch
 def execute_command(command: events.Command, targets: CommandTargets) -> None:
-    """Bring one decision about to hosts or to its caller."""
-    raise TypeError(f"no way to carry out {type(command)}")
+    """Execute one command: send it to a host or deliver it to the caller."""
+    raise TypeError(f"no handler for commands of type {type(command)}")
 
 
 @execute_command.register
--- a/radishtally/gateway/config.py
+++ b/radishtally/gateway/config.py
@@ -12,36 +12,37 @@
 
 
 class Bounds(Part):
-    """Hold what the deployment promises of its times and budgets."""
+    """Hold the time limits and budgets that the deployment guarantees."""
 
     grace_seconds: PositiveSeconds
-    """Time from the request to stop to the kill."""
+    """Time from the stop signal to the kill."""
     drain_ms: Milliseconds
-    """Time for which a host may still be sent requests after its entry is gone."""
+    """Time for which a host may still be sent requests after its entry is removed."""
     lease_ms: Milliseconds
-    """Time for which two holders of a lease must not take turns."""
+    """Minimum time between two holders of a lease."""
     retry_ratio: Ratio
-    """Attempts beyond the first that all gateways together may make for a request."""
+    """Retries per request that all gateways together may make."""
     retry_slack: Annotated[float, Meta(ge=0)]
-    """Such attempts that they may make within the window whatever comes in."""
+    """Retries that all gateways together may make in each window, independent of the
+    number of requests."""
     retry_window_seconds: PositiveSeconds
 
 
 class GatewaySettings(Part):
-    """Describe one gateway."""
+    """Hold the settings of one gateway."""
 
     host: Text
     data_centre: Text
     cores: Annotated[float, Meta(gt=0, le=10_000)]
-    """Times the speed of a whole core at which the machine works."""
+    """Speed of the machine's cores relative to a reference core."""
     core_share: Annotated[float, Meta(gt=0, le=10_000)]
-    """Share of such a core that the gateway may use."""
+    """Share of one of the machine's cores that the gateway may use."""
     address: Text
     """IP and port for callers."""
     ready_address: Text
-    """IP and port for the balancer's question."""
+    """IP and port of the balancer's readiness check."""
     metrics_address: Text
-    """IP and port for counters and histograms."""
+    """IP and port that serve the metrics."""
     peer_address: Text
     """IP and port for the other gateways."""
     store_address: Text
--- a/radishtally/gateway/connections.py
+++ b/radishtally/gateway/connections.py
@@ -1,4 +1,4 @@
-"""Follow which connections of callers carry a request, and close the others."""
+"""Track which caller connections carry a request, and close idle ones."""
 
 import asyncio
 import time
@@ -12,14 +12,14 @@
 
 
 class _RequestCount(NamedTuple):
-    """Remember what a connection carries, and since when that has not changed."""
+    """Hold the number of requests open on a connection and when it last changed."""
 
     changed_at: float
     open_requests: int
 
 
 class Connections:
-    """Hold what the connections carry that callers have open."""
+    """Track the requests open on each caller connection."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
 
     @contextmanager
     def track_request(self, connection: RequestHandler) -> Iterator[None]:
-        """Count a request on a connection while it is answered."""
+        """Count a request as open on its connection until it is answered."""
         self._change_count(connection, 1)
         try:
             yield
@@ -40,15 +40,15 @@
             self._change_count(connection, -1)
 
     async def close_idle(self) -> int:
-        """Close connections that carry no request; count those that do."""
+        """Close connections without a request; return how many remain in use."""
         await self._close_if_unused(self._list_open())
         return sum(map(self._is_busy, self._list_open()))
 
     async def close_long_idle(self, max_idle_seconds: float) -> None:
-        """Close connections on which no request has come whole for so many seconds."""
+        """Close connections that have had no complete request for that long."""
         connections = self._list_open()
-        for gone in self._counts.keys() - set(connections):
-            del self._counts[gone]
+        for closed in self._counts.keys() - set(connections):
+            del self._counts[closed]
         now = self._clock()
         new = _RequestCount(now, 0)
         await self._close_if_unused(
@@ -59,25 +59,26 @@
         )
 
     async def _close_if_unused(self, connections: Iterable[RequestHandler]) -> None:
-        """Close those of some connections on which no request has come.
+        """Close these connections unless a request has arrived on them.
 
-        A request that has been read reaches its handler some turns of the loop later. A
-        close between the two would leave its caller without an answer, while a host
-        runs it. So reading is paused meanwhile, and what shows by then is not closed.
+        A request reaches its handler some event loop iterations after it was read.
+        Closing the connection between the two would leave the caller without an answer
+        while a host runs the request. Reading is therefore paused for as many
+        iterations, and connections on which a request turns up are not closed.
         """
         paused = [connection for connection in connections if self._pause(connection)]
         for _ in range(HANDLER_LOOP_ITERATIONS):
             await asyncio.sleep(0)
         for connection in paused:
             if not self._is_busy(connection):
-                # Its close() reads no more but leaves the connection open: what a
-                # caller sent on it after that would wait for the process to end.
+                # The handler's close() stops reading but leaves the connection open:
+                # a request sent after that would wait until the process exits.
                 connection.force_close()
             elif connection.transport is not None:
                 connection.transport.resume_reading()
 
     def _pause(self, connection: RequestHandler) -> bool:
-        """Stop reading from a connection if it stands and carries no request."""
+        """Stop reading from a connection if it is open and carries no request."""
         transport = connection.transport
         if transport is None or transport.is_closing() or self._is_busy(connection):
             return False
@@ -96,10 +97,10 @@
 
 
 def _is_sending(connection: RequestHandler) -> bool:
-    """Tell whether a part of an answer still waits in memory for its caller.
+    """Return whether part of an answer is still buffered for the caller.
 
-    An answer is handed to the HTTP library whole, and its request is over then. Where
-    the caller reads slowly, the rest would be lost with the process.
+    An answer is passed to the HTTP library as a whole, which ends its request. If the
+    caller reads slowly, the buffered rest would be lost when the process exits.
     """
     transport = connection.transport
     return transport is not None and transport.get_write_buffer_size() > 0
--- a/radishtally/gateway/core.py
+++ b/radishtally/gateway/core.py
@@ -1,4 +1,4 @@
-"""Contracts between the gateway and what speaks a platform's own protocol."""
+"""Interfaces between the gateway and the adapter for a platform's own protocol."""
 
 from typing import NamedTuple, Protocol
 
@@ -8,37 +8,38 @@
 
 
 class CallerRequest(NamedTuple):
-    """Hold what a caller's head says."""
+    """Hold a request as parsed from a caller's request head."""
 
     request: str
-    """Name of this attempt of the caller's."""
+    """Id of this attempt, assigned by the caller."""
     authority: str
     path: str
     """Path without the query."""
     timeout: float | None
-    """Seconds that the caller waits; none if it does not say."""
+    """Seconds that the caller waits, or None if not specified."""
     model: str
     prompt_tokens: int
     max_tokens: int
     output_tokens: int
-    """Tokens that the caller expects of the answer; 0 if it does not say."""
+    """Length of the answer in tokens that the caller expects; 0 if not specified."""
     parts: tuple[PromptPart, ...]
     resumed_after: int
-    """Event of an earlier answer behind which this one is to begin; 0 for none."""
+    """Number of the last event that the caller has received of an earlier answer; the
+    answer resumes after it. 0 to start from the beginning."""
     headers: Headers
-    """To be passed on to an upstream."""
+    """Headers to forward to the upstream."""
 
 
 class CallerDialect(Protocol):
-    """Translate between callers' heads and requests."""
+    """Parse the request heads that callers send."""
 
     ready_path: str
-    """Path at which the balancer asks whether requests may be sent here."""
+    """Path of the balancer's readiness check."""
 
     def read_request(
         self, target: str, headers: Headers
     ) -> Result[CallerRequest, Refusal]:
-        """Read the head of a request; its target is path and query as sent."""
+        """Parse the head of a request; the target is path and query as sent."""
 
     def read_name(self, headers: Headers) -> str:
-        """Read a request's name, for the log; empty if it has none."""
+        """Return a request's id for the log, or an empty string if it has none."""
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Run a gateway: turn callers and hosts into events, commands into calls."""
+"""Run a gateway: translate requests and answers to events, and commands to calls."""
 
 import asyncio
 import random
@@ -54,13 +54,13 @@
 
 
 class Gateway:
-    """Hold one gateway's parts together."""
+    """Connect the parts of one gateway."""
 
     def __init__(
         self,
         settings: GatewaySettings,
-        callers: CallerDialect,
-        upstreams: Dialect,
+        caller_dialect: CallerDialect,
+        host_dialect: Dialect,
         placement: EnginePlacement,
         table: Table,
     ) -> None:
@@ -76,7 +76,7 @@
         self.runtime.on_stall = self.metrics.count_stall
         self.runtime.describe_beliefs = self._describe_state
         self._gateway_count: int | None = None
-        """Gateways that share the retries, once they are listed."""
+        """Number of gateways that share the retry budget; None until listed."""
         self.core = EntryCore(
             settings.host,
             settings.data_centre,
@@ -86,16 +86,16 @@
                 settings.bounds.retry_ratio * RETRY_SHARE,
                 find_min_retry_rate(settings.bounds, DEFAULT_GATEWAY_COUNT),
             ),
-            # A host without an agent says nothing before its answer begins, and that
-            # may take as long as its queue: only the deadline bounds it.
+            # A host without an agent sends nothing before its answer begins, which may
+            # take as long as its queue: only the deadline limits the wait.
             offer_seconds=float("inf"),
             refusals_cost=True,
             prompts_run=False,
         )
-        self.hosts = DirectHosts(upstreams, self.runtime.guard_call(self._receive))
+        self.hosts = DirectHosts(host_dialect, self.runtime.guard_call(self._receive))
         self.hosts.answers.on_doubt = self.metrics.count_doubted_answer
         self.hosts.answers.on_notice = self.runtime.guard_call(self.handle_notice)
-        self.frontend = HttpFrontend(self, callers)
+        self.frontend = HttpFrontend(self, caller_dialect)
         self._stopping_since: float | None = None
         self.lease = make_lease(self)
         self.stages = StageKeeper(
@@ -121,19 +121,19 @@
 
     @property
     def limits(self) -> CallerLimits | None:
-        """Give what a caller may send, once a configuration says so."""
+        """Return the limits on callers' requests; None without a configuration."""
         configuration = self.router.configuration
         return None if configuration is None else configuration.limits
 
     async def run(self) -> None:
-        """Serve until a planned stop."""
+        """Serve until a graceful stop."""
         self.runtime.watch_loop()
         await self.hosts.start()
         settings = self.settings
         await self.frontend.start(
             settings.address, settings.ready_address, settings.metrics_address
         )
-        # Others may be there that contend already: the links tell.
+        # Other gateways may contend already; that is known once the links are up.
         self.lease.contend(False)
         self.lease.start()
         self.runtime.spawn(self.stages.run())
@@ -160,7 +160,7 @@
         }
 
     async def _drain(self) -> None:
-        """Leave in good order: red to the balancer, then out when nothing is open."""
+        """Report not ready to the balancer, then wait until no request is open."""
         log_message("gateway:leaving", open=len(self.replies))
         self._stopping_since = time.monotonic()
         until = self._stopping_since + self._find_grace_seconds()
@@ -170,7 +170,7 @@
                 continue
             if not await self.frontend.close_idle():
                 break
-        # What comes in between the last look and the end would be read by nobody.
+        # Data that arrives between the last check and the exit would not be read.
         await self.frontend.stop_listening()
         await asyncio.sleep(LEAVE_POLL_SECONDS)
         while await self.frontend.close_idle() and time.monotonic() < until:
@@ -179,20 +179,20 @@
         await asyncio.sleep(LEAVE_POLL_SECONDS)
 
     async def _stop_parts(self, *more: asyncio.Task) -> None:
-        """Stop the parts together: what hangs would outlast the platform's grace."""
+        """Stop the parts concurrently, so that none can exceed the grace period."""
         parts = self.frontend.stop(), self.peers.stop(), self.hosts.stop()
         tasks = [*more, *map(asyncio.create_task, parts)]
         await asyncio.wait(tasks, timeout=SHUTDOWN_TIMEOUT_SECONDS)
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Take settings that were read again; addresses stay until the next start."""
+        """Apply reloaded settings; addresses stay unchanged until the next start."""
         known = self.settings.bounds
         fixed = msgspec.structs.replace(settings, bounds=known)
         log_message("settings:reloaded", needs_restart=fixed != self.settings)
         bounds = settings.bounds
         if self.is_stopping():
-            # The platform's kill comes as long after its signal as was in force then:
-            # a request that is taken for a longer time would be cut off.
+            # The platform kills the process after the grace period that applied when it
+            # sent the signal. A request accepted for longer would be cut off.
             grace = known.grace_seconds
             bounds = msgspec.structs.replace(bounds, grace_seconds=grace)
         self.settings = msgspec.structs.replace(self.settings, bounds=bounds)
@@ -201,19 +201,19 @@
         self._update_retry_budget()
 
     def _publish_settings_hash(self) -> str:
-        """Mark the settings in force, in the metrics too."""
+        """Hash the current settings, publish the hash in the metrics and return it."""
         mark = hash_bounds(self.settings.bounds)
         self.metrics.set_settings(mark)
         return mark
 
     def set_gateway_count(self, count: int) -> None:
-        """Take how many gateways share the retries, and the looks at the lease."""
+        """Set how many gateways share the retry budget and the reads of the lease."""
         self._gateway_count = count
         self.lease.share_reads(count)
         self._update_retry_budget()
 
     def find_gather_seconds(self) -> float:
-        """Find how long changes of the store may be gathered before more are asked for.
+        """Return how long changes in the store may accumulate between queries.
 
         Until the other gateways are listed, all of them may be starting at once.
         """
@@ -226,25 +226,25 @@
         self.core.budgets.configure(ratio, find_min_retry_rate(bounds, count))
 
     def render_metrics(self) -> bytes:
-        """Give the figures of the metrics address."""
+        """Render the metrics in the text format."""
         self.metrics.set_denied(self.core.suspects.count_denied(time.monotonic()))
         return self.metrics.render()
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send requests here."""
+        """Return whether the balancer should send requests here."""
         return self.router.configuration is not None and not self.is_stopping()
 
     def is_stopping(self) -> bool:
-        """Tell whether connections should be brought to an end."""
+        """Return whether connections should be closed after their answer."""
         return self.runtime.stopping.is_set()
 
     def configure(
         self, configuration: FleetConfiguration, *, is_rewritten: bool = False
     ) -> None:
-        """Bring a configuration into force, unless a newer one is.
+        """Apply a configuration unless a newer one is already applied.
 
-        One that the operator has written since the store was restored holds whatever
-        its number: the newer ones may be gone from the store.
+        A configuration that the operator has written since the store was restored is
+        applied whatever its version: newer versions may be lost from the store.
         """
         known = self.router.configuration
         if known is not None and known.version >= configuration.version:
@@ -261,9 +261,9 @@
         log_message("configuration:in_force", version=configuration.version)
 
     def enter_era(self, before: int, after: int, silence: float) -> None:
-        """Take that the store is in another era; before is 0 at first sight.
+        """Handle a new era of the store; before is 0 when an era is first seen.
 
-        What was believed of hosts and configuration is as many seconds old.
+        Silence is the staleness, in seconds, of the known hosts and configuration.
         """
         held_lease = self.lease.fencing is not None
         self.lease.enter_era(after)
@@ -285,10 +285,10 @@
         self.peers.enter_era()
 
     def list_served_hosts(self) -> list[Instance]:
-        """List the hosts of the upstreams that the configuration names.
+        """List the hosts of the upstreams that are configured.
 
-        Whoever may write to the list can name any service there. An order would go to
-        the entry's address, whoever listens there.
+        Any writer of the list can add an entry for any service, and orders would be
+        sent to whatever listens at that entry's address.
         """
         configuration = self.router.configuration
         if configuration is None:
@@ -297,49 +297,49 @@
         return [host for host in self.members if host.upstream in named]
 
     def apply_changes(self, changes: list[HostChange]) -> None:
-        """Take what became of the upstreams' hosts."""
+        """Apply changes of the upstreams' hosts."""
         for change in changes:
             apply_change(change, self)
         self.metrics.set_missing(self.members.count_missing())
 
     def set_unreadable_count(self, count: int) -> None:
-        """Take how many entries of the list can't be read."""
+        """Set the number of host entries that can't be decoded."""
         self.metrics.set_unreadable(count)
 
-    def handle_notice(self, asked: Instance, notice: Notice) -> None:
-        """Take what the head of an answer says of its host."""
+    def handle_notice(self, queried: Instance, notice: Notice) -> None:
+        """Handle a notice about its host in the head of an answer."""
         self.metrics.count_notice(notice)
-        if notice.pause and self.members.is_present(asked):
-            self.core.pause_host(asked.host, notice.pause, time.monotonic())
+        if notice.pause and self.members.is_present(queried):
+            self.core.pause_host(queried.host, notice.pause, time.monotonic())
             log_message(
-                "upstream:paused", upstream_host=asked.host, seconds=notice.pause
+                "upstream:paused", upstream_host=queried.host, seconds=notice.pause
             )
-        changes = self.members.record_leaving(asked) if notice.is_leaving else []
+        changes = self.members.record_leaving(queried) if notice.is_leaving else []
         if not changes:
             return
-        log_message("upstream:leaving", upstream_host=asked.host)
+        log_message("upstream:leaving", upstream_host=queried.host)
         self.apply_changes(changes)
 
-    def _handle_report(self, asked: Instance, report: EngineReport) -> None:
-        self.apply_changes(self.members.apply_report(asked, report))
+    def _handle_report(self, queried: Instance, report: EngineReport) -> None:
+        self.apply_changes(self.members.apply_report(queried, report))
 
     def route(
-        self, method: str, target: str, asked: CallerRequest, body: bytes
+        self, method: str, target: str, caller_request: CallerRequest, body: bytes
     ) -> Result[RoutedRequest, Refusal]:
-        """Find where a request goes."""
-        if asked.request in self.replies:
+        """Route a request, or return why it is refused."""
+        if caller_request.request in self.replies:
             return Error(NAME_IN_USE)
-        routed = self.router.route(method, target, asked, body)
+        routed = self.router.route(method, target, caller_request, body)
         if routed.is_ok() and not self._can_finish(routed.ok.timeout):
             return Error(STOPPING)
         return routed
 
     def _can_finish(self, timeout: float) -> bool:
-        """Tell whether a request that comes now will have its answer in time.
+        """Return whether a request that arrives now can finish before the exit.
 
-        Callers whose connections are open when the stop begins go on sending, and
-        where few gateways are left the balancer sends to this one all the same. What
-        comes late and lasts long would be cut off by the end of the process.
+        Callers with open connections go on sending after the stop begins, and if few
+        gateways are left the balancer still sends requests here. A long request that
+        arrives late would be cut off when the process exits.
         """
         if self._stopping_since is None:
             return True
@@ -351,7 +351,7 @@
         return self.settings.bounds.grace_seconds - LEAVE_MARGIN_SECONDS
 
     def open(self, routed: RoutedRequest) -> asyncio.Queue[Reply]:
-        """Bring a request in."""
+        """Open a request; return the queue on which its answer arrives."""
         work = routed.work
         queue = self.replies.open(work.request)
         self.metrics.record_opened(routed)
@@ -370,7 +370,7 @@
         return queue
 
     def record_refusal(self, request: str, refusal: Refusal) -> None:
-        """Take note of an answer of the gateway's own."""
+        """Log and count a refusal by the gateway itself."""
         self.metrics.count_refusal(refusal.code, refusal.ran)
         log_message(
             "request:refused",
@@ -381,25 +381,25 @@
             text=refusal.message,
         )
 
-    def close(self, request: str, given: Delivery) -> None:
-        """Say that the caller has its answer, or is gone."""
+    def close(self, request: str, delivery: Delivery) -> None:
+        """Close a request whose caller has its answer or has disconnected."""
         self.replies.close(request)
-        if not given.is_done:
+        if not delivery.is_done:
             self.handle(events.CallerGone(request))
-        outcome, seconds = self.metrics.record_closed(request, given.ending)
+        outcome, seconds = self.metrics.record_closed(request, delivery.ending)
         log_message(
             "request:closed",
             request=request,
             outcome=outcome,
-            ending=given.ending,
-            status=given.status,
-            sent=given.sent,
-            last_event=given.last_event,
+            ending=delivery.ending,
+            status=delivery.status,
+            sent=delivery.sent,
+            last_event=delivery.last_event,
             seconds=round(seconds, 4),
         )
 
     def handle(self, event: events.Event) -> None:
-        """Give the core an event and carry out its commands."""
+        """Handle an event and execute the resulting commands."""
         with self.runtime.guard():
             for command in handle_event(event, self.core, time.monotonic()):
                 execute_command(command, self)
@@ -410,7 +410,7 @@
 
 
 def make_lease(gateway: Gateway) -> LeaseHolder:
-    """Make the lease under which one gateway gives engines their roles."""
+    """Create the lease whose holder assigns roles to engines."""
     return LeaseHolder(
         gateway.table,
         STAGES_LEASE,
--- a/radishtally/gateway/endings.py
+++ b/radishtally/gateway/endings.py
@@ -1,37 +1,37 @@
-"""Say how answers ended towards their callers."""
+"""Record how the delivery of answers to callers ended."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Ending(StrEnum):
-    """Name an end as a caller sees it."""
+    """Name how an answer ended from the caller's point of view."""
 
     WHOLE = "whole"
-    """A host's answer with its length."""
+    """Complete answer of a host, sent with its length."""
     STREAM_END = "stream_end"
-    """The regular end of an answer that was passed on as it came."""
+    """Regular end of an answer that was streamed."""
     BROKEN_OFF = "broken_off"
-    """The connection was broken within an answer."""
+    """Connection aborted within the answer."""
     REFUSED = "refused"
-    """An answer of the gateway's own."""
+    """Refusal by the gateway itself."""
     CALLER_LEFT = "caller_left"
 
 
 @dataclass(slots=True)
 class Delivery:
-    """Follow what a caller is given."""
+    """Track what has been sent to a caller in answer to one request."""
 
     ending: Ending = Ending.CALLER_LEFT
-    """Holds until the answer has another end."""
+    """CALLER_LEFT until the answer has ended in another way."""
     status: int = 0
-    """Status of the answer's head, 0 before it."""
+    """Status of the answer's head; 0 until it is sent."""
     sent: int = 0
-    """Bytes of the answer's body."""
+    """Bytes sent of the answer's body."""
     last_event: int = 0
-    """Id of the last event of a stream, 0 where events have none."""
+    """Id of the last event sent of a stream; 0 if its events have no id."""
 
     @property
     def is_done(self) -> bool:
-        """Tell whether the answer was brought to an end."""
+        """Return whether the answer has ended."""
         return self.ending != Ending.CALLER_LEFT
--- a/radishtally/gateway/http_frontend.py
+++ b/radishtally/gateway/http_frontend.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP and pass the hosts' answers on unchanged."""
+"""Serve callers over HTTP and forward the hosts' answers unchanged."""
 
 import asyncio
 import logging
@@ -33,47 +33,47 @@
 from radishtally.serving.replies import Reply
 
 LIBRARY_KEEPALIVE_SECONDS: Final = 86_400.0
-"""Stands for no bound of the library's own on idle connections: it can't follow the
-configuration."""
+"""Keep-alive timeout of the HTTP library, long enough that it never applies: idle
+connections are closed here, since the library can't follow configuration changes."""
 
 
 class FrontendBackend(Protocol):
-    """Be what the HTTP side needs of the gateway."""
+    """Define what the HTTP frontend needs from the gateway."""
 
     limits: CallerLimits | None
 
     def route(
-        self, method: str, target: str, asked: CallerRequest, body: bytes
+        self, method: str, target: str, caller_request: CallerRequest, body: bytes
     ) -> Result[RoutedRequest, Refusal]:
-        """Find where a request goes."""
+        """Route a request, or return why it is refused."""
 
     def record_refusal(self, request: str, refusal: Refusal) -> None:
-        """Take note that a request was turned away before it came in."""
+        """Log and count a request that was refused before it was opened."""
 
     def open(self, routed: RoutedRequest) -> asyncio.Queue[Reply]:
-        """Bring a request in."""
+        """Open a request; return the queue on which its answer arrives."""
 
-    def close(self, request: str, given: Delivery) -> None:
-        """Say that its caller has its answer, or is gone."""
+    def close(self, request: str, delivery: Delivery) -> None:
+        """Close a request whose caller has its answer or has disconnected."""
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send requests here."""
+        """Return whether the balancer should send requests here."""
 
     def render_metrics(self) -> bytes:
-        """Give the figures of the metrics address."""
+        """Render the metrics in the text format."""
 
     def is_stopping(self) -> bool:
-        """Tell whether connections should be brought to an end."""
+        """Return whether connections should be closed after their answer."""
 
 
 class HttpFrontend:
-    """Listen for callers and for the balancer."""
+    """Serve callers, the balancer's readiness check and the metrics over HTTP."""
 
     def __init__(self, gate: FrontendBackend, dialect: CallerDialect) -> None:
         self._backend = gate
         self._dialect = dialect
         self._sites: list[web.TCPSite] = []
-        """Where callers connect."""
+        """Listening sockets for callers."""
         self._runners: list[web.ServerRunner] = []
         self._server: web.Server | None = None
         self._connections = Connections(self._list_connections)
@@ -82,7 +82,7 @@
     async def start(
         self, address: str, ready_address: str, metrics_address: str
     ) -> None:
-        """Listen."""
+        """Start listening on all addresses."""
         logging.getLogger("aiohttp.server").addHandler(_EliotHandler())
         self._server = web.Server(
             self._handle,
@@ -100,7 +100,7 @@
 
     @property
     def is_listening(self) -> bool:
-        """Tell whether callers can connect."""
+        """Return whether callers can connect."""
         return self._sweeper is not None
 
     async def stop(self) -> None:
@@ -111,13 +111,13 @@
             await runner.cleanup()
 
     async def stop_listening(self) -> None:
-        """Take no new connections; those that are open go on."""
+        """Stop accepting connections; open ones are kept."""
         for site in self._sites:
             await site.stop()
         self._sites.clear()
 
     async def close_idle(self) -> int:
-        """Close connections that carry no request; count those that do."""
+        """Close connections without a request; return how many remain in use."""
         return await self._connections.close_idle()
 
     def _list_connections(self) -> list[RequestHandler]:
@@ -142,7 +142,6 @@
         return web.Response(body=self._backend.render_metrics(), headers=headers)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
         with self._connections.track_request(request.protocol):
             return await self._answer(request)
 
@@ -155,21 +154,21 @@
         routed = admitted.ok
         name = routed.work.request
         parts = self._backend.open(routed)
-        given = Delivery()
+        delivery = Delivery()
         try:
-            return await self._deliver(request, parts, given)
+            return await self._deliver(request, parts, delivery)
         finally:
-            self._backend.close(name, given)
+            self._backend.close(name, delivery)
 
     async def _admit(self, request: web.BaseRequest) -> Result[RoutedRequest, Refusal]:
         body = await self._read_body(request)
         if body.is_error():
             return body
         target = request.raw_path
-        asked = self._dialect.read_request(target, decode_headers(request.raw_headers))
-        if asked.is_error():
-            return asked
-        return self._backend.route(request.method, target, asked.ok, body.ok)
+        parsed = self._dialect.read_request(target, decode_headers(request.raw_headers))
+        if parsed.is_error():
+            return parsed
+        return self._backend.route(request.method, target, parsed.ok, body.ok)
 
     async def _read_body(self, request: web.BaseRequest) -> Result[bytes, Refusal]:
         limits = self._backend.limits
@@ -189,30 +188,30 @@
         return Ok(bytes(body))
 
     async def _deliver(
-        self, request: web.BaseRequest, parts: asyncio.Queue[Reply], given: Delivery
+        self, request: web.BaseRequest, parts: asyncio.Queue[Reply], delivery: Delivery
     ) -> web.StreamResponse:
         part = await parts.get()
         if isinstance(part, Refuse):
             response = self._respond_refusal(part.refusal)
-            given.ending, given.status = Ending.REFUSED, response.status
+            delivery.ending, delivery.status = Ending.REFUSED, response.status
             return response
         if isinstance(part, Finish):
-            given.ending, given.status = Ending.WHOLE, part.end.status
-            given.sent = len(part.body)
+            delivery.ending, delivery.status = Ending.WHOLE, part.end.status
+            delivery.sent = len(part.body)
             return self._respond_whole(part)
         if not isinstance(part, Begin):
-            raise AssertionError(f"an answer began with {part!r}")
-        return await self._stream(request, part, parts, given)
+            raise AssertionError(f"unexpected first part of an answer: {part!r}")
+        return await self._stream(request, part, parts, delivery)
 
     async def _stream(
         self,
         request: web.BaseRequest,
         begin: Begin,
         parts: asyncio.Queue[Reply],
-        given: Delivery,
+        delivery: Delivery,
     ) -> web.StreamResponse:
         response = web.StreamResponse(status=begin.status)
-        given.status = begin.status
+        delivery.status = begin.status
         _copy_headers(begin.headers, response)
         response.enable_chunked_encoding()
         self._end_keep_alive(response)
@@ -221,16 +220,16 @@
             part = await parts.get()
             if isinstance(part, Deliver):
                 await response.write(part.data)
-                given.sent += len(part.data)
-                given.last_event = part.tokens
+                delivery.sent += len(part.data)
+                delivery.last_event = part.tokens
                 continue
             if isinstance(part, End):
                 await response.write_eof()
-                given.ending = Ending.STREAM_END
+                delivery.ending = Ending.STREAM_END
                 return response
-            given.ending = Ending.BROKEN_OFF
-            # Only a connection that breaks tells the caller that its answer is not
-            # whole: the end of the chunks would make a part of it look complete.
+            delivery.ending = Ending.BROKEN_OFF
+            # Only an aborted connection shows the caller that its answer is incomplete:
+            # a final chunk would make it look complete.
             if request.transport is not None:
                 request.transport.abort()
             return response
@@ -257,7 +256,7 @@
         return response
 
     def _end_keep_alive(self, response: web.StreamResponse) -> None:
-        """Tell callers of a stopping gateway to bring their next request elsewhere."""
+        """Ask the caller to close the connection if this gateway is stopping."""
         if self._backend.is_stopping():
             response.force_close()
 
@@ -275,10 +274,10 @@
 
 
 def _find_status(refusal: Refusal) -> int:
-    """Give the status that says no more than is known.
+    """Return a status that does not promise more than is known about the request.
 
-    Some statuses promise that the request did not run, and a caller then sends it
-    again: it would run twice if that was not sure.
+    Some statuses guarantee that the request did not run, and callers retry it then. It
+    could run twice if that were not certain.
     """
     if refusal.ran == Ran.NO:
         return 503 if refusal.status == GATEWAY_TIMEOUT else refusal.status
@@ -291,8 +290,8 @@
 
 
 class _EliotHandler(logging.Handler):
-    """Bring the HTTP library's own complaints into the log."""
+    """Forward log records of the HTTP library to the structured log."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log one line."""
+        """Log one record."""
         log_message("http:library", level=record.levelname, text=record.getMessage())
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -1,4 +1,4 @@
-"""Tell the other gateways what is open at engines and what has come, and hear it."""
+"""Exchange open work, demand, cached parts and suspicions with other gateways."""
 
 import asyncio
 import time
@@ -34,65 +34,68 @@
 from radishtally.stages.keeper import StageKeeper
 
 COLLECT_SECONDS_PER_PEER: Final = 0.002
-"""Time between two rounds for each gateway that a collector tells: whatever their
-number, it sends and takes 500 messages a second each."""
+"""Interval between two rounds per peer of a collector. Whatever the number of peers, a
+collector then sends and receives 500 messages a second each."""
 MIN_CANDIDATE_SECONDS: Final = 1.0
-"""Time for which a gateway must be among those that may collect before it contends for
-the lease: while all start, none has links yet, and each would take itself for one."""
+"""Time for which a gateway must be a collector candidate before it contends for the
+lease. While all gateways start, none has links yet and each would count itself as a
+candidate."""
 FULL_REFRESH_SECONDS: Final = 2.0
-"""Time between two rounds that name all engines. What a gateway could not take when it
-was told (it did not list the engine yet, or believed others just then) would be missing
-until it changes, and the engine would get too much work for as long. Each engine takes
-18 bytes of a message: with 60 of them, one of 12 gateways in a mesh sends 6 KB a
-second."""
+"""Interval between full updates, which cover all engines. A peer ignores an update
+about an engine that it does not list yet, or from a gateway outside its group. Without
+full updates it would miss that work until the next change and overload the engine. An
+engine takes 18 bytes in a message: with 60 engines, each of 12 gateways in a mesh sends
+6 KB a second."""
 
 
 class LoadExchange:
-    """Exchange loads with the gateways that links are up to.
+    """Exchange loads with the gateways to which links are up.
 
-    Few gateways tell each other directly. Of many, one in each data centre collects
-    what those beside it have open. It tells that to those that collect elsewhere, and
-    to each beside it what all but that one have, as if that was its own: the messages
-    then grow with the gateways and not with their square, and the news is as old as a
-    data centre is large. One that collected for 68 told them every 0.14 s, with nine
-    tenths of the 0.39 cores that it had: it took seven seconds to take a configuration.
+    Few gateways form a mesh and send to each other directly. With more of them, one
+    collector in each data centre aggregates the open work of that data centre. It sends
+    the sum to the collectors of the other data centres, and to each gateway of its own
+    data centre the sum of all others, as if it were the collector's own work. Messages
+    then grow linearly with the number of gateways and not with its square, and the
+    staleness grows with the size of a data centre. A collector for 68 gateways, sending
+    every 0.14 s, used nine tenths of the 0.39 cores that it had, and took seven seconds
+    to load a configuration.
     """
 
     def __init__(
         self,
-        own: str,
+        own_name: str,
         hub: LinkHub,
         placement: EnginePlacement,
         stages: StageKeeper,
         contend: Callable[[bool], None] = lambda _: None,
         suspects: Suspects | None = None,
     ) -> None:
-        self._own = own
+        self._own_name = own_name
         self._contend = contend
-        """Take whether this gateway contends for the lease."""
+        """Called with whether this gateway contends for the lease."""
         self._candidate_since: float | None = None
         self._contends = False
         self._hub = hub
         self._placement = placement
         self._stages = stages
         self._suspects = Suspects() if suspects is None else suspects
-        self._sites: Sites = {own: Site()}
+        self._sites: Sites = {own_name: Site()}
         self._linked: list[str] | None = None
-        """Links by which the circle was found; none where it is to be found anew."""
+        """Linked peers for which the group was computed; None to recompute it."""
         self._group = ExchangeGroup()
         self._is_candidate = True
         self._interval = LOAD_BATCH_SECONDS
-        """Seconds between two rounds."""
+        """Seconds between two rounds of messages."""
         self._reported_engines: set[str] = set()
-        """Engines that others have told of since the last round."""
+        """Engines that peers have sent loads of since the last round."""
         self._parts_to_relay: list[tuple[str, PartsRead]] = []
-        """What others have told a collector since the last round, and who."""
+        """Parts to relay as a collector in the next round, with their sender."""
         self._suspicions_to_relay: list[tuple[str, Suspicion]] = []
-        """The same of requests under which hosts have ended."""
+        """Suspicions to relay as a collector in the next round, with their sender."""
         self._refreshed_at = float("-inf")
 
     def set_sites(self, sites: Sites) -> None:
-        """Take which gateways there are, this one among them."""
+        """Set the known gateways, including this one."""
         if sites == self._sites:
             return
         self._sites = sites
@@ -101,7 +104,7 @@
         self._placement.unseen.others = self._describe_others()
 
     async def run(self) -> None:
-        """Tell for good."""
+        """Send updates to the other gateways until cancelled."""
         demand_sent_at = time.monotonic()
         while True:
             await asyncio.sleep(self._interval)
@@ -116,27 +119,29 @@
                 self._send_demand(now)
 
     def handle_link_up(self, peer: str) -> None:
-        """Tell a gateway all, as its link has come up."""
+        """Send the full state to a gateway whose link has come up."""
         self._update_group()
         if peer not in self._group.recipients:
             return
         self._hub.send(peer, self._make_backlog(None, peer))
-        # One that has just started would have all parts read again, and elsewhere.
+        # A gateway that has just started would otherwise have all parts prefilled
+        # again, at other engines.
         for parts in self._placement.list_parts():
             self._hub.send(peer, parts)
         self._send_suspicions(peer, self._suspects.list_all(time.monotonic()))
 
     def forget_peer(self, peer: str) -> None:
-        """Forget what a gateway has told, as its link is down."""
+        """Drop the state received from a gateway whose updates no longer apply."""
         self._placement.forget_peer(peer)
         self._stages.forget_report(peer)
 
     def handle_message(self, peer: str, message: Message) -> None:
-        """Take what a gateway tells."""
-        # What one tells as its link comes up is told once: it can't wait for a round.
+        """Apply a message from another gateway."""
+        # The state sent when a link comes up is sent only once, so the group must be
+        # current before the next round.
         self._update_group()
-        # Another one than the collector tells this one only while the two disagree on
-        # who collects: what it has open would count twice.
+        # A gateway outside the group sends to this one only while the two disagree on
+        # the collector. Its open work would be counted twice.
         if peer not in self._group.recipients:
             return
         now = time.monotonic()
@@ -161,54 +166,56 @@
                     ends=suspicion.ends,
                     told_by=peer,
                 )
-                # In a mesh nobody passes news on, and a link may be cut.
+                # In a mesh no collector relays, and the direct link may be down.
                 if is_mesh(self._sites):
                     self._suspects.tell(suspicion.content)
         if self._is_collector:
-            self._suspicions_to_relay += [(peer, told) for told in message.suspicions]
+            self._suspicions_to_relay += [
+                (peer, suspicion) for suspicion in message.suspicions
+            ]
 
     @property
     def _is_collector(self) -> bool:
-        return self._group.collector == self._own
+        return self._group.collector == self._own_name
 
     def _find_interval(self) -> float:
         if is_mesh(self._sites):
             return LOAD_BATCH_SECONDS
-        ours = list_gateways_in(self._sites, self._sites[self._own].data_centre)
+        ours = list_gateways_in(self._sites, self._sites[self._own_name].data_centre)
         others = len(list_data_centres(self._sites)) - 1
         return max(LOAD_BATCH_SECONDS, (len(ours) + others) * COLLECT_SECONDS_PER_PEER)
 
     def _describe_others(self) -> Others:
-        """Say how many others there are, and how old news of them is at most."""
-        # Each, then who collects; and who collects in the other data centre.
+        """Return the number of other gateways and the maximum age of their loads."""
+        # The gateway itself, its collector, and the collector of another data centre.
         hops = 1 if is_mesh(self._sites) else 2
         if hops > 1 and len(list_data_centres(self._sites)) > 1:
             hops += 1
         return Others(len(self._sites) - 1, hops * self._interval)
 
     def _update_group(self) -> None:
-        """Take whom to tell and to believe by the links that are up."""
+        """Update the exchange group from the links that are up."""
         linked = self._hub.hosts
         if linked == self._linked:
             return
         self._linked = linked
-        self._is_candidate = is_collector_candidate(self._sites, self._own, linked)
-        circle = find_exchange_group(self._sites, self._own, linked)
-        if circle == self._group:
+        self._is_candidate = is_collector_candidate(self._sites, self._own_name, linked)
+        group = find_exchange_group(self._sites, self._own_name, linked)
+        if group == self._group:
             return
-        old, self._group = self._group, circle
+        old, self._group = self._group, group
         self._refreshed_at = float("-inf")
-        outdated = set(old.recipients) - set(circle.recipients)
-        if circle.collector != old.collector:
+        outdated = set(old.recipients) - set(group.recipients)
+        if group.collector != old.collector:
             log_message(
                 "peers:collector",
-                collector=circle.collector,
-                members=len(circle.members),
-                collectors=circle.collectors,
+                collector=group.collector,
+                members=len(group.members),
+                collectors=group.collectors,
             )
-            # What a collector told stood for others too; and what others told directly
-            # is told by the collector from now on.
-            if circle.collector == self._own:
+            # Loads received from the old collector include those of other gateways, and
+            # loads received directly will be part of the new collector's messages.
+            if group.collector == self._own_name:
                 outdated |= {old.collector} - {None}
             else:
                 outdated |= set(self._hub.hosts)
@@ -216,10 +223,10 @@
             self.forget_peer(peer)
 
     def _update_contention(self, now: float) -> None:
-        """Contend for the lease only as one of few.
+        """Contend for the lease only as a collector candidate.
 
-        Each look at the lease is a call to the store. Those that collect are enough: in
-        each data centre there are two, and the next ones take their places.
+        Each read of the lease is a call to the store. The two candidates in each data
+        centre are enough, since others replace them if they fail.
         """
         if not self._is_candidate:
             self._candidate_since = None
@@ -232,11 +239,11 @@
             self._contend(contends)
 
     def _list_excluded(self, peer: str) -> frozenset[str] | None:
-        """List whose work a peer is not told of, or none to tell it our own alone."""
+        """List the gateways excluded from a peer's messages; None to send only own."""
         if not self._is_collector:
             return None
         if peer in self._group.collectors:
-            # Each of them hears of the others' data centres from those themselves.
+            # Collectors send each other only the loads of their own data centres.
             return frozenset(self._group.collectors)
         return frozenset((peer,))
 
@@ -254,26 +261,28 @@
             self._hub.send(peer, self._make_backlog(hosts, peer))
 
     def _send_parts(self) -> None:
-        """Tell what engines were first given: nothing is told of what they keep."""
-        told = [(self._own, parts) for parts in self._placement.take_read()]
-        told += self._parts_to_relay
+        """Send the parts newly given to engines, not those that they still hold."""
+        outgoing = [(self._own_name, parts) for parts in self._placement.take_read()]
+        outgoing += self._parts_to_relay
         self._parts_to_relay = []
         for peer in self._group.recipients:
-            left_out = self._list_excluded(peer) or ()
-            for teller, parts in told:
-                if teller not in left_out:
+            excluded = self._list_excluded(peer) or ()
+            for sender, parts in outgoing:
+                if sender not in excluded:
                     self._hub.send(peer, parts)
 
     def _send_changed_suspicions(self, now: float) -> None:
-        """Tell under which requests hosts have ended, in few messages."""
+        """Send suspicions about requests under which hosts failed, in few messages."""
         changed = self._suspects.take_changed(now)
-        told = [(self._own, suspicion) for suspicion in changed]
-        told += self._suspicions_to_relay
+        outgoing = [(self._own_name, suspicion) for suspicion in changed]
+        outgoing += self._suspicions_to_relay
         self._suspicions_to_relay = []
-        for peer in self._group.recipients if told else ():
-            left_out = self._list_excluded(peer) or ()
-            news = (suspicion for teller, suspicion in told if teller not in left_out)
-            self._send_suspicions(peer, news)
+        for peer in self._group.recipients if outgoing else ():
+            excluded = self._list_excluded(peer) or ()
+            suspicions = (
+                suspicion for sender, suspicion in outgoing if sender not in excluded
+            )
+            self._send_suspicions(peer, suspicions)
 
     def _send_suspicions(self, peer: str, suspicions: Iterable[Suspicion]) -> None:
         for group in group_suspicions(suspicions):
--- a/radishtally/gateway/members.py
+++ b/radishtally/gateway/members.py
@@ -1,4 +1,4 @@
-"""Follow which hosts stand behind the upstreams."""
+"""Track the hosts of the upstreams by their entries in the store."""
 
 from collections import Counter, OrderedDict, deque
 from collections.abc import Iterable, Mapping
@@ -9,60 +9,64 @@
 from radishtally.gateway.starts import HostRestarted, HostStarts, StartSource
 
 MISSING_GRACE_SECONDS: Final = 1.6
-"""Time for which an entry is kept that is missing just after the store's return. One
-that lapsed meanwhile is back within two seconds, most within a heartbeat of 1.2 s, the
-last of some hundreds after 1.54 s; one that was removed must be given up within two
-seconds, and was noticed a little late."""
+"""Time for which a host is kept whose entry is missing just after a store outage. An
+entry that expired during the outage is written again within two seconds: most within
+one heartbeat interval of 1.2 s, the last of several hundred after 1.54 s. A host that
+was removed must get no requests after two seconds, and its removal is detected with a
+short delay."""
 MASS_REMOVAL_SHARE: Final = 0.25
 """Share of an upstream's hosts above which removals within MISSING_GRACE_SECONDS count
-as entries that expired during an undetected store outage: a pending long poll does not
-show that the store was away. Planned maintenance removes fewer hosts without notice. If
-it removes more, they are kept no longer than a draining host may get requests."""
+as entries that expired during an undetected store outage: a long poll that the store
+holds throughout the outage does not reveal it. Planned maintenance removes fewer hosts
+without notice. If it removes more, they are kept no longer than a draining host may get
+requests."""
 MASS_REMOVAL_MIN_HOSTS: Final = 2
-"""Fewest such removals: that one host leaves a small upstream is ordinary. The last one
-is kept all the same, as there is no other that could serve meanwhile."""
+"""Minimum number of such removals: it is normal for one host to leave a small upstream.
+The last host of an upstream is kept in any case, since no other could serve."""
 
 GONE_RETENTION_SECONDS: Final = 60.0
-"""Time for which a host that is gone is remembered: longer than a copy of the store is
-old, so that an entry in it that is not remembered is one of a host that was there."""
+"""Time for which removed hosts are remembered: longer than the age of any backup of the
+store, so that an entry of a host that is not remembered belongs to a host that had not
+been removed."""
 MAX_REMEMBERED_HOSTS: Final = 1_000
-"""Most such hosts, those that went last."""
+"""Maximum number of removed or leaving hosts that are remembered, most recent ones."""
 REVIEW_INTERVAL_SECONDS: Final = 1.5
-"""Time after which the list is read again while an entry of an older copy is in doubt:
-a heartbeat of 1.2 s, which tells no change, and a margin."""
+"""Interval between reads of the whole list while it has unconfirmed entries: the
+heartbeat interval of 1.2 s, since a heartbeat alone is not reported as a change, and a
+margin."""
 MAX_UNCONFIRMED_SECONDS: Final = 6.0
-"""Time for which an entry of an older copy may stand without a write of its host: the
-store drops it after three heartbeats, and needs some time to come to it."""
+"""Time for which an unconfirmed entry can exist without a write of its host: the store
+deletes it after three missed heartbeats, with some delay."""
 
 
 class HostUpdated(NamedTuple):
-    """Say that a host is there, and as what."""
+    """Event: a host is listed, with its current properties."""
 
     instance: Instance
 
 
 class HostRemoved(NamedTuple):
-    """Say that a host is gone."""
+    """Event: a host has been removed."""
 
     host: str
 
 
 class MissReason(StrEnum):
-    """Say why a host is kept whose entry is gone."""
+    """Name why a host is kept whose entry is missing."""
 
     OUTAGE = "outage"
     MANY_AT_ONCE = "many at once"
 
 
 class HostMissing(NamedTuple):
-    """Say that the list lacks a host, which is kept until it may have written again."""
+    """Event: a host's entry is missing, and it has time to write the entry again."""
 
     host: str
     reason: MissReason
 
 
 class HostReturned(NamedTuple):
-    """Say that a host that was missing is on the list again."""
+    """Event: a missing host is listed again."""
 
     host: str
 
@@ -71,58 +75,58 @@
 
 
 class _Removal(NamedTuple):
-    """Remember that a host was removed that had not said that it leaves."""
+    """Record the removal of a host that was not draining."""
 
     at: float
     instance: Instance
 
 
 class _UnconfirmedEntry(NamedTuple):
-    """Hold an entry of an older copy that says nothing until its host has written."""
+    """Hold an entry of a restored store that is ignored until its host has written."""
 
     instance: Instance
-    beats: int
+    heartbeats: int
     until: float
-    """Time from which an entry that still stands must have been written again."""
+    """Time from which an entry that still exists must have been written again."""
 
 
 class Members:
-    """Hold the hosts by the store's list, and those that the list may have lost.
-
-    A store that was restored shows entries of an older copy. One that is behind what is
-    known of the same start is passed over: its count of heartbeats grows with each
-    write, so that a lower one was written earlier. Of a host that is gone the count
-    does not tell, since its last heartbeats before it went were never shown. Its
-    entry says nothing until it has changed from what the first list of the era held,
-    or has stood for longer than the store keeps an entry that is not renewed.
+    """Track the listed hosts, and those whose entries the store may have lost.
+
+    A restored store returns entries of an older backup. An entry that is older than
+    what is known of the same start of its host is ignored: its heartbeat count grows
+    with each write, so a lower count was written earlier. The count is no evidence for
+    a removed host, since its last heartbeats before the removal were never reported.
+    Its entry is ignored until it differs from the one in the first list of the era, or
+    has existed for longer than the store keeps an entry that is not renewed.
     """
 
     def __init__(self) -> None:
         self.starts = HostStarts()
         self._instances: dict[str, Instance] = {}
         self._missing: dict[str, float] = {}
-        """Times at which hosts that the list lacks count as gone."""
+        """Missing hosts, with the time at which each counts as removed."""
         self._removals: deque[_Removal] = deque()
-        """Removals of hosts in service, the last MISSING_GRACE_SECONDS' ones."""
+        """Removals of hosts in service during the last MISSING_GRACE_SECONDS."""
         self._heartbeats: dict[str, int] = {}
-        """Counts of heartbeats in the entries that were taken last."""
+        """Heartbeat counts of the entries that were last applied."""
         self._gone_hosts: OrderedDict[str, tuple[float, Instance]] = OrderedDict()
-        """Hosts that went in the last REMEMBER_SECONDS, with when."""
+        """Hosts removed in the last GONE_RETENTION_SECONDS, with the time."""
         self._entered_at: float | None = None
-        """Time of the store's restore until the list has been read after it."""
+        """Time at which the current era was entered; None once its list was read."""
         self._unconfirmed: dict[str, _UnconfirmedEntry] = {}
         self._leaving: OrderedDict[str, int] = OrderedDict()
-        """Starts of hosts that have said themselves that they leave."""
+        """Starts of hosts that have announced in an answer that they are leaving."""
         self._review_at = float("inf")
 
     def __iter__(self):  # noqa: ANN204
-        """Iterate over the hosts."""
+        """Iterate over the current hosts, including missing ones."""
         return iter(self._instances.values())
 
     def enter_era(self, now: float) -> None:
-        """Take that the store was restored: the next list is that of an older copy."""
+        """Record that the store was restored; the next list is from an older backup."""
         self._entered_at = now
-        # Hosts that are missing could not write anew before this.
+        # Missing hosts could not write again before the restore.
         until = now + MISSING_GRACE_SECONDS
         self._missing = dict.fromkeys(self._missing, until)
         self._unconfirmed.clear()
@@ -134,50 +138,51 @@
         instances: Iterable[Instance],
         now: float,
         after_outage: bool,
-        beats: Mapping[str, int] | None = None,
+        heartbeats: Mapping[str, int] | None = None,
     ) -> list[HostChange]:
-        """Take the whole list, with its hosts' counts of heartbeats."""
-        beats = beats or {}
+        """Apply the whole list, with the heartbeat counts of its hosts."""
+        heartbeats = heartbeats or {}
         listed = {instance.host: instance for instance in instances}
         gone = self._instances.keys() - listed.keys()
-        # Hosts could write from the restore on, however late the list is read.
+        # Hosts can write again from the restore on, however late the list is read.
         since = now if self._entered_at is None else self._entered_at
         changes = self.remove(gone, since, after_outage)
-        doubts = self._find_unconfirmed(listed, beats, now)
+        unconfirmed = self._find_unconfirmed(listed, heartbeats, now)
         for host, instance in listed.items():
-            if host in doubts:
+            if host in unconfirmed:
                 continue
-            count = beats.get(host, 0)
+            count = heartbeats.get(host, 0)
             if self._entered_at is not None and self._instances.get(host) == instance:
-                # Unchanged in an older copy, it is known from a later write.
+                # The same entry was already seen with a later write.
                 count = max(count, self._heartbeats.get(host, 0))
             changes += self.update(instance, count)
-        self._unconfirmed = doubts
-        self._review_at = now + REVIEW_INTERVAL_SECONDS if doubts else float("inf")
+        self._unconfirmed = unconfirmed
+        self._review_at = now + REVIEW_INTERVAL_SECONDS if unconfirmed else float("inf")
         self._entered_at = None
         return changes
 
     def _find_unconfirmed(
-        self, listed: Mapping[str, Instance], beats: Mapping[str, int], now: float
+        self, listed: Mapping[str, Instance], heartbeats: Mapping[str, int], now: float
     ) -> dict[str, _UnconfirmedEntry]:
-        """Find the entries that their hosts have not written in the present era."""
+        """Return the entries that may not have been written in the current era."""
         if self._entered_at is not None:
             return {
                 host: _UnconfirmedEntry(
-                    instance, beats.get(host, 0), now + MAX_UNCONFIRMED_SECONDS
+                    instance, heartbeats.get(host, 0), now + MAX_UNCONFIRMED_SECONDS
                 )
                 for host, instance in listed.items()
-                if self._is_behind(instance, beats.get(host, 0))
+                if self._is_behind(instance, heartbeats.get(host, 0))
             }
         return {
-            host: doubt
-            for host, doubt in self._unconfirmed.items()
-            if now < doubt.until
-            and (listed.get(host), beats.get(host, 0)) == (doubt.instance, doubt.beats)
+            host: entry
+            for host, entry in self._unconfirmed.items()
+            if now < entry.until
+            and (listed.get(host), heartbeats.get(host, 0))
+            == (entry.instance, entry.heartbeats)
         }
 
-    def _is_behind(self, instance: Instance, beats: int) -> bool:
-        """Tell whether a copy's entry may be older than what is known of its host."""
+    def _is_behind(self, instance: Instance, heartbeats: int) -> bool:
+        """Return whether a restored entry may be older than what is known."""
         host = instance.host
         if host in self._gone_hosts:
             return is_same_start(
@@ -189,10 +194,10 @@
         if host in self._missing:
             return True
         shown = instance._replace(started_ms=known.started_ms)
-        return shown != known and beats <= self._heartbeats.get(host, 0)
+        return shown != known and heartbeats <= self._heartbeats.get(host, 0)
 
-    def update(self, instance: Instance, beats: int = 0) -> list[HostChange]:
-        """Take one entry; one of a start that has ended says nothing."""
+    def update(self, instance: Instance, heartbeats: int = 0) -> list[HostChange]:
+        """Apply one entry, unless it belongs to a start that has ended."""
         host = instance.host
         if self.starts.is_ended(host, instance.started_ms):
             return []
@@ -200,49 +205,50 @@
         if self._missing.pop(host, None) is not None:
             changes.append(HostReturned(host))
         changes += self._apply_instance(instance, StartSource.LISTED)
-        self._heartbeats[host] = beats
+        self._heartbeats[host] = heartbeats
         self._unconfirmed.pop(host, None)
         self._gone_hosts.pop(host, None)
         return changes
 
-    def is_present(self, asked: Instance) -> bool:
-        """Tell whether a host that was asked is there, and has not started again."""
-        known = self._instances.get(asked.host)
-        if known is None or self.starts.is_ended(asked.host, asked.started_ms):
+    def is_present(self, queried: Instance) -> bool:
+        """Return whether a queried host is listed and has not restarted since."""
+        known = self._instances.get(queried.host)
+        if known is None or self.starts.is_ended(queried.host, queried.started_ms):
             return False
-        return is_same_start(known.started_ms, asked.started_ms)
+        return is_same_start(known.started_ms, queried.started_ms)
 
-    def record_leaving(self, asked: Instance) -> list[HostChange]:
-        """Take that a host has said in an answer that it leaves.
+    def record_leaving(self, queried: Instance) -> list[HostChange]:
+        """Record that a host has announced in an answer that it is leaving.
 
-        Its entry may say otherwise for as long as the store is away, and an older copy
-        of the store even after it did not. Only another start of it comes back.
+        Its entry may not show this while the store is away, and may stop showing it
+        when the store is restored from an older backup. Only a new start of the host
+        gets work again.
         """
-        if not self.is_present(asked):
+        if not self.is_present(queried):
             return []
-        known = self._instances[asked.host]
-        self._leaving[asked.host] = known.started_ms
-        self._leaving.move_to_end(asked.host)
+        known = self._instances[queried.host]
+        self._leaving[queried.host] = known.started_ms
+        self._leaving.move_to_end(queried.host)
         while len(self._leaving) > MAX_REMEMBERED_HOSTS:
             self._leaving.popitem(last=False)
         return self._apply_instance(known, StartSource.ANSWERED)
 
-    def apply_report(self, asked: Instance, report: EngineReport) -> list[HostChange]:
-        """Take what an engine said when asked, which may be newer than its entry.
+    def apply_report(self, queried: Instance, report: EngineReport) -> list[HostChange]:
+        """Apply an engine's report, which may be newer than its entry.
 
-        Where the list has shown another start since, the report tells nothing of that
-        one: by then another host may have answered at the earlier one's address.
+        The report is ignored if the list has shown another start since the query, as
+        another host may have answered at the address of the earlier start.
         """
-        known = self._instances.get(asked.host)
-        if known is None or known.started_ms != asked.started_ms:
+        known = self._instances.get(queried.host)
+        if known is None or known.started_ms != queried.started_ms:
             return []
-        if self.starts.is_ended(asked.host, report.started_ms):
+        if self.starts.is_ended(queried.host, report.started_ms):
             return []
         if not report.started_ms or report.started_ms == known.started_ms:
             return []
         shown = known._replace(started_ms=report.started_ms)
         if known.started_ms:
-            # That the earlier start was draining does not hold for this one.
+            # The draining state belonged to the earlier start.
             shown = shown._replace(role=report.role, is_draining=False)
         return self._apply_instance(shown, StartSource.REPORTED)
 
@@ -266,10 +272,10 @@
     def remove(
         self, hosts: Iterable[str], now: float, after_outage: bool
     ) -> list[HostChange]:
-        """Take that entries are gone, all that are known to be at this time.
+        """Apply the removal of entries, all those known at this time together.
 
-        While the store is away hosts can't renew their entries, and entries lapse:
-        the list after its return may lack hosts that serve as well as before. Dropped
+        Hosts can't renew their entries while the store is away, so entries expire, and
+        the list after the outage may lack hosts that still serve. If these were dropped
         at once, whole upstreams would be empty until their hosts have written again.
         """
         hosts = list(hosts)
@@ -298,7 +304,7 @@
         return changes
 
     def remove_unreadable(self, host: str, now: float) -> list[HostChange]:
-        """Take that a host's entry is there and names no host any more."""
+        """Remove a host whose entry exists but can no longer be decoded."""
         self._unconfirmed.pop(host, None)
         return [self._remove_host(host, now)] if host in self._instances else []
 
@@ -306,12 +312,12 @@
         while self._removals and self._removals[0].at <= now - MISSING_GRACE_SECONDS:
             self._removals.popleft()
         for instance in removed:
-            # A host that says that it leaves has written, so its entry did not lapse.
+            # A draining host has written its entry, so it did not expire in an outage.
             if not instance.is_draining:
                 self._removals.append(_Removal(now, instance))
 
     def _find_emptied(self) -> frozenset[str]:
-        """Find the upstreams that lose more hosts at once than leave by themselves."""
+        """Return the upstreams that lose more hosts at once than planned work does."""
         lost = {removal.instance.host: removal.instance for removal in self._removals}
         in_service = {
             host: instance
@@ -328,11 +334,11 @@
         )
 
     def count_missing(self) -> int:
-        """Count the hosts that the list lacks and that are kept all the same."""
+        """Return the number of hosts that are kept although their entry is missing."""
         return len(self._missing)
 
     def list_unconfirmed(self) -> list[str]:
-        """List the hosts whose entries of an older copy say nothing."""
+        """List the hosts whose restored entries are ignored until confirmed."""
         return list(self._unconfirmed)
 
     def _mark_missing(self, host: str, now: float, reason: MissReason) -> HostChange:
@@ -358,26 +364,26 @@
             del self._gone_hosts[host]
 
     def next_expiry(self) -> float:
-        """Give the time at which the next missing host counts as gone."""
+        """Return the time at which the next missing host counts as removed."""
         return min(self._missing.values(), default=float("inf"))
 
     def next_review(self) -> float:
-        """Give the time at which the whole list is to be read for entries in doubt."""
+        """Return the time at which to read the whole list for unconfirmed entries."""
         return self._review_at if self._unconfirmed else float("inf")
 
     def expire(self, now: float, after_outage: bool) -> list[HostChange]:
-        """Give up the hosts that have not come back, on an answer of the store.
+        """Remove missing hosts whose time is up; called when the store has answered.
 
-        A timer of the gateway's own would give them up while the store is away again
-        just after its return, when they can't write anew, and whole upstreams would be
-        empty until it is back. Just after that return they get their time once more.
+        A local timer would remove them even if the store goes away again just after an
+        outage, when they can't write. Whole upstreams would then be empty until the
+        store is back. Unconfirmed entries get their full time again after each outage.
         """
         if after_outage:
             self._unconfirmed = {
-                host: doubt._replace(
-                    until=max(doubt.until, now + MAX_UNCONFIRMED_SECONDS)
+                host: entry._replace(
+                    until=max(entry.until, now + MAX_UNCONFIRMED_SECONDS)
                 )
-                for host, doubt in self._unconfirmed.items()
+                for host, entry in self._unconfirmed.items()
             }
             return []
         late = [host for host, until in self._missing.items() if until <= now]
--- a/radishtally/gateway/metrics.py
+++ b/radishtally/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Count what a gateway does, for the metrics address."""
+"""Metrics of a gateway."""
 
 import time
 from typing import Final
@@ -34,12 +34,12 @@
     5.0,
     10.0,
 )
-"""Bounds in seconds; the deployments' objectives, 0.15 to 0.85 s, lie between them."""
+"""Upper bounds in seconds; they cover the deployments' objectives of 0.15 to 0.85 s."""
 ANSWERED: Final = "answered"
 FAILED: Final = "failed"
 REFUSED: Final = "refused"
 BROKEN_OFF: Final = "broken_off"
-"""Given up when its caller had a part of the answer already."""
+"""Aborted after the caller had received part of the answer."""
 CALLER_LEFT: Final = "caller_left"
 
 
@@ -131,7 +131,7 @@
             registry=self._registry,
         )
         self._started: dict[str, tuple[float, str]] = {}
-        """Time at which an open request came, and its kind."""
+        """Start time and kind of each open request."""
         self._outcomes: dict[str, str] = {}
 
     def _make_histogram(self, name: str, what: str) -> Histogram:
@@ -144,71 +144,71 @@
         )
 
     def count_notice(self, notice: Notice) -> None:
-        """Count an answer by what it says of its host."""
+        """Count an answer by the notices that it carries about its host."""
         if notice.is_leaving:
             self._notices.labels("leaving").inc()
         if notice.pause:
             self._notices.labels("pause").inc()
 
     def set_denied(self, count: int) -> None:
-        """Take how many requests are offered to no host."""
+        """Set the number of denied requests, which are offered to no host."""
         self._denied.set(count)
 
     def set_missing(self, count: int) -> None:
-        """Take how many hosts are kept that the list lacks."""
+        """Set the number of hosts that are kept although their entry is missing."""
         self._missing.set(count)
 
     def set_unreadable(self, count: int) -> None:
-        """Take how many entries of the list can't be read."""
+        """Set the number of host entries that can't be decoded."""
         self._unreadable.set(count)
 
     def count_stall(self, stall: Stall) -> None:
-        """Count a time in which the loop did not run."""
+        """Count a stall of the event loop."""
         self._stalls.inc()
         self._stalled.inc(stall.seconds)
 
     def count_restore(self) -> None:
-        """Count that the store came back from an older copy."""
+        """Count a restore of the store from an older backup."""
         self._restores.inc()
 
     def set_configuration(self, version: int) -> None:
-        """Take which configuration is in force."""
+        """Set the version of the current configuration."""
         self._configuration.set(version)
 
     def set_settings(self, mark: str) -> None:
-        """Take the mark of the settings in force."""
+        """Set the hash of the current settings."""
         self._settings.clear()
         self._settings.labels(mark).set(1)
 
     def record_opened(self, routed: RoutedRequest) -> None:
-        """Count a request that came in."""
+        """Record that a request was opened."""
         self._started[routed.work.request] = time.monotonic(), routed.work.kind
         self._open.inc()
 
     def count_offer(self, stage: str) -> None:
-        """Count an offer."""
+        """Count an offer of a request to a host."""
         self._offers.labels(stage).inc()
 
     def count_doubted_answer(self, doubt: Doubt) -> None:
-        """Count an answer that may belong to another request."""
+        """Count an answer that may belong to a different request."""
         self._doubts.labels(doubt.name.lower()).inc()
 
     def observe_first_part(self, request: str) -> None:
-        """Time the first part of an answer."""
+        """Observe the time to the first part of an answer."""
         began, kind = self._started.get(request, (None, ""))
         if began is not None:
             self._first.labels(kind).observe(time.monotonic() - began)
 
     def record_outcome(self, request: str, outcome: str) -> None:
-        """Note how a request ended."""
+        """Record the outcome of a request."""
         self._outcomes[request] = outcome
 
     def count_refusal(self, code: str, ran: str) -> None:
-        """Count an answer of the gateway's own."""
+        """Count a refusal by the gateway itself."""
         self._refusals.labels(code, ran).inc()
 
     def record_closed(self, request: str, ending: Ending) -> tuple[str, float]:
-        """Count a request that is over; give its outcome and how long it took."""
+        """Record that a request was closed; return its outcome and duration."""
         began, kind = self._started.pop(request, (time.monotonic(), ""))
         outcome = self._outcomes.pop(request, CALLER_LEFT)
         seconds = time.monotonic() - began
@@ -220,5 +220,5 @@
         return outcome, seconds
 
     def render(self) -> bytes:
-        """Give all figures in the text format."""
+        """Render all metrics in the text format."""
         return generate_latest(self._registry)
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Find the other gateways, and tell them what this one has open."""
+"""Discover the other gateways and keep links to them."""
 
 import asyncio
 import random
@@ -37,12 +37,12 @@
 from radishtally.store.core import Row, Table
 
 PEER_REMOVAL_SECONDS: Final = 600.0
-"""Time out of reach after which a gateway's row is removed: longer than any outage of a
-machine that comes back as itself is likely to last."""
+"""Time for which a gateway must be unreachable before its row is removed: longer than
+the likely outage of a machine that comes back under the same name."""
 
 
 class GatewayParts(Protocol):
-    """Be what peers need of their gateway."""
+    """Give access to the parts of a gateway that peer links act on."""
 
     runtime: Runtime
     placement: EnginePlacement
@@ -53,7 +53,7 @@
     table: Table
 
     def set_gateway_count(self, count: int) -> None:
-        """Take how many gateways there are."""
+        """Set the number of gateways."""
 
 
 class Peers:
@@ -75,10 +75,10 @@
         self._roster = Roster()
         self._unreachable_peers = UnreachablePeers()
         self._era_changed = asyncio.Event()
-        """Set while the rows of a new era have not been looked at."""
+        """Set while the rows of a new era have not been read."""
 
     async def run(self) -> None:
-        """Join the other gateways and keep up with them for good."""
+        """Join the other gateways and follow their rows until cancelled."""
         self._secret = await self._registry.read_or_create_secret()
         hello = Hello(
             self._host, self._site.data_centre, GATEWAYS_PARTITION, self._incarnation, 0
@@ -116,18 +116,18 @@
             )
 
     def enter_era(self) -> None:
-        """Look at the rows anew: what was written last may be gone from the store."""
+        """Trigger a read of the rows: the latest writes may be lost from the store."""
         self._roster.enter_era()
         self._era_changed.set()
 
     async def _wait_for_next_read(self, seconds: float) -> None:
-        """Wait until the rows are to be read again; write anew what a new era lacks."""
+        """Wait for the next read; in a new era, restore this gateway's rows first."""
         try:
             async with asyncio.timeout(seconds):
                 await self._era_changed.wait()
         except TimeoutError:
             return
-        # Cleared first: should the era rise again meanwhile, all is looked at again.
+        # Cleared first, so that another change of era meanwhile triggers a new read.
         self._era_changed.clear()
         await asyncio.sleep(random.uniform(0.0, ERA_READ_SPREAD_SECONDS))
         await self._sync_secret()
@@ -135,10 +135,11 @@
         log_message("peers:row_stands", was_lost=not stood)
 
     async def _sync_secret(self) -> None:
-        """See to it that the secret in use is the one that stands in the store.
+        """Make sure that the secret in use is the one in the store.
 
-        It may be gone from there. One that starts then draws another, and the two
-        groups would never link: neither changes the row, so all take what stands in it.
+        The secret may have been lost there. A gateway that starts then generates a new
+        one, and the two groups would never link to each other. A stored secret is never
+        changed, so all gateways adopt it.
         """
         secret = await self._registry.read_or_create_secret(self._secret)
         if secret == self._secret:
@@ -148,12 +149,12 @@
         self._hub.change_key(secret)
 
     async def stop(self) -> None:
-        """Leave the other gateways."""
+        """Close the links to the other gateways."""
         if self._hub is not None:
             await self._hub.stop()
 
     async def _sync_peers(self) -> Collection[str]:
-        """Read which gateways there are, keep up with them and give their names."""
+        """Read the gateways' rows, update the links and return the gateways' names."""
         read = await self._registry.read_rows()
         if read.is_error():
             self._roster.record_read_failure()
@@ -161,7 +162,7 @@
             return [self._host]
         rows = self._roster.update(read.ok, time.monotonic())
         if self._host not in read.ok:
-            # Another one has taken this gateway for gone, and it is back.
+            # Another gateway removed this row while this one was unreachable.
             await self._registry.write_own_row()
         self._gateway.set_gateway_count(max(1, len(rows)))
         self._update_dialled(rows)
@@ -169,7 +170,7 @@
         return rows.keys() | {self._host}
 
     def _update_dialled(self, rows: Mapping[str, Row]) -> None:
-        """Dial those that links are wanted to, and no others."""
+        """Dial the chosen gateways and drop the links to others."""
         sites = {name: read_site(row) for name, row in rows.items()}
         sites[self._host] = self._site
         self._loads.set_sites(sites)
@@ -184,16 +185,17 @@
     async def _remove_gone(
         self, rows: Mapping[str, Row], standing: Mapping[str, Row]
     ) -> None:
-        """Remove the rows that stand of gateways that are gone for good.
+        """Remove the existing rows of gateways that are permanently gone.
 
-        Machines are replaced under new names. Left alone, the rows would grow in number
-        for good: each gateway would dial more and more that never answer, and retries
-        would be shared out among the dead. One that lives, and was only out of reach,
+        Machines are replaced under new names. Without cleanup the number of rows would
+        grow without bound: each gateway would dial more and more dead peers, and the
+        retry budget would be divided among them. A gateway that was only unreachable
         writes its row again.
         """
         now = time.monotonic()
         sites = {name: read_site(row) for name, row in rows.items()}
-        # Beyond a mesh who collects has links to those of its own data centre alone.
+        # Without a mesh, a collector has links to all gateways of only its own data
+        # centre.
         if is_mesh(sites):
             watched = sorted(sites)
         else:
@@ -220,5 +222,5 @@
 
 
 def _is_always_busy(host: str) -> bool:
-    """Tell that a silent link is to be noticed soon: what it told has an end."""
+    """Return True: the load received over a link must expire soon after it fails."""
     return True
--- a/radishtally/gateway/registry.py
+++ b/radishtally/gateway/registry.py
@@ -1,4 +1,4 @@
-"""Read and write the gateways' rows, and the secret that they share."""
+"""Read and write the gateways' rows and shared secret in the store."""
 
 import asyncio
 import secrets
@@ -24,16 +24,16 @@
 from radishtally.store.settle import transact_settled
 
 GATEWAYS_PARTITION: Final = "gateways"
-"""Partition of the rows in which gateways say where they listen for each other."""
+"""Partition of the rows that hold the gateways' peer addresses."""
 PEER_SECRET_KEY: Final = Key("secrets", "peer-key")
-"""Row of the secret that gateways share; the first one draws it."""
+"""Key of the secret that gateways share; the first gateway generates it."""
 WRITE_SECONDS: Final = 2.0
 MAX_GATEWAYS: Final = 1_000
-"""Rows that are read at most: three times the gateways that are planned for."""
+"""Maximum number of rows to read: three times the number of gateways supported."""
 
 
 class GatewayRegistry:
-    """Keep a gateway's row, and read those of the others."""
+    """Maintain a gateway's own row and read those of the others."""
 
     def __init__(self, table: Table, host: str, site: Site, address: str) -> None:
         self._table = table
@@ -41,7 +41,7 @@
         self._value = {"address": address, **site._asdict()}
 
     async def read_or_create_secret(self, known: str | None = None) -> str:
-        """Read the shared secret; where none stands, write the known one or draw it."""
+        """Return the stored secret; if missing, store the known one or a new one."""
         while True:
             read = await self._table.get(PEER_SECRET_KEY)
             if read.is_ok() and read.ok is not None:
@@ -49,7 +49,7 @@
             if read.is_ok():
                 value = {"secret": known or secrets.token_hex(16)}
                 written = await self._write(Put(PEER_SECRET_KEY, value, ABSENT))
-                # Ours or another's stands now.
+                # Either this secret or another gateway's is stored now.
                 if written.is_ok() or isinstance(written.error, Conflict):
                     continue
                 await _wait_for_store(str(written.error))
@@ -57,9 +57,10 @@
             await _wait_for_store(str(read.error))
 
     async def write_own_row(self) -> bool:
-        """Write this gateway's row; tell whether it stood there from an earlier start.
+        """Write this gateway's row; return whether one existed from an earlier start.
 
-        Where it did not, engines keep nothing yet, or the others are at work and know.
+        If none existed, either the engines' caches are still empty, or other gateways
+        are running and know their contents.
         """
         while True:
             read = await self._table.get(self._key)
@@ -81,7 +82,7 @@
         return read.map(lambda rows: {row.key.sk: row for row in rows})
 
     async def remove(self, row: Row) -> None:
-        """Remove the row of a gateway that is gone."""
+        """Remove the row of a gateway that is permanently gone."""
         removed = await self._write(Delete(row.key, row.rev))
         outcome = "removed" if removed.is_ok() else str(removed.error)
         log_message("peers:gone", peer=row.key.sk, outcome=outcome)
@@ -96,13 +97,13 @@
 
 
 async def _wait_for_store(reason: str) -> None:
-    """Wait until it is worth asking the store again."""
+    """Log why the store can't be used, and wait before the next attempt."""
     log_message("peers:not_joined", reason=reason)
     await asyncio.sleep(JOIN_POLL_SECONDS)
 
 
 def read_site(row: Row) -> Site:
-    """Read where a gateway stands; the row of another release may not say that."""
+    """Return a gateway's site; rows of other releases may not contain it."""
     data_centre, cores = row.value.get("data_centre"), row.value.get("cores")
     is_valid = isinstance(data_centre, str) and isinstance(cores, int | float)
     return Site(data_centre, cores) if is_valid else Site()
--- a/radishtally/gateway/requests.py
+++ b/radishtally/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Make work of a caller's request by the route that it takes."""
+"""Route callers' requests and turn them into work for upstream hosts."""
 
 from hashlib import sha256
 from typing import Final, NamedTuple
@@ -21,15 +21,15 @@
 NAME_IN_USE: Final = Refusal(
     409, "name_in_use", "another request of this name is still open", Ran.NO
 )
-"""Answers find their caller by the name: a second one would take the first's place, who
-then waits for ever."""
+"""Answers are matched to callers by request id: a second request with the same id would
+replace the first, whose caller would then wait forever."""
 CONTENT_HASH_DIGITS: Final = 32
-"""Hex digits of the digest that are kept."""
+"""Length of the content hash in hex digits."""
 NO_ROUTE: Final = Refusal(404, "no_route", "no route leads from this path")
 
 
 class RoutedRequest(NamedTuple):
-    """Hold a request that may be opened."""
+    """Hold a request that was accepted and routed."""
 
     work: Work
     terms: Terms
@@ -38,82 +38,87 @@
 
 
 class Router:
-    """Route requests by the configuration in force."""
+    """Route requests by the current configuration."""
 
     def __init__(self) -> None:
         self.configuration: FleetConfiguration | None = None
         self._routes = RouteTable()
 
     def configure(self, configuration: FleetConfiguration) -> None:
-        """Bring a configuration into force."""
+        """Replace the current configuration."""
         self.configuration = configuration
         self._routes = RouteTable(configuration.routes)
 
     def route(
-        self, method: str, target: str, asked: CallerRequest, body: bytes
+        self, method: str, target: str, caller_request: CallerRequest, body: bytes
     ) -> Result[RoutedRequest, Refusal]:
-        """Find where a request goes, and on what terms."""
+        """Return the work, terms and timeout of a request, or why it is refused."""
         configuration = self.configuration
         if configuration is None:
             return Error(NOT_READY)
         if len(body) > configuration.limits.body_bytes:
             text = f"the body is over {configuration.limits.body_bytes} bytes"
             return Error(Refusal(413, "body_too_large", text))
-        if _count_head_bytes(target, asked) > configuration.limits.header_bytes:
+        if (
+            _count_head_bytes(target, caller_request)
+            > configuration.limits.header_bytes
+        ):
             text = f"the head is over {configuration.limits.header_bytes} bytes"
             return Error(Refusal(431, "head_too_large", text))
-        route = self._routes.find(asked.authority, asked.path)
+        route = self._routes.find(caller_request.authority, caller_request.path)
         if route is None:
             return Error(NO_ROUTE)
         is_streamed = route.kind == RouteKind.STREAM
         work = Work(
-            asked.request,
+            caller_request.request,
             "",
-            choose_upstream(route, asked.request),
+            choose_upstream(route, caller_request.request),
             STREAM if is_streamed else CALL,
             body,
-            asked.model,
+            caller_request.model,
             method=method,
             path=target,
-            headers=asked.headers,
+            headers=caller_request.headers,
             idempotent=route.is_idempotent,
             priority=route.priority,
-            prompt_tokens=asked.prompt_tokens,
-            max_tokens=asked.max_tokens,
-            prefix=hash_shared_parts(asked),
+            prompt_tokens=caller_request.prompt_tokens,
+            max_tokens=caller_request.max_tokens,
+            prefix=hash_shared_parts(caller_request),
         )
         terms = Terms(
             route.max_attempts,
             route.objective,
             route.priority,
-            asked.output_tokens or asked.max_tokens,
-            asked.parts,
-            asked.resumed_after if route.is_idempotent else 0,
-            hash_content(method, asked.authority, target, body),
+            caller_request.output_tokens or caller_request.max_tokens,
+            caller_request.parts,
+            caller_request.resumed_after if route.is_idempotent else 0,
+            hash_content(method, caller_request.authority, target, body),
         )
-        timeout = min(route.timeout, asked.timeout or route.timeout)
+        timeout = min(route.timeout, caller_request.timeout or route.timeout)
         return Ok(RoutedRequest(work, terms, timeout, is_streamed))
 
 
 def hash_content(method: str, authority: str, target: str, body: bytes) -> str:
-    """Digest what a request asks, whoever sends it and under whatever name.
+    """Return a digest of a request's content, independent of its caller and its id.
 
-    Not a fast hash: with one that collides at will a caller could get the requests of
-    others taken for its own.
+    A cryptographic hash is required: with a hash for which collisions can be
+    constructed, a caller could have other callers' requests mistaken for its own.
     """
     text = "\0".join((method, authority, target))
-    # Bytes of a path that are no text come as lone surrogates.
+    # Path bytes that are not valid UTF-8 are decoded as lone surrogates.
     head = text.encode(errors="surrogateescape")
     digest = sha256(len(head).to_bytes(4) + head)
     digest.update(body)
     return digest.hexdigest()[:CONTENT_HASH_DIGITS]
 
 
-def hash_shared_parts(asked: CallerRequest) -> int:
-    """Hash the parts of a prompt that other requests share: all but the last."""
-    names = "\0".join(part.name for part in asked.parts[:-1])
-    return xxh3_64_intdigest(f"{asked.model}\0{names}".encode())
+def hash_shared_parts(caller_request: CallerRequest) -> int:
+    """Hash the prompt parts that requests may share: all but the last."""
+    names = "\0".join(part.name for part in caller_request.parts[:-1])
+    return xxh3_64_intdigest(f"{caller_request.model}\0{names}".encode())
 
 
-def _count_head_bytes(target: str, asked: CallerRequest) -> int:
-    return len(target) + sum(len(name) + len(value) for name, value in asked.headers)
+def _count_head_bytes(target: str, caller_request: CallerRequest) -> int:
+    return len(target) + sum(
+        len(name) + len(value) for name, value in caller_request.headers
+    )
--- a/radishtally/gateway/roster.py
+++ b/radishtally/gateway/roster.py
@@ -1,4 +1,4 @@
-"""Know which gateways there are, also while a restored store lacks some of them."""
+"""Track the known gateways, including those that a restored store lacks for a while."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -7,35 +7,36 @@
 
 ERA_SETTLE_SECONDS: Final = 30.0
 """Time for which the store must have answered in a new era before a gateway that it
-doesn't list is taken for gone. All see the era at their next read, 10 s later at most,
-look at it within 2 s and write within 2 s more: twice that, for calls turned away."""
+does not list is dropped. Each gateway detects the era with its next read, at most 10 s
+later, reads the rows within 2 s and writes its own within another 2 s. The time is
+twice that, to allow for rejected calls."""
 
 
 class Roster:
-    """Hold the rows of the gateways that there are."""
+    """Hold the rows of all known gateways."""
 
     def __init__(self) -> None:
         self._rows: Mapping[str, Row] = {}
         self._is_settled = True
         self._answered_since: float | None = None
-        """Since when the store has answered in an era that is not settled."""
+        """Time since which the store has answered in an era that is not settled."""
 
     @property
     def is_read_pending(self) -> bool:
-        """Tell whether the rows of a new era are still to be read."""
+        """Return whether the rows of a new era have not been read yet."""
         return not self._is_settled and self._answered_since is None
 
     def enter_era(self) -> None:
-        """Keep the gateways that are known until each may have written again."""
+        """Keep the known gateways until each has had time to write its row again."""
         self._is_settled = False
         self._answered_since = None
 
     def record_read_failure(self) -> None:
-        """Take that the store did not answer: the others can't have written either."""
+        """Record a failed read; the other gateways could not write meanwhile either."""
         self._answered_since = None
 
     def update(self, read: Mapping[str, Row], now: float) -> Mapping[str, Row]:
-        """Take the rows that the store has; give those of all gateways there are."""
+        """Apply the stored rows; return the rows of all known gateways."""
         if self._answered_since is None:
             self._answered_since = now
         if now - self._answered_since >= ERA_SETTLE_SECONDS:
--- a/radishtally/gateway/starts.py
+++ b/radishtally/gateway/starts.py
@@ -1,19 +1,20 @@
-"""Tell the starts of a host apart, whatever shows them first."""
+"""Distinguish the successive starts of a host, whichever source reports them first."""
 
 from collections import OrderedDict
 from enum import StrEnum
 from typing import Final, NamedTuple
 
 MAX_ENDED_STARTS: Final = 8
-"""Ended starts of a host that are remembered. What still shows one of them is seconds
-old, as a heartbeat or a report on its way; a host does not start so often meanwhile."""
+"""Number of ended starts to remember per host. A heartbeat or report in transit that
+still shows one of them is only seconds old, and a host does not restart more often in
+that time."""
 MAX_HOSTS: Final = 10_000
-"""Hosts whose starts are remembered, those seen last: seven times the hosts that are
-planned for, so that all on the list are among them."""
+"""Maximum number of hosts whose starts are remembered, most recently seen ones: seven
+times the number of hosts supported, so that all listed hosts are included."""
 
 
 class StartSource(StrEnum):
-    """Name what shows a start."""
+    """Name the source that reported a start."""
 
     LISTED = "list"
     REPORTED = "report"
@@ -21,17 +22,17 @@
 
 
 class HostRestarted(NamedTuple):
-    """Say that a host has started again, and knows nothing of before."""
+    """Event: a host has restarted and lost its state."""
 
     host: str
     before: int
-    """Start that has ended, in Unix milliseconds of the host's clock."""
+    """Start time of the ended start, in Unix milliseconds of the host's clock."""
     after: int
     source: StartSource
 
 
 class _StartHistory(NamedTuple):
-    """Hold the starts of one host."""
+    """Hold the current and the ended starts of one host."""
 
     present: int
     ended: tuple[int, ...] = ()
@@ -39,38 +40,40 @@
 
 
 class HostStarts:
-    """Know the present start of each host, and those that have ended.
-
-    Sources differ in age: the list shows a new start with its next heartbeat only, and
-    a report may come late. Taken by its time, an old entry would undo what a report has
-    shown; and a host's clock may step back between two starts. So a start that has
-    ended never becomes the present one again, and any other one does at once.
+    """Track the current start of each host and its ended starts.
+
+    Sources differ in staleness: the list shows a new start only with the next
+    heartbeat, and a report may arrive late. Starts can't be ordered by the time at
+    which they are seen, since an old entry would then undo a newer report, nor by their
+    start time, since a host's clock may be set back between two starts. Instead, a
+    start that has ended never becomes the current one again, and any other start
+    becomes current immediately.
     """
 
     def __init__(self) -> None:
         self._hosts: OrderedDict[str, _StartHistory] = OrderedDict()
 
     def get(self, host: str) -> int:
-        """Give a host's present start; 0 if the host never told one."""
+        """Return a host's current start; 0 if the host never reported one."""
         known = self._hosts.get(host)
         return 0 if known is None else known.present
 
     def name_incarnation(self, host: str) -> str:
-        """Name a host's present start; the first one and one never told are alike."""
+        """Return a name for a host's current start, or for its first if unreported."""
         known = self._hosts.get(host)
         return f"{host}.{0 if known is None else known.restarts}"
 
     def is_ended(self, host: str, started_ms: int) -> bool:
-        """Tell whether a start is known to have ended; one never told is not."""
+        """Return whether a start is known to have ended; False if unreported."""
         known = self._hosts.get(host)
         return known is not None and started_ms in known.ended
 
     def record(
         self, host: str, started_ms: int, source: StartSource
     ) -> HostRestarted | None:
-        """Take a start that has not ended; give the restart that it shows.
+        """Record a start unless it has ended; return the restart that it implies.
 
-        A host that tells its start for the first time has not started again for that.
+        The first start that a host reports is not a restart.
         """
         if not started_ms or self.is_ended(host, started_ms):
             return None
--- a/radishtally/gateway/topology.py
+++ b/radishtally/gateway/topology.py
@@ -1,4 +1,4 @@
-"""Decide which gateways keep links, and who collects what all have open."""
+"""Choose which gateways keep links to each other, and which ones act as collectors."""
 
 from collections.abc import Collection, Iterable, Mapping
 from typing import Final, NamedTuple
@@ -6,72 +6,78 @@
 from radishtally.routing.core import rank
 
 MAX_MESH_GATEWAYS: Final = 12
-"""Gateways up to which each tells each other one: the freshest way. Its cost grows with
-their square: measured, telling three others took 0.05 of a core and thirty 0.07 more
-than hearing one that collects; where between the two it stops to pay is assumed."""
+"""Maximum number of gateways that form a full mesh, which keeps staleness lowest. Its
+cost grows with the square of their number: sending to three others took 0.05 of a core,
+and sending to thirty took 0.07 more than receiving from a collector. The limit is an
+estimate between these two sizes."""
 COLLECTOR_CANDIDATES: Final = 2
-"""Gateways of a data centre that its other ones have links to beyond that: one
-collects, and one is ready to take over at once."""
+"""Number of gateways of a data centre to which all others of it have links, if there
+are too many for a mesh: the collector, and one standby that takes over at once."""
 COLLECTOR_ORDER_SEED: Final = 0
-"""Makes an order of the gateways that all agree on."""
+"""Fixed seed, so that all gateways rank each other in the same order."""
 
 
 class Site(NamedTuple):
-    """Say where a gateway stands, and how much it can do there."""
+    """Describe a gateway's data centre and processing capacity."""
 
     data_centre: str = ""
     cores: float = 0.0
-    """Processor cores: who collects takes a third of one, and may serve callers badly
-    on a machine that has little more."""
+    """Processor cores. A collector uses a third of a core, and may serve callers badly
+    on a machine that has little more than that."""
 
 
 Sites = Mapping[str, Site]
 
 
 def is_mesh(sites: Collection[str]) -> bool:
-    """Tell whether each gateway tells each other one."""
+    """Return whether all gateways send to each other directly."""
     return len(sites) <= MAX_MESH_GATEWAYS
 
 
-def choose_dialled(sites: Sites, own: str, silent: Collection[str]) -> list[str]:
-    """Choose the gateways to dial, given those that did not answer so far.
+def choose_dialled(
+    sites: Sites, own_name: str, unresponsive: Collection[str]
+) -> list[str]:
+    """Choose the gateways to dial, given those that have not responded so far.
 
-    Whatever two gateways choose, at most one of them dials the other.
+    Of any two gateways, at most one dials the other.
     """
     if is_mesh(sites):
-        return sorted(name for name in sites if name > own)
-    order = list_gateways_in(sites, sites[own].data_centre)
-    before = order[: order.index(own)]
-    chosen = _select_reachable(before, silent)
-    if len([name for name in chosen if name not in silent]) == COLLECTOR_CANDIDATES:
+        return sorted(name for name in sites if name > own_name)
+    order = list_gateways_in(sites, sites[own_name].data_centre)
+    before = order[: order.index(own_name)]
+    chosen = _select_reachable(before, unresponsive)
+    if (
+        len([name for name in chosen if name not in unresponsive])
+        == COLLECTOR_CANDIDATES
+    ):
         return chosen
-    # This one collects, or may have to: it reaches those of the other data centres.
+    # A collector or its standby needs links to the candidates of other data centres.
     for data_centre in list_data_centres(sites):
-        if data_centre > sites[own].data_centre:
+        if data_centre > sites[own_name].data_centre:
             others = list_gateways_in(sites, data_centre)
-            chosen += _select_reachable(others, silent)
+            chosen += _select_reachable(others, unresponsive)
     return chosen
 
 
-def _select_reachable(order: Iterable[str], silent: Collection[str]) -> list[str]:
-    """Take from the front until enough are among them that answer."""
+def _select_reachable(order: Iterable[str], unresponsive: Collection[str]) -> list[str]:
+    """Take gateways in order until enough of them are responsive."""
     chosen = []
     answering = 0
     for name in order:
         if answering == COLLECTOR_CANDIDATES:
             break
         chosen.append(name)
-        answering += name not in silent
+        answering += name not in unresponsive
     return chosen
 
 
 def list_data_centres(sites: Sites) -> list[str]:
-    """List the data centres that gateways stand in."""
+    """List the data centres of the gateways."""
     return sorted({site.data_centre for site in sites.values()})
 
 
 def list_gateways_in(sites: Sites, data_centre: str) -> list[str]:
-    """List a data centre's gateways in an order that all agree on, large ones first."""
+    """List a data centre's gateways, most cores first, in the same order everywhere."""
     names = [name for name, site in sites.items() if site.data_centre == data_centre]
     return sorted(
         rank(names, COLLECTOR_ORDER_SEED), key=lambda name: -sites[name].cores
@@ -79,54 +85,56 @@
 
 
 def find_first_reachable(
-    order: Iterable[str], own: str, linked: Collection[str]
+    order: Iterable[str], own_name: str, linked: Collection[str]
 ) -> str | None:
-    """Find the first of some gateways that is this one or in reach."""
-    return next((name for name in order if name == own or name in linked), None)
+    """Return the first of these gateways that is this one or has a link to it."""
+    return next((name for name in order if name == own_name or name in linked), None)
 
 
-def is_collector_candidate(sites: Sites, own: str, linked: Collection[str]) -> bool:
-    """Tell whether a gateway collects, or takes over at once from who does."""
+def is_collector_candidate(
+    sites: Sites, own_name: str, linked: Collection[str]
+) -> bool:
+    """Return whether a gateway is a collector or a standby for one."""
     if is_mesh(sites):
         return True
-    order = list_gateways_in(sites, sites[own].data_centre)
-    before = order[: order.index(own)]
+    order = list_gateways_in(sites, sites[own_name].data_centre)
+    before = order[: order.index(own_name)]
     return sum(name in linked for name in before) < COLLECTOR_CANDIDATES
 
 
 class ExchangeGroup(NamedTuple):
-    """Hold whom a gateway tells and believes, and what it tells them of others."""
+    """Hold the peers that a gateway exchanges loads with, by what it sends to them."""
 
     collector: str | None = None
-    """Who collects in its data centre; none in a mesh."""
+    """Collector of its data centre; None in a mesh."""
     members: tuple[str, ...] = ()
-    """Told what all others have open; where this one collects nothing, its own alone
-    is told."""
+    """Peers that are sent the loads of all other gateways if this one is the collector,
+    and otherwise only its own load."""
     collectors: tuple[str, ...] = ()
-    """Those of the other data centres: told what its own data centre has open."""
+    """Collectors of the other data centres; they are sent the loads of this one."""
 
     @property
     def recipients(self) -> tuple[str, ...]:
-        """Give all that are told and believed."""
+        """Return all peers that messages are sent to and accepted from."""
         return self.members + self.collectors
 
 
 def find_exchange_group(
-    sites: Sites, own: str, linked: Collection[str]
+    sites: Sites, own_name: str, linked: Collection[str]
 ) -> ExchangeGroup:
-    """Find whom a gateway tells and believes, given those that it has links to."""
+    """Return the peers that a gateway exchanges loads with, given its open links."""
     if is_mesh(sites):
         return ExchangeGroup(None, tuple(linked))
-    ours = list_gateways_in(sites, sites[own].data_centre)
-    collector = find_first_reachable(ours, own, linked)
-    if collector != own:
+    names = list_gateways_in(sites, sites[own_name].data_centre)
+    collector = find_first_reachable(names, own_name, linked)
+    if collector != own_name:
         return ExchangeGroup(collector, (collector,))
     firsts = [
-        find_first_reachable(list_gateways_in(sites, data_centre), own, linked)
+        find_first_reachable(list_gateways_in(sites, data_centre), own_name, linked)
         for data_centre in list_data_centres(sites)
-        if data_centre != sites[own].data_centre
+        if data_centre != sites[own_name].data_centre
     ]
-    members = tuple(name for name in ours if name in linked)
+    members = tuple(name for name in names if name in linked)
     return ExchangeGroup(
-        own, members, tuple(name for name in firsts if name is not None)
+        own_name, members, tuple(name for name in firsts if name is not None)
     )
--- a/radishtally/gateway/unreachable.py
+++ b/radishtally/gateway/unreachable.py
@@ -1,10 +1,10 @@
-"""Know for how long gateways have been out of reach."""
+"""Track for how long other gateways have been unreachable."""
 
 from collections.abc import Collection
 
 
 class UnreachablePeers:
-    """Follow which of the listed gateways no link is up to."""
+    """Track the listed gateways that have no open link."""
 
     def __init__(self) -> None:
         self._unreachable_since: dict[str, float] = {}
@@ -12,14 +12,14 @@
     def update(
         self, names: Collection[str], linked: Collection[str], now: float
     ) -> None:
-        """Take which gateways are listed, and to which of them links are up."""
+        """Update from the listed gateways and those that have an open link."""
         absent = set(names) - set(linked)
         self._unreachable_since = {
             name: self._unreachable_since.get(name, now) for name in absent
         }
 
     def list_unreachable_for(self, seconds: float, now: float) -> list[str]:
-        """List those that have been out of reach for longer."""
+        """List the gateways that have been unreachable for longer than this."""
         return [
             name
             for name, since in self._unreachable_since.items()
--- a/radishtally/routes/__init__.py
+++ b/radishtally/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: which request goes to which upstream, and on what terms."""
+"""Routes: map requests to upstreams, with timeouts, priorities and retry limits."""
--- a/radishtally/routes/config.py
+++ b/radishtally/routes/config.py
@@ -1,4 +1,4 @@
-"""Describe a fleet whose routes and upstreams an outside operator configures."""
+"""Configuration of a fleet whose routes and upstreams an outside operator manages."""
 
 from typing import NamedTuple
 
@@ -9,9 +9,9 @@
     """Describe the model engines of an upstream."""
 
     kv_tokens: int
-    """Tokens that fit into one engine's memory."""
+    """Capacity of one engine's KV cache in tokens."""
     role_seconds: float = 3.0
-    """Time that an engine is away for when it changes its role."""
+    """Time for which an engine is unavailable while it changes its role."""
 
 
 class UpstreamTerms(NamedTuple):
@@ -19,20 +19,20 @@
 
     name: str
     engine: EngineTerms | None
-    """None for a plain service."""
+    """None for a service without model engines."""
 
 
 class CallerLimits(NamedTuple):
-    """Bound what a caller may send, and how long it may be idle."""
+    """Limit the size of callers' requests and the idle time of their connections."""
 
     header_bytes: int
     body_bytes: int
     idle_seconds: float
-    """Time after which a connection without a request is closed."""
+    """Time after which a connection without an open request is closed."""
 
 
 class FleetConfiguration(NamedTuple):
-    """Hold one version of the configuration."""
+    """Hold one version of the fleet's configuration."""
 
     version: int
     routes: tuple[Route, ...]
--- a/radishtally/routes/core.py
+++ b/radishtally/routes/core.py
@@ -1,4 +1,4 @@
-"""Find the route of a request and the upstream that its traffic split gives."""
+"""Match requests to routes and choose upstreams by weighted traffic splits."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -7,20 +7,20 @@
 from xxhash import xxh3_64_intdigest
 
 SPLIT_RANGE: Final = 1 << 64
-"""Number of different 64-bit hashes: a hash over it is a share from 0 to 1."""
+"""Number of distinct 64-bit hashes; a hash divided by it is a fraction below 1."""
 
 
 class RouteKind(StrEnum):
-    """Say what of a request may be repeated."""
+    """Classify requests by whether they may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
     STREAM = "stream"
-    """Answered by a series of events; may be repeated only where it can be resumed."""
+    """Answered by a stream of events; may be retried only if it can be resumed."""
 
 
 class Split(NamedTuple):
-    """Give an upstream a share of a route's requests."""
+    """Assign a weighted share of a route's requests to an upstream."""
 
     upstream: str
     weight: float
@@ -33,29 +33,29 @@
     authority: str
     """Host header of its requests, in lower case and without a port."""
     prefix: str
-    """Beginning of the path; starts and ends with a slash."""
+    """Path prefix; starts and ends with a slash."""
     kind: RouteKind
     splits: tuple[Split, ...]
     timeout: float
-    """Longest time to the end of the answer, seconds."""
+    """Maximum time in seconds until the end of the answer."""
     objective: float
-    """Time to the first part of an answer that is on time, seconds."""
+    """Latency objective in seconds for the first part of the answer."""
     priority: int
-    """Lower goes first."""
+    """Requests with lower values go first."""
     max_attempts: int
-    """Upstream hosts that may run one request."""
+    """Maximum number of upstream hosts that may run one request."""
     is_resumable: bool
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether a request that may have run may run again."""
+        """Return whether a request that may have run can be run again."""
         if self.kind == RouteKind.STREAM:
             return self.is_resumable
         return self.kind == RouteKind.SAFE
 
 
 class RouteTable:
-    """Look up routes by authority and longest prefix of the path."""
+    """Look up routes by authority and longest path prefix."""
 
     def __init__(self, routes: Iterable[Route] = ()) -> None:
         self._authorities: dict[str, dict[str, Route]] = {}
@@ -63,11 +63,11 @@
             self._authorities.setdefault(route.authority, {})[route.prefix] = route
 
     def find(self, authority: str, path: str) -> Route | None:
-        """Find the route of a request; none if no prefix begins its path."""
+        """Return the route with the longest matching prefix, or None."""
         prefixes = self._authorities.get(normalize_authority(authority))
         if prefixes is None:
             return None
-        # Every prefix ends with a slash, so only the path's own slashes are tried.
+        # Every prefix ends with a slash, so only the path up to each slash is tried.
         end = path.rfind("/")
         while end >= 0:
             route = prefixes.get(path[: end + 1])
@@ -78,16 +78,16 @@
 
 
 def normalize_authority(authority: str) -> str:
-    """Give a Host header in the form in which routes name it."""
+    """Normalize a Host header to the form used in routes: lower case, no port."""
     name, _, port = authority.strip().lower().rpartition(":")
     return name if name and port.isdigit() else authority.strip().lower()
 
 
 def choose_upstream(route: Route, request: str) -> str:
-    """Choose the upstream of a request by its route's split.
+    """Choose the upstream of a request by its route's traffic split.
 
-    The choice hangs on the request's name alone, so a request that is offered again
-    stays with its upstream.
+    The choice depends only on the request's id, so a retried request stays with its
+    upstream.
     """
     total = sum(split.weight for split in route.splits)
     point = xxh3_64_intdigest(request.encode()) / SPLIT_RANGE * total
