--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -6,7 +6,7 @@
 from statistics import mean
 from typing import Final
 
-from radishtally.direct.core import Instance, KeptPart, is_same_start
+from radishtally.direct.core import CachedPart, Instance, is_same_start
 from radishtally.engines.cache import PromptCache, hash_kept
 from radishtally.engines.choice import (
     Field,
@@ -15,12 +15,12 @@
     place_prompt,
 )
 from radishtally.engines.core import Observer
-from radishtally.engines.news import UnseenWork
 from radishtally.engines.order import ReadingOrder
 from radishtally.engines.prospects import count_uncached
+from radishtally.engines.staleness import UnseenRequests
 from radishtally.engines.state import (
     CACHE_SHARE,
-    START_RATE,
+    INITIAL_PREFILL_RATE,
     EngineState,
     PeerShare,
     mark_start,
@@ -58,7 +58,7 @@
         self._clock = clock
         self._random = random or Random()
         self.observer = Observer()
-        self.unseen = UnseenWork()
+        self.unseen_requests = UnseenRequests()
         self._engines: dict[str, EngineState] = {}
         self._changed: set[str] = set()
         self._early: dict[str, dict[str, EngineShare]] = {}
@@ -106,7 +106,7 @@
         for peer, share in self._early.pop(instance.host, {}).items():
             self._take_share(peer, share, self._clock())
 
-    def restart(self, host: str) -> None:
+    def reset_engine(self, host: str) -> None:
         """Forget the earlier start of an engine; what it is now is told next."""
         self._engines.pop(host, None)
 
@@ -122,7 +122,7 @@
         for shares in self._early.values():
             shares.pop(peer, None)
 
-    def take_backlog(self, peer: str, backlog: Backlog, now: float) -> None:
+    def record_backlog(self, peer: str, backlog: Backlog, now: float) -> None:
         """Take what another entry has open."""
         for share in backlog.shares:
             self._take_share(peer, share, now)
@@ -159,7 +159,7 @@
         ]
         return Backlog(tuple(shares))
 
-    def take_parts(self, told: PartsRead) -> None:
+    def record_parts(self, told: PartsRead) -> None:
         """Take which parts another entry has given to an engine."""
         engine = self._engines.get(told.host)
         if engine is None or not is_same_start(told.start, engine.start):
@@ -167,7 +167,7 @@
             return
         engine.cache.take(told.parts)
 
-    def recall(self, host: str, kept: Iterable[KeptPart]) -> int:
+    def record_kept_parts(self, host: str, kept: Iterable[CachedPart]) -> int:
         """Take which parts an engine says that it keeps; give how many they are."""
         engine = self._engines.get(host)
         if engine is None:
@@ -177,7 +177,7 @@
         self._read.append(PartsRead(host, engine.start, parts))
         return len(parts)
 
-    def take_read(self) -> list[PartsRead]:
+    def pop_parts_read(self) -> list[PartsRead]:
         """Take what this entry has given to engines since the last call."""
         read, self._read = self._read, []
         return read
@@ -190,7 +190,7 @@
             if (parts := engine.cache.list_shared())
         ]
 
-    def take_changed(self) -> set[str]:
+    def pop_changed_hosts(self) -> set[str]:
         """Take the engines at which something began or ended since the last call."""
         changed, self._changed = self._changed, set()
         return changed
@@ -198,7 +198,7 @@
     def measure_rate(self, host: str) -> float:
         """Give the prompt tokens that an engine reads in a second."""
         engine = self._engines.get(host)
-        return START_RATE if engine is None else engine.rate
+        return INITIAL_PREFILL_RATE if engine is None else engine.rate
 
     def place(
         self, request: OpenRequest, hosts: Sequence[KnownHost], place: str, now: float
@@ -229,7 +229,7 @@
     def _make_field(
         self, place: str, engines: Sequence[EngineState], now: float
     ) -> Field:
-        few = self.unseen.count_candidates(len(engines), now)
+        few = self.unseen_requests.count_candidates(len(engines), now)
         return Field(place, few, self._random)
 
     def _follow_outage(self, upstream: str, is_answered: bool, now: float) -> float:
@@ -267,23 +267,25 @@
             self._read.append(PartsRead(engine.host, engine.start, tuple(new)))
         if request.kv is not None:
             return
-        self.unseen.note(now)
-        engine.begin_reading(name, tokens, request.terms.priority, now)
+        self.unseen_requests.note(now)
+        engine.begin_prefill(name, tokens, request.terms.priority, now)
         # Both at once, as it comes: counted when they end, answers that engines are
         # too slow for would not count, and still fewer engines would be left to them.
         expected = request.terms.output_tokens
-        self.observer.note_request(work.upstream, tokens, expected, now)
+        self.observer.record_request(work.upstream, tokens, expected, now)
 
-    def note_answer(self, request: OpenRequest, host: KnownHost, now: float) -> None:
+    def record_progress(
+        self, request: OpenRequest, host: KnownHost, now: float
+    ) -> None:
         """Note that a part of an answer has come: its prompt is read."""
         engine = self._engines.get(host.host)
         if engine is None:
             return
         self._time_events(engine, request, now)
-        if request.work.request not in engine.readings:
+        if request.work.request not in engine.prefills:
             return
         self._changed.add(host.host)
-        engine.end_reading(request.work.request, now, False)
+        engine.end_prefill(request.work.request, now, False)
 
     def _time_events(
         self, engine: EngineState, request: OpenRequest, now: float
@@ -296,7 +298,7 @@
             return
         at, events = last
         answers = engine.count_answers()
-        self.observer.note_pace(
+        self.observer.record_pace(
             engine.upstream, answers, request.tokens - events, now - at
         )
 
@@ -305,7 +307,7 @@
         if host.host not in self._engines:
             return
         terms = request.terms
-        self.observer.note_answered(
+        self.observer.record_answer(
             host.upstream,
             request.tokens,
             terms.output_tokens,
@@ -322,7 +324,7 @@
         self._changed.add(host.host)
         name, now = request.work.request, self._clock()
         engine.answers.discard(name)
-        engine.end_reading(name, now, request.kv is not None)
+        engine.end_prefill(name, now, request.kv is not None)
 
     def _find_rate(self, upstream: str) -> float:
         """Find the rate of a new engine: what those beside it were seen to read."""
@@ -331,7 +333,7 @@
             for engine in self._engines.values()
             if engine.upstream == upstream and engine.timed_tokens
         ]
-        return mean(rates) if rates else START_RATE
+        return mean(rates) if rates else INITIAL_PREFILL_RATE
 
     def _find_cache_size(self, upstream: str) -> int:
         """Find how many tokens of prompts an engine of an upstream keeps."""
--- a/radishtally/gateway/cache_discovery.py
+++ b/radishtally/gateway/cache_discovery.py
@@ -7,7 +7,7 @@
 from eliot import log_message
 from xxhash import xxh3_64_intdigest
 
-from radishtally.direct.core import Instance, KeptPart
+from radishtally.direct.core import CachedPart, Instance
 from radishtally.engines.placement import EnginePlacement
 from radishtally.outcome import Result
 from radishtally.routing.core import rank
@@ -22,7 +22,9 @@
 class CacheReader(Protocol):
     """Read the cache contents of engines."""
 
-    async def read_kept(self, instance: Instance) -> Result[list[KeptPart], str]:
+    async def read_cached_parts(
+        self, instance: Instance
+    ) -> Result[list[CachedPart], str]:
         """Query which prompt parts an engine holds in its cache."""
 
 
@@ -64,9 +66,9 @@
         return rank(names, key)[0] == self._own_name
 
     async def _read_engine(self, instance: Instance) -> None:
-        kept = await self._engines.read_kept(instance)
+        kept = await self._engines.read_cached_parts(instance)
         if kept.is_error():
             log_message("recall:engine_unread", engine=instance.host, reason=kept.error)
             return
-        count = self._placement.recall(instance.host, kept.ok)
+        count = self._placement.record_kept_parts(instance.host, kept.ok)
         log_message("recall:engine_read", engine=instance.host, parts=count)
--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -20,8 +20,8 @@
 from radishtally.gateway.starts import HostRestarted
 from radishtally.links.messages import Cancel, Hello
 from radishtally.serving import events
-from radishtally.serving.state import EntryCore
-from radishtally.stages.keeper import StageKeeper
+from radishtally.serving.state import DispatchCore
+from radishtally.stages.role_controller import RoleController
 
 
 class ChangeTargets(Protocol):
@@ -30,8 +30,8 @@
     members: Members
     hosts: DirectHosts
     placement: EnginePlacement
-    core: EntryCore
-    stages: StageKeeper
+    core: DispatchCore
+    stages: RoleController
 
     def handle(self, event: events.Event) -> None:
         """Handle an event and execute the resulting commands."""
@@ -60,7 +60,7 @@
     targets.placement.set_instance(instance)
     live = not instance.is_draining
     targets.core.set_host(host, instance.data_centre, instance.upstream, live)
-    targets.core.hosts[host].tells_start = instance.started_ms > 0
+    targets.core.hosts[host].reports_start = instance.started_ms > 0
     if host not in targets.core.links:
         _start_dispatch(instance, targets)
 
@@ -90,8 +90,8 @@
         after=change.after,
         source=change.source.value,
     )
-    targets.placement.restart(host)
-    targets.stages.forget(host)
+    targets.placement.reset_engine(host)
+    targets.stages.reset_engine(host)
     targets.core.restart_host(host)
     targets.core.links.pop(host, None)
 
--- a/radishtally/gateway/commands.py
+++ b/radishtally/gateway/commands.py
@@ -16,15 +16,15 @@
 from radishtally.links.messages import Cancel, Offer
 from radishtally.outcome import Refusal
 from radishtally.serving import events
-from radishtally.serving.const import FIRST_FAILURE
+from radishtally.serving.const import MIN_FAILURE_STATUS
 from radishtally.serving.replies import Replies
-from radishtally.serving.state import EntryCore
+from radishtally.serving.state import DispatchCore
 
 
 class CommandTargets(Protocol):
     """Give access to the parts of a gateway that commands act on."""
 
-    core: EntryCore
+    core: DispatchCore
     hosts: DirectHosts
     metrics: GatewayMetrics
     replies: Replies
@@ -68,7 +68,7 @@
 
 @execute_command.register
 def _(command: events.Finish, targets: CommandTargets) -> None:
-    is_good = command.end.status < FIRST_FAILURE
+    is_good = command.end.status < MIN_FAILURE_STATUS
     targets.metrics.record_outcome(command.request, ANSWERED if is_good else FAILED)
     targets.replies.put(command)
 
@@ -80,7 +80,7 @@
 
 
 @execute_command.register
-def _(command: events.Break, targets: CommandTargets) -> None:
+def _(command: events.AbortAnswer, targets: CommandTargets) -> None:
     targets.record_refusal(command.request, command.refusal)
     targets.metrics.record_outcome(command.request, BROKEN_OFF)
     targets.replies.put(command)
@@ -94,5 +94,5 @@
 
 
 @execute_command.register
-def _(command: events.Note, targets: CommandTargets) -> None:
+def _(command: events.RecordStep, targets: CommandTargets) -> None:
     log_message("request:step", request=command.request, text=command.text)
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -9,7 +9,7 @@
 import msgspec
 from eliot import log_message
 
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.direct.core import Dialect, EngineReport, Instance, Notice
 from radishtally.direct.hosts import DirectHosts
 from radishtally.engines.placement import EnginePlacement
@@ -46,9 +46,9 @@
 from radishtally.routes.config import CallerLimits, FleetConfiguration
 from radishtally.runtime import Runtime, Waker, read_boot_clock
 from radishtally.serving import events
-from radishtally.serving.core import EntryCore, handle_event
+from radishtally.serving.core import DispatchCore, handle_event
 from radishtally.serving.replies import Replies, Reply
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.role_controller import RoleController
 from radishtally.store.core import Table
 from radishtally.store.ids import WriteIds
 
@@ -77,7 +77,7 @@
         self.runtime.describe_beliefs = self._describe_state
         self._gateway_count: int | None = None
         """Number of gateways that share the retry budget; None until listed."""
-        self.core = EntryCore(
+        self.core = DispatchCore(
             settings.host,
             settings.data_centre,
             random.Random(),
@@ -88,17 +88,17 @@
             ),
             # A host without an agent sends nothing before its answer begins, which may
             # take as long as its queue: only the deadline limits the wait.
-            offer_seconds=float("inf"),
-            refusals_cost=True,
-            prompts_run=False,
+            offer_timeout=float("inf"),
+            refusals_cost_retries=True,
+            prefill_counts_as_run=False,
         )
         self.hosts = DirectHosts(host_dialect, self.runtime.guard_call(self._receive))
-        self.hosts.answers.on_doubt = self.metrics.count_doubted_answer
+        self.hosts.answers.on_mismatch = self.metrics.count_doubted_answer
         self.hosts.answers.on_notice = self.runtime.guard_call(self.handle_notice)
         self.frontend = HttpFrontend(self, caller_dialect)
         self._stopping_since: float | None = None
         self.lease = make_lease(self)
-        self.stages = StageKeeper(
+        self.stages = RoleController(
             settings.host,
             self.hosts,
             self.list_served_hosts,
@@ -175,7 +175,7 @@
         await asyncio.sleep(LEAVE_POLL_SECONDS)
         while await self.frontend.close_idle() and time.monotonic() < until:
             await asyncio.sleep(LEAVE_POLL_SECONDS)
-        self.handle(events.Leave())
+        self.handle(events.Shutdown())
         await asyncio.sleep(LEAVE_POLL_SECONDS)
 
     async def _stop_parts(self, *more: asyncio.Task) -> None:
@@ -209,7 +209,7 @@
     def set_gateway_count(self, count: int) -> None:
         """Set how many gateways share the retry budget and the reads of the lease."""
         self._gateway_count = count
-        self.lease.share_reads(count)
+        self.lease.set_contender_count(count)
         self._update_retry_budget()
 
     def find_gather_seconds(self) -> float:
@@ -409,9 +409,9 @@
         self.handle(events.Received(host, message))
 
 
-def make_lease(gateway: Gateway) -> LeaseHolder:
+def make_lease(gateway: Gateway) -> LeaseDriver:
     """Create the lease whose holder assigns roles to engines."""
-    return LeaseHolder(
+    return LeaseDriver(
         gateway.table,
         STAGES_LEASE,
         gateway.settings.host,
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -7,8 +7,8 @@
 
 from eliot import log_message
 
-from radishtally.engines.news import Others
 from radishtally.engines.placement import EnginePlacement
+from radishtally.engines.staleness import PeerStaleness
 from radishtally.gateway.const import LOAD_BATCH_SECONDS
 from radishtally.gateway.topology import (
     ExchangeGroup,
@@ -30,8 +30,8 @@
     Suspicions,
 )
 from radishtally.serving.suspects import Suspects, group_suspicions
-from radishtally.stages.const import TELL_SECONDS
-from radishtally.stages.keeper import StageKeeper
+from radishtally.stages.const import REPORT_INTERVAL_SECONDS
+from radishtally.stages.role_controller import RoleController
 
 COLLECT_SECONDS_PER_PEER: Final = 0.002
 """Interval between two rounds per peer of a collector. Whatever the number of peers, a
@@ -66,7 +66,7 @@
         own_name: str,
         hub: LinkHub,
         placement: EnginePlacement,
-        stages: StageKeeper,
+        stages: RoleController,
         contend: Callable[[bool], None] = lambda _: None,
         suspects: Suspects | None = None,
     ) -> None:
@@ -101,7 +101,7 @@
         self._sites = sites
         self._linked = None
         self._interval = self._find_interval()
-        self._placement.unseen.others = self._describe_others()
+        self._placement.unseen_requests.peers = self._describe_others()
 
     async def run(self) -> None:
         """Send updates to the other gateways until cancelled."""
@@ -114,7 +114,7 @@
             self._send_backlog(now)
             self._send_parts()
             self._send_changed_suspicions(now)
-            if now >= demand_sent_at + TELL_SECONDS:
+            if now >= demand_sent_at + REPORT_INTERVAL_SECONDS:
                 demand_sent_at = now
                 self._send_demand(now)
 
@@ -146,12 +146,12 @@
             return
         now = time.monotonic()
         if isinstance(message, Backlog):
-            self._placement.take_backlog(peer, message, now)
+            self._placement.record_backlog(peer, message, now)
             self._reported_engines.update(share.host for share in message.shares)
         elif isinstance(message, DemandReport):
-            self._stages.take_report(peer, message, now)
+            self._stages.record_report(peer, message, now)
         elif isinstance(message, PartsRead):
-            self._placement.take_parts(message)
+            self._placement.record_parts(message)
             if self._is_collector:
                 self._parts_to_relay.append((peer, message))
         elif isinstance(message, Suspicions):
@@ -159,7 +159,7 @@
 
     def _handle_suspicions(self, peer: str, message: Suspicions, now: float) -> None:
         for suspicion in message.suspicions:
-            if self._suspects.take(suspicion, now):
+            if self._suspects.merge(suspicion, now):
                 log_message(
                     "suspects:denied",
                     content=suspicion.content,
@@ -168,7 +168,7 @@
                 )
                 # In a mesh no collector relays, and the direct link may be down.
                 if is_mesh(self._sites):
-                    self._suspects.tell(suspicion.content)
+                    self._suspects.mark_changed(suspicion.content)
         if self._is_collector:
             self._suspicions_to_relay += [
                 (peer, suspicion) for suspicion in message.suspicions
@@ -185,13 +185,13 @@
         others = len(list_data_centres(self._sites)) - 1
         return max(LOAD_BATCH_SECONDS, (len(ours) + others) * COLLECT_SECONDS_PER_PEER)
 
-    def _describe_others(self) -> Others:
+    def _describe_others(self) -> PeerStaleness:
         """Return the number of other gateways and the maximum age of their loads."""
         # The gateway itself, its collector, and the collector of another data centre.
         hops = 1 if is_mesh(self._sites) else 2
         if hops > 1 and len(list_data_centres(self._sites)) > 1:
             hops += 1
-        return Others(len(self._sites) - 1, hops * self._interval)
+        return PeerStaleness(len(self._sites) - 1, hops * self._interval)
 
     def _update_group(self) -> None:
         """Update the exchange group from the links that are up."""
@@ -248,7 +248,7 @@
         return frozenset((peer,))
 
     def _send_backlog(self, now: float) -> None:
-        hosts: set[str] | None = self._placement.take_changed()
+        hosts: set[str] | None = self._placement.pop_changed_hosts()
         if self._is_collector:
             hosts |= self._reported_engines
         self._reported_engines.clear()
@@ -262,7 +262,9 @@
 
     def _send_parts(self) -> None:
         """Send the parts newly given to engines, not those that they still hold."""
-        outgoing = [(self._own_name, parts) for parts in self._placement.take_read()]
+        outgoing = [
+            (self._own_name, parts) for parts in self._placement.pop_parts_read()
+        ]
         outgoing += self._parts_to_relay
         self._parts_to_relay = []
         for peer in self._group.recipients:
@@ -273,7 +275,7 @@
 
     def _send_changed_suspicions(self, now: float) -> None:
         """Send suspicions about requests under which hosts failed, in few messages."""
-        changed = self._suspects.take_changed(now)
+        changed = self._suspects.pop_changed(now)
         outgoing = [(self._own_name, suspicion) for suspicion in changed]
         outgoing += self._suspicions_to_relay
         self._suspicions_to_relay = []
@@ -293,5 +295,5 @@
 
     def _send_demand(self, now: float) -> None:
         for peer in self._group.recipients:
-            for report in self._stages.make_reports(now, self._list_excluded(peer)):
+            for report in self._stages.build_reports(now, self._list_excluded(peer)):
                 self._hub.send(peer, report)
--- a/radishtally/gateway/metrics.py
+++ b/radishtally/gateway/metrics.py
@@ -11,8 +11,8 @@
     generate_latest,
 )
 
+from radishtally.direct.answer_checks import AnswerMismatch
 from radishtally.direct.core import Notice
-from radishtally.direct.doubts import Doubt
 from radishtally.gateway.endings import Ending
 from radishtally.gateway.requests import RoutedRequest
 from radishtally.stalls import Stall
@@ -189,7 +189,7 @@
         """Count an offer of a request to a host."""
         self._offers.labels(stage).inc()
 
-    def count_doubted_answer(self, doubt: Doubt) -> None:
+    def count_doubted_answer(self, doubt: AnswerMismatch) -> None:
         """Count an answer that may belong to a different request."""
         self._doubts.labels(doubt.name.lower()).inc()
 
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -9,7 +9,7 @@
 
 from eliot import log_message
 
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.cache_discovery import CacheDiscovery
 from radishtally.gateway.const import (
@@ -32,8 +32,8 @@
 from radishtally.links.hub import Callbacks, LinkHub
 from radishtally.links.messages import Hello, Message
 from radishtally.runtime import Runtime
-from radishtally.serving.state import EntryCore
-from radishtally.stages.keeper import StageKeeper
+from radishtally.serving.state import DispatchCore
+from radishtally.stages.role_controller import RoleController
 from radishtally.store.core import Row, Table
 
 PEER_REMOVAL_SECONDS: Final = 600.0
@@ -47,9 +47,9 @@
     runtime: Runtime
     placement: EnginePlacement
     cache_discovery: CacheDiscovery
-    stages: StageKeeper
-    lease: LeaseHolder
-    core: EntryCore
+    stages: RoleController
+    lease: LeaseDriver
+    core: DispatchCore
     table: Table
 
     def set_gateway_count(self, count: int) -> None:
--- a/radishtally/stages/demand.py
+++ b/radishtally/stages/demand.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from radishtally.engines.pace import AnswerPace, NeededSpeed
-from radishtally.limits.pace import Decaying
+from radishtally.limits.pace import DecayingSum
 from radishtally.stages import const
 from radishtally.stages.split import Needs, find_most_events
 
@@ -32,7 +32,7 @@
     """Sum up what comes to all gateways, and learn what engines make of it."""
 
     def __init__(self) -> None:
-        self._own = [Decaying(const.DEMAND_SECONDS) for _ in DemandSums._fields]
+        self._own = [DecayingSum(const.DEMAND_SECONDS) for _ in DemandSums._fields]
         self._others: dict[str, tuple[DemandSums, float]] = {}
         """Last report of each other gateway, and when it came."""
         self._begun_at: float | None = None
@@ -52,7 +52,7 @@
         self._add(DemandSums(1.0, prompt_tokens, answer_tokens), now)
         self._begin(now)
 
-    def note_answered(
+    def record_answer(
         self, events: int, expected: int, seconds: float, now: float
     ) -> None:
         """Take in a whole answer, and the time that it had."""
@@ -60,7 +60,7 @@
         self._add(ended, now)
         self.speed.note(events, seconds)
 
-    def take_report(self, peer: str, sums: DemandSums, now: float) -> None:
+    def record_report(self, peer: str, sums: DemandSums, now: float) -> None:
         """Take what has come to another gateway."""
         self._others[peer] = sums, now
         if sums.requests:
--- a/tests/entry/common.py
+++ b/tests/entry/common.py
@@ -18,7 +18,7 @@
 )
 from radishtally.outcome import Refusal
 from radishtally.serving import events
-from radishtally.serving.core import EntryCore, handle_event
+from radishtally.serving.core import DispatchCore, handle_event
 
 POOL = "pool"
 KV = KvRef("agent-0", "http://127.0.0.1", "handle", 9)
@@ -28,7 +28,7 @@
     """Drive one entry's core and keep what it commands."""
 
     def __init__(self, hosts: int = 2) -> None:
-        self.core = EntryCore("entry-0", "howrah", random.Random(1))
+        self.core = DispatchCore("entry-0", "howrah", random.Random(1))
         self.now = 100.0
         self.log: list[events.Command] = []
         for number in range(hosts):
@@ -41,7 +41,7 @@
         commands = [
             c
             for c in handle_event(event, self.core, self.now)
-            if not isinstance(c, events.Note)
+            if not isinstance(c, events.RecordStep)
         ]
         self.log += commands
         return commands
@@ -96,8 +96,8 @@
     def list_of(self, kind: type | tuple[type, ...]) -> list[events.Command]:
         return [c for c in self.log if isinstance(c, kind)]
 
-    def list_refusals(self) -> list[events.Refuse | events.Break]:
-        return self.list_of((events.Refuse, events.Break))
+    def list_refusals(self) -> list[events.Refuse | events.AbortAnswer]:
+        return self.list_of((events.Refuse, events.AbortAnswer))
 
     def list_ends(self) -> list[events.Finish | events.End]:
         return self.list_of((events.Finish, events.End))
--- a/tests/entry/test_retries.py
+++ b/tests/entry/test_retries.py
@@ -84,7 +84,7 @@
     driver.core.budgets = RetryBudgets(1.0, floor=100.0)
     driver.open(make_text(), seconds=300.0)
     host, offer = driver.find_offer()
-    for number in range(const.MAX_LOST):
+    for number in range(const.MAX_LOST_ATTEMPTS):
         assert offer.attempt == number + 1
         driver.receive(host, make_chunk("r", offer.attempt, number, b"x"))
         driver.receive(host, Lost("r", offer.attempt, Ran.UNKNOWN, "crash", number + 1))
@@ -126,7 +126,7 @@
     driver = Driver(hosts=2)
     driver.open(make_text())
     first, _ = driver.find_offer()
-    driver.pass_time(const.OFFER_SECONDS)
+    driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     second, offer = driver.find_offer()
     assert (second != first, offer.attempt) == (True, 2)
     driver.log.clear()
@@ -240,8 +240,8 @@
     driver = Driver(hosts=2)
     driver.open(make_text(), seconds=30.0)
     assert driver.find_offer()[1].budget == 30.0
-    driver.pass_time(const.OFFER_SECONDS)
-    assert driver.find_offer()[1].budget == 30.0 - const.OFFER_SECONDS
+    driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
+    assert driver.find_offer()[1].budget == 30.0 - const.OFFER_TIMEOUT_SECONDS
 
 
 def test_lost_offer_goes_to_the_same_host_again() -> None:
--- a/tests/gateway/test_cache_discovery.py
+++ b/tests/gateway/test_cache_discovery.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from radishtally.direct.core import Instance, KeptPart
+from radishtally.direct.core import CachedPart, Instance
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.cache_discovery import CacheDiscovery
 from radishtally.gateway.peers import GATEWAYS_PARTITION
@@ -15,7 +15,7 @@
 from tests.gateway.test_streams import start_engines
 
 NAMES = [f"g-{number}" for number in range(5)]
-KEPT = [KeptPart("m", "a", 500), KeptPart("m", "b", 5_000)]
+KEPT = [CachedPart("m", "a", 500), CachedPart("m", "b", 5_000)]
 PROMPT = (PromptPart("aa", 500), PromptPart("bb", 400))
 PARTS = (PromptPart("a", 500), PromptPart("b", 5_000), PromptPart("own", 900))
 
@@ -27,7 +27,9 @@
         self.asked: list[str] = []
         self.silent: set[str] = set()
 
-    async def read_kept(self, instance: Instance) -> Result[list[KeptPart], str]:
+    async def read_cached_parts(
+        self, instance: Instance
+    ) -> Result[list[CachedPart], str]:
         self.asked.append(instance.host)
         return Error("no answer") if instance.host in self.silent else Ok(KEPT)
 
@@ -56,12 +58,12 @@
         placement = make_placement(instances)
         recall = CacheDiscovery(name, engines, placement, lambda: instances)
         run(recall.run(NAMES))
-        told = placement.take_read()
+        told = placement.pop_parts_read()
         assert {parts.host for parts in told} <= set(engines.asked)
         # Who is told knows what the engine keeps, as does the one who asked.
         other = make_placement(instances)
         for parts in told:
-            other.take_parts(parts)
+            other.record_parts(parts)
             for each in (placement, other):
                 cache = each._engines[parts.host].cache
                 assert cache.count("m", PARTS) == 5_500
@@ -74,7 +76,7 @@
     engines.silent = {"e-0"}
     placement = make_placement(instances)
     run(CacheDiscovery("g-0", engines, placement, lambda: instances).run(["g-0"]))
-    assert placement.take_read() == []
+    assert placement.pop_parts_read() == []
 
 
 def test_engines_are_asked_only_by_a_gateway_that_was_there_before() -> None:
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -30,8 +30,8 @@
 )
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.requests import OpenRequest
-from radishtally.serving.suspects import ENDS_TO_DENY, End, Suspects
-from radishtally.stages.keeper import StageKeeper
+from radishtally.serving.suspects import ENDS_TO_DENY, HostEnd, Suspects
+from radishtally.stages.role_controller import RoleController
 
 MANY = MAX_MESH_GATEWAYS + 8
 ENGINE = Instance("d-1", "llm", "d-1:1", "howrah", False, 64, DECODE)
@@ -110,7 +110,7 @@
         self.net = net
         self.placement = EnginePlacement(lambda: 0.0)
         self.placement.set_instance(ENGINE)
-        self.stages = StageKeeper(
+        self.stages = RoleController(
             name, None, lambda: [ENGINE], None, self.placement.measure_rate
         )
         self.contends = False
@@ -142,7 +142,7 @@
 
     def restart_engine(self, started_ms: int) -> None:
         """Learn that the engine has started again."""
-        self.placement.restart(ENGINE.host)
+        self.placement.reset_engine(ENGINE.host)
         self.placement.set_instance(ENGINE._replace(started_ms=started_ms))
 
     def count(self) -> int:
@@ -237,7 +237,7 @@
     net = Net(MANY, data_centres)
     net.play(0.0)
     for gateway in net.gateways.values():
-        gateway.stages.note_request("llm", 750_000, 0, 0.0)
+        gateway.stages.record_request("llm", 750_000, 0, 0.0)
     net.play(2.0)
     totals = [
         gateway.stages._demands["llm"].collect(4.0, ("nobody",))
@@ -325,7 +325,7 @@
     net.play(0.0)
     part = HashedPart(7, 5_000)
     for gateway in net.gateways.values():
-        gateway.placement.take_parts(PartsRead(ENGINE.host, 0, (part,)))
+        gateway.placement.record_parts(PartsRead(ENGINE.host, 0, (part,)))
     net.add("late")
     for name in net.find_linked("late"):
         net.gateways[name].loads.handle_link_up("late")
@@ -336,7 +336,7 @@
 def deny(gateway: Gateway, content: str, now: float) -> None:
     """End hosts under a request of one gateway."""
     for known in range(ENDS_TO_DENY):
-        gateway.suspects.note_end(content, End(known, 0.05), now)
+        gateway.suspects.record_host_end(content, HostEnd(known, 0.05), now)
 
 
 # A request that has ended hosts at one gateway would end as many at each other one.
@@ -348,10 +348,14 @@
     now = time.monotonic()
     deny(net.gateways[f"g-{count - 1}"], "a", now)
     net.play(now)
-    assert all(each.suspects.find_wait("a", now) for each in net.gateways.values())
+    assert all(
+        each.suspects.find_denial_seconds("a", now) for each in net.gateways.values()
+    )
     net.gateways["g-0"].suspects.clear("a")
     net.play(now)
-    assert not any(each.suspects.find_wait("a", now) for each in net.gateways.values())
+    assert not any(
+        each.suspects.find_denial_seconds("a", now) for each in net.gateways.values()
+    )
 
 
 # The link between two gateways is cut, and the one goes on ending hosts with a request
@@ -364,7 +368,7 @@
     now = time.monotonic()
     deny(net.gateways["g-0"], "a", now)
     net.play(now)
-    assert net.gateways["g-1"].suspects.find_wait("a", now)
+    assert net.gateways["g-1"].suspects.find_denial_seconds("a", now)
 
 
 # Thousands of requests fail at once, and gateways tell each other of nothing else.
@@ -375,7 +379,9 @@
         net.play(0.0)
         net.sent = 0
         for gateway in net.gateways.values():
-            gateway.suspects.note_end(f"of-{gateway.name}", End(0, 0.05), 0.0)
+            gateway.suspects.record_host_end(
+                f"of-{gateway.name}", HostEnd(0, 0.05), 0.0
+            )
         net.play(0.0)
         sent[count] = net.sent / count
     assert sent[10 * MANY] <= 1.1 * sent[MANY]
