--- a/radishtally/agent/daemon.py
+++ b/radishtally/agent/daemon.py
@@ -50,7 +50,7 @@
             if is_engine
             else Service(upstream.url, self.handle)
         )
-        self.process.watch_loop()
+        self.process.install_handlers()
         await self.process.hub.start(self.settings.address)
         self.process.audit.start()
         self.process.spawn(self._watch_engine() if is_engine else self._watch_service())
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -81,14 +81,14 @@
                 self.process.spawn,
             )
         )
-        self.process.describe_beliefs = lambda: {"leases": self.planning.describe()}
+        self.process.describe_state = lambda: {"leases": self.planning.describe()}
         self.watcher = Watcher(self)
         self._started: dict[str, float] = {}
         self._closed = False
 
     async def run(self) -> None:
         """Serve until a planned stop."""
-        self.process.watch_loop()
+        self.process.install_handlers()
         await self.process.hub.start(self.settings.address)
         self.process.audit.start()
         self.claims.start()
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -74,7 +74,7 @@
         self.replies = Replies()
         self.metrics = GatewayMetrics()
         self.runtime.on_stall = self.metrics.note_stall
-        self.runtime.describe_beliefs = self._describe_beliefs
+        self.runtime.describe_state = self._describe_beliefs
         self._gateways: int | None = None
         """Gateways that share the retries, once they are listed."""
         self.core = EntryCore(
@@ -127,7 +127,7 @@
 
     async def run(self) -> None:
         """Serve until a planned stop."""
-        self.runtime.watch_loop()
+        self.runtime.install_handlers()
         await self.hosts.start()
         settings = self.settings
         await self.front.start(
@@ -146,7 +146,7 @@
         await self._unload(resigning)
         self.runtime.cancel_tasks()
         log_message("gateway:stopped", open=len(self.replies))
-        self.runtime.exit()
+        self.runtime.exit_if_broken()
 
     def _describe_beliefs(self) -> dict[str, Any]:
         configuration = self.router.configuration
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -59,7 +59,7 @@
         await self.hub.stop()
         for client in (self.table, self.objects, self.host_list):
             await client.close()
-        self.exit()
+        self.exit_if_broken()
 
     def _count_stall(self, stall: Stall) -> None:
         self.metrics.incr("stalls")
--- a/radishtally/runtime.py
+++ b/radishtally/runtime.py
@@ -34,11 +34,11 @@
         self.stopping = asyncio.Event()
         self.broken = False
         self.on_stall: Callable[[Stall], None] = lambda _: None
-        self.describe_beliefs: Callable[[], dict[str, Any]] = dict
+        self.describe_state: Callable[[], dict[str, Any]] = dict
         """Tell what this process believes that a stall may have made untrue."""
         self._tasks: set[asyncio.Task] = set()
 
-    def watch_loop(self) -> None:
+    def install_handlers(self) -> None:
         """Turn SIGTERM and SIGINT into a planned stop; let no error go unseen."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._take_loop_error)
@@ -62,16 +62,16 @@
         return task
 
     def _take_stall(self, stall: Stall) -> None:
-        log_message("process:stalled", **stall._asdict(), **self.describe_beliefs())
+        log_message("process:stalled", **stall._asdict(), **self.describe_state())
         self.on_stall(stall)
 
     def _finish(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        self.break_off(task.exception())
+        self.abort(task.exception())
 
-    def break_off(self, error: BaseException) -> None:
+    def abort(self, error: BaseException) -> None:
         """End the process after a broken invariant.
 
         Outcomes are values, so an exception that nobody takes shows a state that was
@@ -89,7 +89,7 @@
         try:
             yield
         except Exception as error:
-            self.break_off(error)
+            self.abort(error)
             raise
 
     def guard_call(self, callback: Callable[..., Any]) -> Callable[..., Any]:
@@ -106,7 +106,7 @@
     ) -> None:
         error = context.get("exception")
         if error is not None and _is_ours(error):
-            self.break_off(error)
+            self.abort(error)
             return
         log_message("loop:error", error=repr(error), text=str(context.get("message")))
 
@@ -115,7 +115,7 @@
         for task in list(self._tasks):
             task.cancel()
 
-    def exit(self) -> None:
+    def exit_if_broken(self) -> None:
         """End with an error code if an invariant broke."""
         if self.broken:
             raise SystemExit(EXIT_BROKEN)
--- a/tests/distribution/test_process.py
+++ b/tests/distribution/test_process.py
@@ -99,5 +99,5 @@
     """Make a process that listens nowhere."""
     process = Process(parse_settings(SETTINGS, "s.json").ok)
     process.make_hub(Callbacks(fail, fail, fail, fail))
-    process.watch_loop()
+    process.install_handlers()
     return process
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -59,7 +59,7 @@
     counted: list[Stall] = []
     runtime = Runtime()
     runtime.on_stall = counted.append
-    runtime.describe_beliefs = lambda: {"lease": {"holds_lease": False}}
+    runtime.describe_state = lambda: {"lease": {"holds_lease": False}}
     runtime._take_stall(Stall(14.0, 0.0))
     assert counted == [Stall(14.0, 0.0)]
     assert lines == [
