--- a/radishtally/agent/daemon.py
+++ b/radishtally/agent/daemon.py
@@ -146,7 +146,7 @@
             self.orders.drained()
 
     def _link_up(self, hello: Hello) -> None:
-        self.process.note_peer(hello.host, hello.revision)
+        self.process.request_newer_configuration(hello.host, hello.revision)
         self.handle(events.LinkUp(hello.host))
 
     def _link_down(self, host: str, reason: str) -> None:
@@ -154,7 +154,7 @@
         self.handle(events.LinkDown(host))
 
     def _receive(self, host: str, message: Message) -> None:
-        if self.process.handle_shared(host, message):
+        if self.process.handle_common_message(host, message):
             return
         if isinstance(message, Hint):
             self._take_hint(message)
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -254,7 +254,7 @@
         self.planning.configure(current.configuration)
 
     def _link_up(self, hello: Hello) -> None:
-        self.process.note_peer(hello.host, hello.revision)
+        self.process.request_newer_configuration(hello.host, hello.revision)
         self.members.link_up(hello)
         self.handle(events.LinkUp(hello))
 
@@ -265,7 +265,7 @@
 
     def _receive(self, host: str, message: Message) -> None:
         self.members.heard(host)
-        if self.process.handle_shared(host, message):
+        if self.process.handle_common_message(host, message):
             return
         if isinstance(message, Leaving):
             self.members.left(host, message.reason)
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -65,10 +65,10 @@
         self.metrics.incr("stalls")
         self.metrics.timing("stalled", stall.seconds * 1000)
 
-    def handle_shared(self, host: str, message: Message) -> bool:
+    def handle_common_message(self, host: str, message: Message) -> bool:
         """Take a message that means the same in every role; tell whether it was one."""
         if isinstance(message, Hello | Ping | Pong):
-            self.note_peer(host, message.revision)
+            self.request_newer_configuration(host, message.revision)
             return not isinstance(message, Ping)
         if isinstance(message, FilesAsk):
             given = self.keeper.answer(message)
@@ -76,17 +76,17 @@
                 self.hub.send(host, given)
             return True
         if isinstance(message, FilesGive):
-            self.take_files(message, host)
+            self.apply_configuration(message, host)
             return True
         return False
 
-    def note_peer(self, host: str, revision: int) -> None:
+    def request_newer_configuration(self, host: str, revision: int) -> None:
         """Ask a peer that has a newer configuration for it."""
         ask = self.keeper.note_peer(host, revision, time.monotonic())
         if ask is not None:
             self.hub.send(host, ask)
 
-    def take_files(self, given: FilesGive, source: str) -> None:
+    def apply_configuration(self, given: FilesGive, source: str) -> None:
         """Bring a configuration into force and tell every peer at once."""
         outcome = self.keeper.take(given)
         if outcome.is_error():
