--- a/radishtally/entry/watch.py
+++ b/radishtally/entry/watch.py
@@ -55,7 +55,7 @@
             log_message("head:not_loaded", error=str(files.error))
             return
         given = FilesGive(head.ok.revision, hash_files(files.ok), files.ok)
-        entry.process.take_files(given, "table")
+        entry.process.apply_configuration(given, "table")
 
     async def _watch_head(self) -> None:
         while True:
