--- a/radishtally/agent/orders.py
+++ b/radishtally/agent/orders.py
@@ -103,7 +103,7 @@
 
     async def stop(self) -> None:
         """Give no more orders; one that was sent is not taken back."""
-        await self._end()
+        await self._cancel_all()
 
     def hint(self) -> None:
         """Read the plan at once."""
@@ -121,11 +121,11 @@
 
     @_execute.register
     def _(self, command: orders.ReadPlan) -> None:
-        self._call(self._read_plan())
+        self._start_call(self._read_plan())
 
     @_execute.register
     def _(self, command: orders.ReadEngine) -> None:
-        self._call(self._read_engine())
+        self._start_call(self._read_engine())
 
     @_execute.register
     def _(self, command: orders.StartDrain) -> None:
@@ -140,7 +140,7 @@
 
     @_execute.register
     def _(self, command: orders.SendOrder) -> None:
-        self._call(self._send_order(command))
+        self._start_call(self._send_order(command))
 
     @_execute.register
     def _(self, command: orders.Record) -> None:
@@ -155,7 +155,7 @@
 
     @_execute.register
     def _(self, command: orders.WakeAt) -> None:
-        self._wake_at(command.time)
+        self._schedule_tick(command.time)
 
     async def _read_plan(self) -> None:
         asked_at = time.monotonic()
--- a/radishtally/authority/holder.py
+++ b/radishtally/authority/holder.py
@@ -150,7 +150,7 @@
         self._handle(Resign())
         if self._calls:
             await asyncio.wait(self._calls, timeout=RESIGN_SECONDS)
-        await self._end()
+        await self._cancel_all()
 
     @singledispatchmethod
     def _execute(self, command: Command) -> None:
@@ -158,11 +158,11 @@
 
     @_execute.register
     def _(self, command: ReadLease) -> None:
-        self._call(self._read(command))
+        self._start_call(self._read(command))
 
     @_execute.register
     def _(self, command: WriteLease) -> None:
-        self._call(self._write(command))
+        self._start_call(self._write(command))
 
     @_execute.register
     def _(self, command: Gained) -> None:
@@ -178,7 +178,7 @@
 
     @_execute.register
     def _(self, command: WakeAt) -> None:
-        self._wake_at(command.time)
+        self._schedule_tick(command.time)
 
     async def _read(self, command: ReadLease) -> None:
         era, asked_at = self._era, self._clock()
--- a/radishtally/claims/store.py
+++ b/radishtally/claims/store.py
@@ -73,7 +73,7 @@
         until = self._clock() + STOP_SECONDS
         while self._core.waiting and self._clock() < until:
             await asyncio.sleep(STOP_POLL_SECONDS)
-        await self._end()
+        await self._cancel_all()
 
     async def claim(
         self, team: str, key: str, request: str, body_hash: str
@@ -118,11 +118,11 @@
 
     @_execute.register
     def _(self, command: SendGroup) -> None:
-        self._call(self._send(command))
+        self._start_call(self._send(command))
 
     @_execute.register
     def _(self, command: ReadRow) -> None:
-        self._call(self._read(command))
+        self._start_call(self._read(command))
 
     @_execute.register
     def _(self, command: Answer) -> None:
@@ -143,7 +143,7 @@
 
     @_execute.register
     def _(self, command: WakeAt) -> None:
-        self._wake_at(command.time)
+        self._schedule_tick(command.time)
 
     async def _send(self, command: SendGroup) -> None:
         outcome = await self._table.transact(list(command.puts), command.write_id)
--- a/radishtally/driver.py
+++ b/radishtally/driver.py
@@ -36,20 +36,20 @@
     def _execute(self, command: Any) -> None:
         raise TypeError(f"unknown command {command!r}")
 
-    def _wake_at(self, when: float) -> None:
+    def _schedule_tick(self, when: float) -> None:
         """Tick at a time, in place of any time that was asked for before."""
         self._cancel_timer()
         delay = max(0.0, when - self._clock())
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(delay, self._handle, self._tick)
 
-    def _call(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_call(self, work: Coroutine[Any, Any, None]) -> None:
         """Run a call whose outcome comes back as an event."""
         call = asyncio.create_task(work)
         self._calls.add(call)
         call.add_done_callback(self._calls.discard)
 
-    async def _end(self) -> None:
+    async def _cancel_all(self) -> None:
         """Drop the calls that are under way and wake no more."""
         self._cancel_timer()
         calls = list(self._calls)
