--- a/radishtally/agent/engine.py
+++ b/radishtally/agent/engine.py
@@ -17,7 +17,7 @@
     UPSTREAM_CONNECT_SECONDS,
 )
 from radishtally.agent.sse import Done, read_parts
-from radishtally.exchange import BROKEN
+from radishtally.exchange import EXCHANGE_ERRORS
 from radishtally.links.messages import CHAT, PREFILL, KvRef, Offer
 from radishtally.outcome import Fault, Ran
 from radishtally.tasks import AttemptTasks
@@ -154,7 +154,7 @@
                 await self._read(name, response, started)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             self._report(events.Failed(*name, Ran.NO, repr(error)))
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             ran = Ran.UNKNOWN if not isinstance(error, ValueError) else ran
             self._report(events.Failed(*name, ran, repr(error)))
         finally:
--- a/radishtally/agent/service.py
+++ b/radishtally/agent/service.py
@@ -9,7 +9,7 @@
 
 from radishtally.agent import events
 from radishtally.agent.const import CALL_SECONDS, UPSTREAM_CONNECT_SECONDS
-from radishtally.exchange import BROKEN, CheckedResponse, SendOnce
+from radishtally.exchange import EXCHANGE_ERRORS, CheckedResponse, SendOnce
 from radishtally.links.messages import Offer
 from radishtally.outcome import Ran
 from radishtally.tasks import AttemptTasks
@@ -84,7 +84,7 @@
                 await self._read(name, response, started)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             self._report(events.Failed(*name, Ran.NO, repr(error)))
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             self._report(events.Failed(*name, Ran.UNKNOWN, repr(error)))
 
     async def _read(
--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -20,7 +20,7 @@
 from radishtally.direct.doubts import Doubt, describe
 from radishtally.direct.ends import Ends
 from radishtally.direct.pool import open_session
-from radishtally.exchange import BROKEN, SendOnce
+from radishtally.exchange import EXCHANGE_ERRORS, SendOnce
 from radishtally.links.messages import (
     ENDED,
     LEAVING,
@@ -118,7 +118,7 @@
                 if response.status != OK:
                     return Error(f"status {response.status}")
                 return Ok(await response.read())
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             return Error(describe(error))
 
     async def order_role(
@@ -135,7 +135,7 @@
                 return self._dialect.read_order(response.status)
         except NOT_CONNECTED:
             return OrderOutcome.UNREACHED
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             log_message(
                 "upstream:order_unclear",
                 upstream_host=instance.host,
@@ -154,7 +154,7 @@
         except NOT_CONNECTED as error:
             self._receive(host, Lost(*name, Ran.NO, UNREACHED, 0))
             log_message("upstream:unreached", upstream_host=host, error=repr(error))
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             # A prompt that was to be computed has not run: no token was made of it.
             ran = Ran.NO if offer.stage == PREFILL else Ran.UNKNOWN
             has_ended = await self._ends.has_ended(instance, error)
@@ -193,7 +193,7 @@
                 if instance is not None and instance.address == kv.url:
                     self.answers.take_notice(response, instance)
                 await response.read()
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             log_message(
                 "upstream:kv_not_freed", upstream_host=kv.host, error=repr(error)
             )
--- a/radishtally/exchange.py
+++ b/radishtally/exchange.py
@@ -8,7 +8,7 @@
 from aiohttp.connector import Connection
 from aiohttp.http import HttpProcessingError
 
-BROKEN: Final = (
+EXCHANGE_ERRORS: Final = (
     aiohttp.ClientError,
     HttpProcessingError,
     OSError,
