--- a/radishtally/connector.py
+++ b/radishtally/connector.py
@@ -15,7 +15,7 @@
 HEAD_END: Final = b"\r\n\r\n"
 
 
-class Usage(NamedTuple):
+class ConnectionUsage(NamedTuple):
     """Describe a connection at the moment at which a request takes it."""
 
     age: float = 0.0
@@ -24,18 +24,20 @@
     """Requests that it carried before."""
 
 
-class KeptHandler(ResponseHandler):
+class CheckedHandler(ResponseHandler):
     """Read the answers on one connection, and close it if one comes unasked.
 
     An answer that comes while no request is out belongs to an earlier one, whatever it
     says. Left where it is it would be read as the answer to the next request.
     """
 
-    def __init__(self, loop: Any, service: str, on_unasked: Callable[[], None]) -> None:
+    def __init__(
+        self, loop: Any, service: str, on_unsolicited: Callable[[], None]
+    ) -> None:
         super().__init__(loop=loop)
-        self.usage = Usage()
+        self.usage = ConnectionUsage()
         self._service = service
-        self._on_unasked = on_unasked
+        self._on_unasked = on_unsolicited
         self._opened_at = time.monotonic()
         self._requests = 0
         self._is_idle = False
@@ -124,22 +126,22 @@
         )
         self.abort()
 
-    def _measure(self) -> Usage:
-        return Usage(time.monotonic() - self._opened_at, self._requests)
+    def _measure(self) -> ConnectionUsage:
+        return ConnectionUsage(time.monotonic() - self._opened_at, self._requests)
 
 
-class KeepingConnector(aiohttp.TCPConnector):
+class CheckedConnector(aiohttp.TCPConnector):
     """Keep connections to a service, and pass none on that holds anything to read."""
 
     def __init__(
         self,
         service: str,
-        on_unasked: Callable[[], None] = lambda: None,
+        on_unsolicited: Callable[[], None] = lambda: None,
         **options: Any,
     ) -> None:
         super().__init__(**options)
         # The library has no public way to be given a protocol.
-        self._factory = partial(KeptHandler, self._loop, service, on_unasked)
+        self._factory = partial(CheckedHandler, self._loop, service, on_unsolicited)
 
     async def connect(self, *args: Any, **options: Any) -> Connection:
         """Take a connection that is kept open, or open one."""
--- a/radishtally/direct/answers.py
+++ b/radishtally/direct/answers.py
@@ -7,7 +7,7 @@
 import xxhash
 from eliot import log_message
 
-from radishtally.connector import Usage
+from radishtally.connector import ConnectionUsage
 from radishtally.direct.const import MAX_ANSWER_BYTES, OK, READ_BYTES
 from radishtally.direct.core import NO_NOTICE, Dialect, Head, Instance, Notice
 from radishtally.direct.doubts import (
@@ -107,7 +107,12 @@
             self.on_notice(instance, notice)
 
     def _note_doubt(
-        self, doubt: Doubt, head: Head, usage: Usage, instance: Instance, offer: Offer
+        self,
+        doubt: Doubt,
+        head: Head,
+        usage: ConnectionUsage,
+        instance: Instance,
+        offer: Offer,
     ) -> None:
         self.on_doubt(doubt)
         log_message(
--- a/radishtally/direct/doubts.py
+++ b/radishtally/direct/doubts.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from radishtally.connector import Usage
+from radishtally.connector import ConnectionUsage
 
 
 class Doubt(StrEnum):
@@ -40,7 +40,9 @@
         super().__init__(f"not the request's answer: {doubt}")
 
 
-def find_doubt(names: Collection[str], request: str, usage: Usage) -> Doubt | None:
+def find_doubt(
+    names: Collection[str], request: str, usage: ConnectionUsage
+) -> Doubt | None:
     """Find why an answer may not be the request's own, by the names that it bears."""
     if len(names) > 1:
         return Doubt.SEVERAL
--- a/radishtally/direct/pool.py
+++ b/radishtally/direct/pool.py
@@ -7,7 +7,7 @@
 import aiohttp
 from aiohttp.connector import Connection
 
-from radishtally.connector import KeepingConnector, KeptHandler, Usage
+from radishtally.connector import CheckedConnector, CheckedHandler, ConnectionUsage
 from radishtally.direct.const import CONNECT_SECONDS, POOL_SECONDS
 from radishtally.direct.sockets import open_socket
 from radishtally.exchange import CheckedResponse
@@ -19,8 +19,8 @@
 class WatchedResponse(CheckedResponse):
     """Know how the connection of an answer was before it."""
 
-    usage = Usage()
-    _watched: KeptHandler | None = None
+    usage = ConnectionUsage()
+    _watched: CheckedHandler | None = None
 
     async def start(self, connection: Connection) -> "WatchedResponse":
         """Read the head, and keep hold of the connection."""
@@ -58,7 +58,7 @@
 ) -> aiohttp.ClientSession:
     """Open a pool of connections, or one that opens a connection for each request."""
     more = {} if force_close else {"keepalive_timeout": POOL_SECONDS}
-    connector = KeepingConnector(
+    connector = CheckedConnector(
         "upstream",
         on_unasked,
         limit=0,
--- a/radishtally/store/client.py
+++ b/radishtally/store/client.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from radishtally.connector import KeepingConnector
+from radishtally.connector import CheckedConnector
 from radishtally.outcome import Error, Ok, Result
 
 CONNECT_PART: Final = 0.5
@@ -40,7 +40,7 @@
     def __init__(self, timeout: float) -> None:
         limits = aiohttp.ClientTimeout(total=timeout, connect=timeout * CONNECT_PART)
         # Nothing in an answer says which call it belongs to.
-        connector = KeepingConnector("platform")
+        connector = CheckedConnector("platform")
         self.session = aiohttp.ClientSession(connector=connector, timeout=limits)
         self.calls = 0
         self.retired = False
