--- a/radishtally/agent/engine.py
+++ b/radishtally/agent/engine.py
@@ -107,7 +107,7 @@
     def abort(self, request: str, attempt: int) -> None:
         """End work without an outcome."""
         self._tasks.cancel(request, attempt)
-        self._tasks.keep(self._cancel(request, attempt))
+        self._tasks.spawn_detached(self._cancel(request, attempt))
 
     def drop_silent(self, now: float) -> None:
         """Give up streams whose tokens have stopped coming.
@@ -130,8 +130,8 @@
 
     def export(self, request: str, attempt: int) -> None:
         """End work in good order and keep its KV cache for another engine."""
-        task = self._tasks.take(request, attempt)
-        self._tasks.keep(self._export(request, attempt, task))
+        task = self._tasks.pop(request, attempt)
+        self._tasks.spawn_detached(self._export(request, attempt, task))
 
     async def _run(self, offer: Offer) -> None:
         name = offer.work.request, offer.attempt
--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -91,7 +91,7 @@
 
     def drop(self, kv: KvRef) -> None:
         """Free a KV cache that nobody will fetch."""
-        self._tasks.keep(self._drop(kv))
+        self._tasks.spawn_detached(self._drop(kv))
 
     async def read_report(self, instance: Instance) -> Result[EngineReport, str]:
         """Ask an engine what it does."""
--- a/radishtally/tasks.py
+++ b/radishtally/tasks.py
@@ -23,19 +23,19 @@
         self._running[name] = task
         task.add_done_callback(lambda ended: self._forget(name, ended))
 
-    def keep(self, work: Work) -> None:
+    def spawn_detached(self, work: Work) -> None:
         """Do what belongs to no running attempt."""
         task = asyncio.create_task(work)
         self._kept.add(task)
         task.add_done_callback(self._discard)
 
-    def take(self, request: str, attempt: int) -> asyncio.Task[None] | None:
+    def pop(self, request: str, attempt: int) -> asyncio.Task[None] | None:
         """Take out an attempt that is to end in another way than by itself."""
         return self._running.pop((request, attempt), None)
 
     def cancel(self, request: str, attempt: int) -> None:
         """End an attempt if it runs."""
-        task = self.take(request, attempt)
+        task = self.pop(request, attempt)
         if task is not None:
             task.cancel()
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -23,7 +23,7 @@
         tasks.start("r", 1, wait_for_ever())
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        second = tasks.take("r", 1)
+        second = tasks.pop("r", 1)
         assert second is not None
         second.cancel()
 
@@ -34,7 +34,7 @@
     async def play() -> None:
         tasks = AttemptTasks()
         tasks.start("r", 1, wait_for_ever())
-        tasks.keep(wait_for_ever())
+        tasks.spawn_detached(wait_for_ever())
         ended = tasks.cancel_all()
         await asyncio.gather(*ended, return_exceptions=True)
         assert len(ended) == 2
@@ -59,7 +59,7 @@
     async def play() -> None:
         tasks = AttemptTasks()
         tasks.start("r", 1, fail())
-        tasks.keep(fail())
+        tasks.spawn_detached(fail())
         for _ in range(3):
             await asyncio.sleep(0)
 
