--- a/radishtally/daemon.py
+++ b/radishtally/daemon.py
@@ -23,7 +23,7 @@
     logs = start_logging(outcome.ok.host)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(logs.run_beside(_make_daemon(outcome.ok).run()))
+            runner.run(logs.run_with_flushing(_make_daemon(outcome.ok).run()))
     except OSError as error:
         print(f"radishtallyd: {error}", file=sys.stderr)
         sys.exit(EXIT_ADDRESS)
--- a/radishtally/logs.py
+++ b/radishtally/logs.py
@@ -102,7 +102,7 @@
             self._left_out += 1
         self._write_waiting()
 
-    async def run_beside(self, work: Coroutine[Any, Any, T]) -> T:
+    async def run_with_flushing(self, work: Coroutine[Any, Any, T]) -> T:
         """Do a process's work, and flush all the while."""
         flushing = asyncio.create_task(self._flush_for_good())
         try:
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -153,4 +153,4 @@
                 if line["message_type"] == "log:left_out":
                     return "read"
 
-    assert run(writer.run_beside(read_all())) == "read"
+    assert run(writer.run_with_flushing(read_all())) == "read"
