--- a/bench/capacity/configurations.py
+++ b/bench/capacity/configurations.py
@@ -10,7 +10,7 @@
 from radishtally.distribution.core import Keeper, hash_files
 from radishtally.entry.callers import Directory
 from radishtally.links.codec import encode_frame
-from radishtally.links.messages import FilesAsk, FilesGive
+from radishtally.links.messages import ConfigurationFiles, ConfigurationRequest
 
 CHANGED: Final = "40-teams-007.json"
 REPEATS: Final = 3
@@ -37,7 +37,7 @@
     yield Figure("configuration, all files", total, "bytes", at)
     resident = read_resident()
     keeper = Keeper()
-    given = FilesGive(1, hash_files(files), files)
+    given = ConfigurationFiles(1, hash_files(files), files)
     cost = time_once(lambda: keeper.take(given))
     yield Figure("configuration, first taken", cost, "ms", at)
     held = read_resident() - resident
@@ -57,12 +57,12 @@
 
 def measure_change(keeper: Keeper, files: dict[str, str]) -> Iterator[Figure]:
     """Measure one changed file, as it goes from a peer to a peer."""
-    ask = FilesAsk(keeper.revision, dict(keeper.current.hashes))
+    ask = ConfigurationRequest(keeper.revision, dict(keeper.current.hashes))
     costs = []
     for number in range(REPEATS):
         changed = change_file(files, number + 1)
         hashes = hash_files(changed)
-        given = FilesGive(2 + number, hashes, {CHANGED: changed[CHANGED]})
+        given = ConfigurationFiles(2 + number, hashes, {CHANGED: changed[CHANGED]})
         costs.append(time_once(lambda given=given: keeper.take(given)))
     at = {"files": len(files), "changed": 1}
     yield Figure("configuration, change taken", min(costs), "ms", at)
--- a/radishtally/distribution/core.py
+++ b/radishtally/distribution/core.py
@@ -6,7 +6,7 @@
 
 from radishtally.configuration.config import Configuration
 from radishtally.configuration.merger import Merger
-from radishtally.links.messages import FilesAsk, FilesGive
+from radishtally.links.messages import ConfigurationFiles, ConfigurationRequest
 from radishtally.outcome import Error, Fault, Ok, Result
 
 ASK_SECONDS: Final = 1.0
@@ -51,7 +51,9 @@
         """Give the revision in force, 0 for none."""
         return self.current.revision if self.current else 0
 
-    def note_peer(self, host: str, revision: int, now: float = 0.0) -> FilesAsk | None:
+    def note_peer(
+        self, host: str, revision: int, now: float = 0.0
+    ) -> ConfigurationRequest | None:
         """Take a peer's word on its revision; ask for the files if we are behind."""
         self.peers[host] = revision
         if revision <= self.revision:
@@ -62,7 +64,9 @@
         if asked is not None and asked.covers(host, revision, now):
             return None
         self._asked = Asked(host, revision, now)
-        return FilesAsk(self.revision, self.current.hashes if self.current else {})
+        return ConfigurationRequest(
+            self.revision, self.current.hashes if self.current else {}
+        )
 
     def forget_peer(self, host: str) -> None:
         """Forget a peer that is gone."""
@@ -70,7 +74,7 @@
         if self._asked is not None and self._asked.host == host:
             self._asked = None
 
-    def answer(self, ask: FilesAsk) -> FilesGive | None:
+    def answer(self, ask: ConfigurationRequest) -> ConfigurationFiles | None:
         """Give a peer the files that it lacks, if it is behind us."""
         if self.current is None or ask.revision >= self.revision:
             return None
@@ -80,9 +84,9 @@
             for name, text in self.current.files.items()
             if have.get(name) != self.current.hashes[name]
         }
-        return FilesGive(self.revision, self.current.hashes, files)
+        return ConfigurationFiles(self.revision, self.current.hashes, files)
 
-    def take(self, given: FilesGive) -> Result[bool, Fault]:
+    def take(self, given: ConfigurationFiles) -> Result[bool, Fault]:
         """Bring a newer revision into force; tell whether it was newer."""
         if given.revision <= self.revision:
             return Ok(False)
--- a/radishtally/entry/watch.py
+++ b/radishtally/entry/watch.py
@@ -8,7 +8,7 @@
 
 from radishtally.distribution.core import hash_files
 from radishtally.entry.core import Entry
-from radishtally.links.messages import FilesGive
+from radishtally.links.messages import ConfigurationFiles
 from radishtally.store.core import ENTRY, ListedHost
 
 HEAD_SECONDS: Final = 1.0
@@ -54,7 +54,7 @@
         if files.is_error():
             log_message("head:not_loaded", error=str(files.error))
             return
-        given = FilesGive(head.ok.revision, hash_files(files.ok), files.ok)
+        given = ConfigurationFiles(head.ok.revision, hash_files(files.ok), files.ok)
         entry.process.apply_configuration(given, "table")
 
     async def _watch_head(self) -> None:
--- a/radishtally/links/messages.py
+++ b/radishtally/links/messages.py
@@ -273,7 +273,7 @@
     sk: str
 
 
-class FilesAsk(NamedTuple):
+class ConfigurationRequest(NamedTuple):
     """Ask for the configuration if the peer has a newer one."""
 
     revision: int
@@ -281,7 +281,7 @@
     """SHA-256 hex of each file that the sender has."""
 
 
-class FilesGive(NamedTuple):
+class ConfigurationFiles(NamedTuple):
     """Give a configuration: what its files are, and those that the peer lacks."""
 
     revision: int
@@ -430,8 +430,8 @@
     | Cancelled
     | Leaving
     | Hint
-    | FilesAsk
-    | FilesGive
+    | ConfigurationRequest
+    | ConfigurationFiles
     | Interval
     | FormerBacklog
     | FormerDemandReport
@@ -460,8 +460,8 @@
     Cancelled,
     Leaving,
     Hint,
-    FilesAsk,
-    FilesGive,
+    ConfigurationRequest,
+    ConfigurationFiles,
     Interval,
     FormerBacklog,
     FormerDemandReport,
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -10,8 +10,8 @@
 from radishtally.distribution.core import Keeper
 from radishtally.links.hub import Callbacks, LinkHub
 from radishtally.links.messages import (
-    FilesAsk,
-    FilesGive,
+    ConfigurationFiles,
+    ConfigurationRequest,
     Hello,
     Message,
     Ping,
@@ -70,12 +70,12 @@
         if isinstance(message, Hello | Ping | Pong):
             self.request_newer_configuration(host, message.revision)
             return not isinstance(message, Ping)
-        if isinstance(message, FilesAsk):
+        if isinstance(message, ConfigurationRequest):
             given = self.keeper.answer(message)
             if given is not None:
                 self.hub.send(host, given)
             return True
-        if isinstance(message, FilesGive):
+        if isinstance(message, ConfigurationFiles):
             self.apply_configuration(message, host)
             return True
         return False
@@ -86,7 +86,7 @@
         if ask is not None:
             self.hub.send(host, ask)
 
-    def apply_configuration(self, given: FilesGive, source: str) -> None:
+    def apply_configuration(self, given: ConfigurationFiles, source: str) -> None:
         """Bring a configuration into force and tell every peer at once."""
         outcome = self.keeper.take(given)
         if outcome.is_error():
--- a/tests/distribution/test_core.py
+++ b/tests/distribution/test_core.py
@@ -3,17 +3,17 @@
 import pytest
 
 from radishtally.distribution.core import Keeper, hash_files, hash_text
-from radishtally.links.messages import FilesAsk, FilesGive
+from radishtally.links.messages import ConfigurationFiles, ConfigurationRequest
 from tests.configuration.common import BASE, write_teams
 
 TEAMS = write_teams(desk={"key_sha256": ["0" * 64]})
 OTHER_TEAMS = write_teams(desk={"key_sha256": ["1" * 64]})
 
 
-def give(revision: int, **files: str) -> FilesGive:
+def give(revision: int, **files: str) -> ConfigurationFiles:
     """Form the message that gives a whole configuration."""
     named = {f"{name}.json": text for name, text in files.items()}
-    return FilesGive(revision, hash_files(named), named)
+    return ConfigurationFiles(revision, hash_files(named), named)
 
 
 @pytest.fixture
@@ -25,7 +25,7 @@
 
 
 def test_a_keeper_without_configuration_asks_for_everything():
-    assert Keeper().note_peer("entry-1", 3) == FilesAsk(0, {})
+    assert Keeper().note_peer("entry-1", 3) == ConfigurationRequest(0, {})
 
 
 @pytest.mark.parametrize("revision", [0, 1, 2])
@@ -60,19 +60,25 @@
 
 @pytest.mark.parametrize("revision", [2, 9])
 def test_a_peer_that_is_not_behind_is_given_nothing(keeper: Keeper, revision: int):
-    assert keeper.answer(FilesAsk(revision, {})) is None
+    assert keeper.answer(ConfigurationRequest(revision, {})) is None
 
 
 def test_an_unconfigured_keeper_gives_nothing():
-    assert Keeper().answer(FilesAsk(0, {})) is None
+    assert Keeper().answer(ConfigurationRequest(0, {})) is None
 
 
 FAULTY = {
-    "missing": FilesGive(3, {"new.json": hash_text(BASE)}, {}),
-    "mixed up": FilesGive(3, {"base.json": hash_text(BASE)}, {"base.json": TEAMS}),
-    "cut": FilesGive(3, {"base.json": hash_text(BASE)}, {"base.json": BASE[:-9]}),
+    "missing": ConfigurationFiles(3, {"new.json": hash_text(BASE)}, {}),
+    "mixed up": ConfigurationFiles(
+        3, {"base.json": hash_text(BASE)}, {"base.json": TEAMS}
+    ),
+    "cut": ConfigurationFiles(
+        3, {"base.json": hash_text(BASE)}, {"base.json": BASE[:-9]}
+    ),
     "refused": give(3, base="{}"),
-    "of another revision": FilesGive(3, {"teams.json": hash_text(OTHER_TEAMS)}, {}),
+    "of another revision": ConfigurationFiles(
+        3, {"teams.json": hash_text(OTHER_TEAMS)}, {}
+    ),
 }
 
 
