--- a/bench/capacity/peer.py
+++ b/bench/capacity/peer.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from bench.fleet import find_port
-from radishtally.links.hub import Callbacks, LinkHub
+from radishtally.links.hub import LinkCallbacks, LinkHub
 from radishtally.links.messages import Hello, Load, Message, Ping
 
 PEER_KEY: Final = "capacity"
@@ -28,7 +28,9 @@
     """Make a hub that does nothing but what it is told."""
     hello = Hello(host, "place", "agent", host, 1)
     ignore = lambda *_: None  # noqa: E731
-    return LinkHub(hello, PEER_KEY, Callbacks(ignore, ignore, receive, lambda _: False))
+    return LinkHub(
+        hello, PEER_KEY, LinkCallbacks(ignore, ignore, receive, lambda _: False)
+    )
 
 
 async def run_agents(count: int, reports: bool) -> None:
--- a/radishtally/agent/daemon.py
+++ b/radishtally/agent/daemon.py
@@ -16,7 +16,7 @@
 from radishtally.authority.plan import DRAIN, PLAN
 from radishtally.authority.plans import Plans
 from radishtally.configuration.config import Service as ServiceConfig
-from radishtally.links.hub import Callbacks
+from radishtally.links.hub import LinkCallbacks
 from radishtally.links.messages import Hello, Hint, Message, Offer
 from radishtally.process import Process
 from radishtally.runtime import Waker
@@ -38,7 +38,7 @@
         self.drains = DrainFollower(settings.host, self.process.table, self)
         self.orders: OrderDriver | None = None
         self.process.make_hub(
-            Callbacks(self._link_up, self._link_down, self._receive, self._is_busy)
+            LinkCallbacks(self._link_up, self._link_down, self._receive, self._is_busy)
         )
 
     async def run(self) -> None:
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -32,7 +32,7 @@
 from radishtally.entry.planning import Parts
 from radishtally.entry.watch import Watcher
 from radishtally.limits.retries import RetryBudgets
-from radishtally.links.hub import Callbacks
+from radishtally.links.hub import LinkCallbacks
 from radishtally.links.messages import Hello, Leaving, Load, Message, Work
 from radishtally.outcome import Ran, Refusal
 from radishtally.process import Process
@@ -61,7 +61,7 @@
         self.core = EntryCore(settings.host, settings.place, random.Random())
         self.waker = Waker(lambda: self.handle(events.Tick()))
         hub = self.process.make_hub(
-            Callbacks(self._link_up, self._link_down, self._receive, self._is_busy)
+            LinkCallbacks(self._link_up, self._link_down, self._receive, self._is_busy)
         )
         self.members = Members(settings, hub, self.core)
         self.configurations = ConfigurationStore(
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -29,7 +29,7 @@
     is_mesh,
     list_data_centre,
 )
-from radishtally.links.hub import Callbacks, LinkHub
+from radishtally.links.hub import LinkCallbacks, LinkHub
 from radishtally.links.messages import Hello, Message
 from radishtally.runtime import Runtime
 from radishtally.serving.state import EntryCore
@@ -85,7 +85,7 @@
         )
         gateway = self._gateway
         guard = gateway.runtime.guard_call
-        callbacks = Callbacks(
+        callbacks = LinkCallbacks(
             guard(self._link_up),
             guard(self._link_down),
             guard(self._receive),
--- a/radishtally/links/hub.py
+++ b/radishtally/links/hub.py
@@ -33,7 +33,7 @@
 )
 
 
-class Callbacks(NamedTuple):
+class LinkCallbacks(NamedTuple):
     """Say what the process does with its links."""
 
     up: Callable[[Hello], None]
@@ -48,7 +48,7 @@
 class LinkHub:
     """Keep at most one link to each host."""
 
-    def __init__(self, hello: Hello, peer_key: str, callbacks: Callbacks) -> None:
+    def __init__(self, hello: Hello, peer_key: str, callbacks: LinkCallbacks) -> None:
         self._hello = hello
         self._peer_key = peer_key
         self._callbacks = callbacks
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -8,7 +8,7 @@
 
 from radishtally.audit.store import AuditLog
 from radishtally.distribution.core import Keeper
-from radishtally.links.hub import Callbacks, LinkHub
+from radishtally.links.hub import LinkCallbacks, LinkHub
 from radishtally.links.messages import (
     ConfigurationFiles,
     ConfigurationRequest,
@@ -44,11 +44,11 @@
         self.on_stall = self._count_stall
         self.on_configuration: Callable[[], None] = lambda: None
 
-    def make_hub(self, callbacks: Callbacks) -> LinkHub:
+    def make_hub(self, callbacks: LinkCallbacks) -> LinkHub:
         """Make the hub; it listens once it is started."""
         settings = self.settings
         hello = Hello(settings.host, settings.place, settings.role, self.incarnation, 0)
-        guarded = Callbacks(*map(self.guard_call, callbacks))
+        guarded = LinkCallbacks(*map(self.guard_call, callbacks))
         self.hub = LinkHub(hello, settings.peer_key, guarded)
         return self.hub
 
--- a/tests/adapter/test_outages.py
+++ b/tests/adapter/test_outages.py
@@ -10,7 +10,7 @@
 import pytest
 from adapter import const
 from adapter.store import ANSWER_SECONDS, Page, StoredRow
-from adapter.watch import Watcher
+from adapter.watch import StoreWatcher
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -181,7 +181,7 @@
             self._beat_at[host] = 0.0
             self._due_at[host] = number * BEAT_SECONDS / len(HOSTS)
             self._store.write(host, _make_entry(host))
-        Watcher(self._store, self._listener, self._loop.time).start()
+        StoreWatcher(self._store, self._listener, self._loop.time).start()
         await asyncio.sleep(1.0)
         while self._loop.time() < DAY_SECONDS:
             await asyncio.sleep(TICK_SECONDS)
--- a/tests/adapter/test_restored.py
+++ b/tests/adapter/test_restored.py
@@ -13,7 +13,7 @@
 from adapter import const
 from adapter.config import decode_configuration
 from adapter.store import Page, StoreClient, StoredRow
-from adapter.watch import TableWatch, Watcher
+from adapter.watch import StoreWatcher, TableWatch
 
 from radishtally.gateway.bounds import find_gathering
 from radishtally.gateway.members import Change, Members
@@ -172,7 +172,7 @@
         self.configured: list[tuple[int, bool]] = []
         self.changes: list[Change] = []
         self.client = EraClient(store)
-        self.watcher = Watcher(self.client, self, self.loop.time)
+        self.watcher = StoreWatcher(self.client, self, self.loop.time)
         self.watcher.start()
 
     def enter_era(self, before: int, after: int, silence: float) -> None:
--- a/tests/adapter/test_settings_file.py
+++ b/tests/adapter/test_settings_file.py
@@ -51,7 +51,7 @@
     monkeypatch.setenv(radishtallyd.SETTINGS_VARIABLE, str(file))
     monkeypatch.setattr(radishtallyd, "SETTINGS_SECONDS", 0.01, raising=False)
     monkeypatch.setattr(radishtallyd, "Gateway", FakeGateway)
-    monkeypatch.setattr(radishtallyd, "Watcher", NoWatcher)
+    monkeypatch.setattr(radishtallyd, "StoreWatcher", NoWatcher)
 
     async def play() -> None:
         settings = make_gateway(StoreClient(NOBODY), NOBODY, "g").settings
--- a/tests/adapter/test_watch.py
+++ b/tests/adapter/test_watch.py
@@ -11,8 +11,8 @@
 from adapter.store import Compacted, Page, StoredRow
 from adapter.watch import (
     FEED_SECONDS,
+    StoreWatcher,
     TableWatch,
-    Watcher,
 )
 
 from radishtally.gateway.members import Change, Forget, Members, Miss, Return, Set
@@ -227,7 +227,7 @@
     async def play() -> None:
         store = HostsStore(Ok(Page((listed,), 4)), AWAY, Ok(Page((removed,), 5)))
         listener = Listener()
-        Watcher(store, listener).start()
+        StoreWatcher(store, listener).start()
         await wait_until(lambda: len(listener.changes) == 3)
         listener.runtime.cancel_tasks()
         assert [type(change) for change in listener.changes] == [Set, Miss, Forget]
@@ -254,7 +254,7 @@
         away = [AWAY] * 4
         store = HostsStore(Ok(first), AWAY, Ok(lapsed), *away, Ok(back))
         listener = Listener()
-        Watcher(store, listener).start()
+        StoreWatcher(store, listener).start()
         await wait_until(lambda: len(listener.changes) >= 6)
         listener.runtime.cancel_tasks()
         return listener.changes
@@ -275,7 +275,7 @@
     async def play() -> list[Change]:
         store = HostsStore(Ok(Page(listed, 4)), Ok(Page(removed, 5)))
         listener = Listener()
-        Watcher(store, listener).start()
+        StoreWatcher(store, listener).start()
         await wait_until(lambda: len(listener.changes) == 4)
         listener.runtime.cancel_tasks()
         return listener.changes
@@ -302,7 +302,7 @@
 
     async def play() -> list[Change]:
         listener = Listener()
-        Watcher(HostsStore(*first, *then), listener).start()
+        StoreWatcher(HostsStore(*first, *then), listener).start()
         await wait_until(lambda: len(listener.changes) >= 7)
         listener.runtime.cancel_tasks()
         assert listener.unreadable == 0
@@ -320,7 +320,7 @@
     async def play() -> Listener:
         listener = Listener()
         store = HostsStore(Ok(Page(bad, 4)), Ok(Page(changes, 6)))
-        Watcher(store, listener).start()
+        StoreWatcher(store, listener).start()
         await wait_until(lambda: bool(listener.changes))
         listener.runtime.cancel_tasks()
         return listener
--- a/tests/distribution/test_process.py
+++ b/tests/distribution/test_process.py
@@ -6,7 +6,7 @@
 import pytest
 
 from radishtally import runtime as module
-from radishtally.links.hub import Callbacks
+from radishtally.links.hub import LinkCallbacks
 from radishtally.process import Process
 from radishtally.runtime import EXIT_BROKEN, Waker
 from radishtally.settings.core import parse_settings
@@ -98,6 +98,6 @@
 def make_process() -> Process:
     """Make a process that listens nowhere."""
     process = Process(parse_settings(SETTINGS, "s.json").ok)
-    process.make_hub(Callbacks(fail, fail, fail, fail))
+    process.make_hub(LinkCallbacks(fail, fail, fail, fail))
     process.install_handlers()
     return process
--- a/tests/gateway/common.py
+++ b/tests/gateway/common.py
@@ -12,7 +12,7 @@
 from adapter.store import StoreClient
 from adapter.table import StoreTable
 from adapter.upstreams import PlatformUpstreams
-from adapter.watch import Watcher
+from adapter.watch import StoreWatcher
 from aiohttp import web
 
 from radishtally.engines.placement import EnginePlacement
@@ -152,7 +152,7 @@
     client = StoreClient(store)
     await client.start()
     gateway = make_gateway(client, store, host)
-    watcher = Watcher(client, gateway)
+    watcher = StoreWatcher(client, gateway)
     watcher.start()
     running = asyncio.create_task(gateway.run())
     try:
--- a/tests/links/common.py
+++ b/tests/links/common.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncIterator, Callable
 from contextlib import AsyncExitStack, asynccontextmanager
 
-from radishtally.links.hub import Callbacks, LinkHub
+from radishtally.links.hub import LinkCallbacks, LinkHub
 from radishtally.links.messages import Hello, Message
 from standins.proxy import FaultProxy
 
@@ -22,7 +22,7 @@
         self.received: list[tuple[str, Message]] = []
         self.busy = True
         hello = Hello(host, "howrah", "agent", incarnation, 0)
-        callbacks = Callbacks(
+        callbacks = LinkCallbacks(
             self.ups.append,
             lambda peer, reason: self.downs.append((peer, reason)),
             lambda peer, message: self.received.append((peer, message)),
