--- a/tests/adapter/test_rows_standin.py
+++ b/tests/adapter/test_rows_standin.py
@@ -7,7 +7,7 @@
 
 from radishtally.exchange import SendOnce
 from standins.rows import Name, Rows
-from tests.common import run, standin
+from tests.common import run, run_standin
 from tests.gateway.common import WAIT_SECONDS, serve
 
 FIRST, SECOND, THIRD = (Name("servers", "", key) for key in "abc")
@@ -112,7 +112,7 @@
 
 
 def test_process_is_restored_by_a_call() -> None:
-    with standin("rows", "--era", "1") as store:
+    with run_standin("rows", "--era", "1") as store:
 
         def write(value, *names):
             writes = [{**name._asdict(), "value": value} for name in names]
--- a/tests/common.py
+++ b/tests/common.py
@@ -72,7 +72,7 @@
     return uvloop.run(coroutine)
 
 
-def find_address() -> str:
+def allocate_address() -> str:
     """Give a loopback address that no other test uses at the same time.
 
     A port that is free may be taken at any moment by what another test starts: a server
@@ -85,7 +85,7 @@
 
 
 @contextmanager
-def standin(name: str, *args: str) -> Iterator[StandIn]:
+def run_standin(name: str, *args: str) -> Iterator[StandIn]:
     """Run a stand-in and end it at the exit."""
     command = [sys.executable, "-m", f"standins.{name}", *args]
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
@@ -100,10 +100,10 @@
 
 
 @contextmanager
-def starter() -> Iterator[StartStandIn]:
+def make_standin_starter() -> Iterator[StartStandIn]:
     """Give a function that starts stand-ins, which all end at the exit."""
     with ExitStack() as stack:
-        yield lambda name, *args: stack.enter_context(standin(name, *args))
+        yield lambda name, *args: stack.enter_context(run_standin(name, *args))
 
 
 def _read_address(process: subprocess.Popen[str], name: str) -> str:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 from hypothesis import settings
 
 from bench.fleet import Fleet, read_sample
-from tests.common import StartStandIn, starter
+from tests.common import StartStandIn, make_standin_starter
 
 settings.register_profile("fixed", derandomize=True, deadline=None, database=None)
 settings.load_profile("fixed")
@@ -15,14 +15,14 @@
 @pytest.fixture
 def start_standin() -> Iterator[StartStandIn]:
     """Start stand-ins for one test."""
-    with starter() as start:
+    with make_standin_starter() as start:
         yield start
 
 
 @pytest.fixture(scope="module")
 def start_shared_standin() -> Iterator[StartStandIn]:
     """Start stand-ins for all tests of a module."""
-    with starter() as start:
+    with make_standin_starter() as start:
         yield start
 
 
--- a/tests/gateway/common.py
+++ b/tests/gateway/common.py
@@ -20,7 +20,7 @@
 from radishtally.gateway.daemon import Gateway
 from standins.rows import Name, Rows
 from standins.staged import StagedEngine
-from tests.common import find_address
+from tests.common import allocate_address
 
 LOOPBACK = "127.0.0.1"
 WAIT_SECONDS = 10.0
@@ -171,7 +171,7 @@
 
 def make_gateway(client: StoreClient, store: str, host: str) -> Gateway:
     """Make a gateway on addresses of its own."""
-    ip = find_address()
+    ip = allocate_address()
     settings = GatewaySettings(
         host=host,
         data_centre="howrah",
--- a/tests/store/test_table.py
+++ b/tests/store/test_table.py
@@ -16,7 +16,7 @@
     Row,
 )
 from radishtally.store.table import HttpTable, compute_revision
-from tests.common import find_address, run
+from tests.common import allocate_address, run
 from tests.store import common
 from tests.store.common import DISTURBED, TIMEOUT, name_outcome
 from tests.store.scripted import build_reply, serve_replies
@@ -131,7 +131,7 @@
 
 
 def test_refused_connection_is_surely_not_run(start_standin):
-    service = start_standin("table", "--address", find_address())
+    service = start_standin("table", "--address", allocate_address())
     service.process.kill()
     service.process.wait()
 
