--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -9,19 +9,19 @@
 from radishtally.direct.hosts import DirectHosts
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.members import (
-    LAPSE_SECONDS,
-    Change,
-    Forget,
+    MISSING_GRACE_SECONDS,
+    HostChange,
+    HostMissing,
+    HostRemoved,
+    HostReturned,
+    HostUpdated,
     Members,
-    Miss,
-    Return,
-    Set,
 )
-from radishtally.gateway.starts import Restart
+from radishtally.gateway.starts import HostRestarted
 from radishtally.links.messages import Cancel, Hello
 from radishtally.serving import events
-from radishtally.serving.state import EntryCore
-from radishtally.stages.keeper import StageKeeper
+from radishtally.serving.state import DispatchCore
+from radishtally.stages.role_controller import RoleController
 
 
 class Parts(Protocol):
@@ -30,21 +30,21 @@
     members: Members
     hosts: DirectHosts
     placement: EnginePlacement
-    core: EntryCore
-    stages: StageKeeper
+    core: DispatchCore
+    stages: RoleController
 
     def handle(self, event: events.Event) -> None:
         """Give the core an event and carry out its commands."""
 
 
 @singledispatch
-def carry_out(change: Change, parts: Parts) -> None:
+def carry_out(change: HostChange, parts: Parts) -> None:
     """Bring one change to all parts."""
     raise TypeError(f"no way to carry out {type(change)}")
 
 
 @carry_out.register
-def _(change: Set, parts: Parts) -> None:
+def _(change: HostUpdated, parts: Parts) -> None:
     instance = change.instance
     host = instance.host
     log_message(
@@ -60,28 +60,28 @@
     parts.placement.set_instance(instance)
     live = not instance.is_draining
     parts.core.set_host(host, instance.data_centre, instance.upstream, live)
-    parts.core.hosts[host].tells_start = instance.started_ms > 0
+    parts.core.hosts[host].reports_start = instance.started_ms > 0
     if host not in parts.core.links:
         _link(instance, parts)
 
 
 @carry_out.register
-def _(change: Miss, parts: Parts) -> None:
+def _(change: HostMissing, parts: Parts) -> None:
     log_message(
         "upstream:missing",
         upstream_host=change.host,
         reason=change.reason,
-        seconds=LAPSE_SECONDS,
+        seconds=MISSING_GRACE_SECONDS,
     )
 
 
 @carry_out.register
-def _(change: Return, parts: Parts) -> None:
+def _(change: HostReturned, parts: Parts) -> None:
     log_message("upstream:returned", upstream_host=change.host)
 
 
 @carry_out.register
-def _(change: Restart, parts: Parts) -> None:
+def _(change: HostRestarted, parts: Parts) -> None:
     host = change.host
     log_message(
         "upstream:restarted",
@@ -90,14 +90,14 @@
         after=change.after,
         source=change.source.value,
     )
-    parts.placement.restart(host)
-    parts.stages.forget(host)
+    parts.placement.reset_engine(host)
+    parts.stages.reset_engine(host)
     parts.core.restart_host(host)
     parts.core.links.pop(host, None)
 
 
 @carry_out.register
-def _(change: Forget, parts: Parts) -> None:
+def _(change: HostRemoved, parts: Parts) -> None:
     host = change.host
     log_message("upstream:gone", upstream_host=host)
     parts.hosts.forget(host)
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -9,7 +9,7 @@
 
 from eliot import log_message
 
-from radishtally.authority.holder import LeaseHolder
+from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.absences import Absences
 from radishtally.gateway.const import (
@@ -32,8 +32,8 @@
 from radishtally.links.hub import LinkCallbacks, LinkHub
 from radishtally.links.messages import Hello, Message
 from radishtally.runtime import Runtime
-from radishtally.serving.state import EntryCore
-from radishtally.stages.keeper import StageKeeper
+from radishtally.serving.state import DispatchCore
+from radishtally.stages.role_controller import RoleController
 from radishtally.store.core import Row, Table
 
 GONE_SECONDS: Final = 600.0
@@ -47,9 +47,9 @@
     runtime: Runtime
     placement: EnginePlacement
     recall: Recall
-    stages: StageKeeper
-    lease: LeaseHolder
-    core: EntryCore
+    stages: RoleController
+    lease: LeaseDriver
+    core: DispatchCore
     table: Table
 
     def count_gateways(self, count: int) -> None:
--- a/radishtally/serving/state.py
+++ b/radishtally/serving/state.py
@@ -6,9 +6,9 @@
 
 from radishtally.limits.retries import RetryBudgets
 from radishtally.serving.const import (
-    OFFER_SECONDS,
-    PAUSE_SPREAD,
-    UNREACHED_TO_MISS,
+    OFFER_TIMEOUT_SECONDS,
+    PAUSE_JITTER,
+    UNREACHED_TO_PRESUME_GONE,
 )
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.placement import Placement, RankedPlacement
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class EntryCore:
+class DispatchCore:
     """Hold what one entry knows."""
 
     host: str
@@ -25,11 +25,11 @@
     random: random.Random
     placement: Placement = field(default_factory=RankedPlacement)
     budgets: RetryBudgets = field(default_factory=lambda: RetryBudgets(0.1))
-    offer_seconds: float = OFFER_SECONDS
+    offer_timeout: float = OFFER_TIMEOUT_SECONDS
     """Longest time that a host may leave an offer without a word."""
-    refusals_cost: bool = False
+    refusals_cost_retries: bool = False
     """Whether an offer that follows a refused one is paid from the budget too."""
-    prompts_run: bool = True
+    prefill_counts_as_run: bool = True
     """Whether work has begun to run when its prompt is computed: agents make the first
     token with it."""
     hosts: dict[str, KnownHost] = field(default_factory=dict)
@@ -78,7 +78,7 @@
     def is_out_of_reach(self, host: str) -> bool:
         """Tell whether a host has lately been tried in vain, more than once."""
         known = self.hosts.get(host)
-        return known is not None and known.unreached >= UNREACHED_TO_MISS
+        return known is not None and known.unreached_offers >= UNREACHED_TO_PRESUME_GONE
 
     def pause_host(self, host: str, seconds: float, now: float) -> None:
         """Take that a host wants no work for a while."""
@@ -90,7 +90,7 @@
 
     def spread_pause(self, seconds: float) -> float:
         """Put off the end of a pause, each time by another part of it."""
-        return seconds * (1.0 + self.random.uniform(0.0, PAUSE_SPREAD))
+        return seconds * (1.0 + self.random.uniform(0.0, PAUSE_JITTER))
 
     def set_host(self, host: str, place: str, upstream: str, live: bool) -> None:
         """Take what the membership makes of a host."""
--- a/tests/adapter/test_watch.py
+++ b/tests/adapter/test_watch.py
@@ -15,7 +15,14 @@
     TableWatch,
 )
 
-from radishtally.gateway.members import Change, Forget, Members, Miss, Return, Set
+from radishtally.gateway.members import (
+    HostChange,
+    HostMissing,
+    HostRemoved,
+    HostReturned,
+    HostUpdated,
+    Members,
+)
 from radishtally.outcome import Error, Ok, Result
 from radishtally.runtime import Runtime
 from radishtally.store.core import Unavailable
@@ -201,7 +208,7 @@
     def __init__(self) -> None:
         self.members = Members()
         self.runtime = Runtime()
-        self.changes: list[Change] = []
+        self.changes: list[HostChange] = []
         self.unreadable = 0
 
     def count_unreadable(self, count: int) -> None:
@@ -210,7 +217,7 @@
     def find_gathering(self) -> float:
         return 0.0
 
-    def apply(self, changes: list[Change]) -> None:
+    def apply(self, changes: list[HostChange]) -> None:
         self.changes += changes
 
 
@@ -223,7 +230,7 @@
 ) -> None:
     monkeypatch.setattr("adapter.watch.MIN_OUTAGE_SECONDS", 0.0)
     for module in ("adapter.watch", "radishtally.gateway.members"):
-        monkeypatch.setattr(f"{module}.LAPSE_SECONDS", 0.05)
+        monkeypatch.setattr(f"{module}.MISSING_GRACE_SECONDS", 0.05)
     listed, removed = StoredRow("a", DESK, 1), StoredRow("a", None, 5)
 
     async def play() -> None:
@@ -232,7 +239,11 @@
         StoreWatcher(store, listener).start()
         await wait_until(lambda: len(listener.changes) == 3)
         listener.runtime.cancel_tasks()
-        assert [type(change) for change in listener.changes] == [Set, Miss, Forget]
+        assert [type(change) for change in listener.changes] == [
+            HostUpdated,
+            HostMissing,
+            HostRemoved,
+        ]
 
     with asyncio.Runner(loop_factory=EarlyLoop) as runner:
         runner.run(play())
@@ -246,11 +257,11 @@
 ) -> None:
     monkeypatch.setattr("adapter.watch.MIN_OUTAGE_SECONDS", 0.0)
     for module in ("adapter.watch", "radishtally.gateway.members"):
-        monkeypatch.setattr(f"{module}.LAPSE_SECONDS", 0.05)
+        monkeypatch.setattr(f"{module}.MISSING_GRACE_SECONDS", 0.05)
     listed = tuple(StoredRow(host, DESK, 1) for host in "ab")
     removed = tuple(StoredRow(host, None, 5) for host in "ab")
 
-    async def play() -> list[Change]:
+    async def play() -> list[HostChange]:
         first, lapsed, back = Page(listed, 4), Page(removed, 5), Page(listed, 9)
         away = [AWAY] * 4
         store = HostsStore(Ok(first), AWAY, Ok(lapsed), *away, Ok(back))
@@ -261,7 +272,14 @@
         return listener.changes
 
     kinds = [type(change) for change in run(play())]
-    assert kinds == [Set, Set, Miss, Miss, Return, Return]
+    assert kinds == [
+        HostUpdated,
+        HostUpdated,
+        HostMissing,
+        HostMissing,
+        HostReturned,
+        HostReturned,
+    ]
 
 
 # Guards against refusing all callers for a second. The store was unavailable, but the
@@ -272,7 +290,7 @@
     listed = tuple(StoredRow(host, DESK, 1) for host in "ab")
     removed = tuple(StoredRow(host, None, 5) for host in "ab")
 
-    async def play() -> list[Change]:
+    async def play() -> list[HostChange]:
         store = HostsStore(Ok(Page(listed, 4)), Ok(Page(removed, 5)))
         listener = Listener()
         StoreWatcher(store, listener).start()
@@ -280,7 +298,12 @@
         listener.runtime.cancel_tasks()
         return listener.changes
 
-    assert [type(change) for change in run(play())] == [Set, Set, Miss, Miss]
+    assert [type(change) for change in run(play())] == [
+        HostUpdated,
+        HostUpdated,
+        HostMissing,
+        HostMissing,
+    ]
 
 
 # Guards against routing by an entry that another writer has overwritten. The invalid
@@ -299,7 +322,7 @@
         Ok(Page((StoredRow("a", DESK, 7),), 8)),
     ]
 
-    async def play() -> list[Change]:
+    async def play() -> list[HostChange]:
         listener = Listener()
         StoreWatcher(HostsStore(*first, *then), listener).start()
         await wait_until(lambda: len(listener.changes) >= 7)
@@ -308,7 +331,11 @@
         return listener.changes
 
     changes = run(play())
-    assert [type(change) for change in changes] == [*[Set] * 5, Forget, Set]
+    assert [type(change) for change in changes] == [
+        *[HostUpdated] * 5,
+        HostRemoved,
+        HostUpdated,
+    ]
     assert changes[5].host == changes[6].instance.host == "a"
 
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -6,10 +6,10 @@
 import aiohttp
 import pytest
 
-from radishtally.engines.state import START_RATE, PeerShare
-from radishtally.limits.breaker import Breaker
+from radishtally.engines.state import INITIAL_PREFILL_RATE, PeerShare
+from radishtally.limits.breaker import CircuitBreaker
 from radishtally.links.messages import WaitingTokens
-from radishtally.serving.const import UNREACHED_TO_MISS
+from radishtally.serving.const import UNREACHED_TO_PRESUME_GONE
 from standins.staged import EVENTS, StagedEngine, make_event
 from tests.common import run
 from tests.gateway.common import Deployment, deployment, make_prompt, wait_until
@@ -62,8 +62,8 @@
         async with deployment() as made:
             prefill, decode = await start_engines(made)
             known = made.gateway.core.hosts[host]
-            known.breaker = Breaker(first=60.0, longest=60.0)
-            known.breaker.failed(time.monotonic())
+            known.breaker = CircuitBreaker(first=60.0, longest=60.0)
+            known.breaker.record_failure(time.monotonic())
             assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
             assert len(prefill.handles) == 1
             assert decode.runs == {"r1": 1}
@@ -76,9 +76,9 @@
         async with deployment() as made:
             prefill, decode = await start_engines(made)
             known = made.gateway.core.hosts["p-1"]
-            known.breaker = Breaker(first=60.0, longest=60.0)
-            known.breaker.failed(time.monotonic())
-            known.unreached = UNREACHED_TO_MISS
+            known.breaker = CircuitBreaker(first=60.0, longest=60.0)
+            known.breaker.record_failure(time.monotonic())
+            known.unreached_offers = UNREACHED_TO_PRESUME_GONE
             assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
             assert not prefill.handles
 
@@ -105,7 +105,7 @@
         async with deployment() as made:
             prefill, first, second = await start_engines(made, decode=2)
             first.cut_after = second.cut_after = 2
-            busy = PeerShare((WaitingTokens(0, int(3.0 * START_RATE)),), 0)
+            busy = PeerShare((WaitingTokens(0, int(3.0 * INITIAL_PREFILL_RATE)),), 0)
             engine = made.gateway.placement._engines[prefill.instance]
             engine.take_share("peer", busy, time.monotonic())
             assert await stream(made, "/draft/a", "r1") == make_whole("r1")
