--- a/radishtally/__init__.py
+++ b/radishtally/__init__.py
@@ -1,1 +1,1 @@
-"""Serve language models from a fixed fleet under a shifting token mix."""
+"""Request routing for language models on a fixed fleet under a changing token mix."""
--- a/radishtally/connector.py
+++ b/radishtally/connector.py
@@ -1,4 +1,4 @@
-"""Keep connections open for later requests, unless something comes unasked."""
+"""Connection pool that drops connections on which unsolicited data arrives."""
 
 import select
 import time
@@ -16,19 +16,19 @@
 
 
 class ConnectionUsage(NamedTuple):
-    """Describe a connection at the moment at which a request takes it."""
+    """Describe a connection at the time at which a request acquires it."""
 
     age: float = 0.0
-    """Seconds since it was opened."""
+    """Seconds since the connection was opened."""
     carried: int = 0
-    """Requests that it carried before."""
+    """Number of earlier requests on the connection."""
 
 
 class CheckedHandler(ResponseHandler):
-    """Read the answers on one connection, and close it if one comes unasked.
+    """Read the answers on one connection, and close it on unsolicited data.
 
-    An answer that comes while no request is out belongs to an earlier one, whatever it
-    says. Left where it is it would be read as the answer to the next request.
+    Data that arrives while no request is in flight belongs to an earlier request. It
+    would otherwise be read as the answer to the next one.
     """
 
     def __init__(
@@ -37,85 +37,85 @@
         super().__init__(loop=loop)
         self.usage = ConnectionUsage()
         self._service = service
-        self._on_unasked = on_unsolicited
+        self._on_unsolicited = on_unsolicited
         self._opened_at = time.monotonic()
         self._requests = 0
         self._is_idle = False
-        self._is_begun = False
+        self._head_seen = False
 
     @property
-    def is_kept(self) -> bool:
-        """Tell whether the connection has carried a request."""
+    def is_reused(self) -> bool:
+        """Return whether the connection has carried a request before."""
         return self._requests > 0
 
-    def begin(self) -> None:
-        """Take note that a request takes the connection."""
-        self.usage = self._measure()
+    def begin_request(self) -> None:
+        """Record that a request has acquired the connection."""
+        self.usage = self._measure_usage()
         self._requests += 1
         self._is_idle = False
-        self._is_begun = False
+        self._head_seen = False
 
-    def rest(self) -> None:
-        """Take note that the request is answered."""
+    def end_request(self) -> None:
+        """Record that the request has been answered."""
         self._is_idle = True
 
     def data_received(self, data: bytes) -> None:
-        """Take what came."""
-        # The library calls without data when it goes on with what it has read.
-        is_unasked = self._is_idle and data
-        for part in self._split(data):
+        """Process received data."""
+        # The library passes no data when it resumes parsing what it has buffered.
+        is_unsolicited = self._is_idle and data
+        for part in self._split_head(data):
             super().data_received(part)
-        # The library gives the connection back as soon as it has found an answer's end,
-        # and then goes on to what follows in the same bytes.
-        if is_unasked or (self._is_idle and len(self)):
-            self._on_unasked()
+        # The library releases the connection as soon as it has found an answer's end,
+        # and then continues with the rest of the same bytes.
+        if is_unsolicited or (self._is_idle and len(self)):
+            self._on_unsolicited()
             self.drop()
 
-    def _split(self, data: bytes) -> tuple[bytes, ...]:
-        """Part the first head of an answer from what follows it.
+    def _split_head(self, data: bytes) -> tuple[bytes, ...]:
+        """Split off the head of an answer from the data behind it.
 
-        The library throws a whole answer away if it can't read what follows it in the
-        same bytes, such as a second answer behind the last one of a connection. A head
-        that was read before is kept, and the answer is delivered.
+        The library discards a complete answer if it can't parse what follows in the
+        same bytes, such as a second answer after the last one of a connection. If the
+        head was parsed before, the answer is delivered.
         """
-        if self._is_begun:
+        if self._head_seen:
             return (data,)
         end = data.find(HEAD_END)
         if end < 0:
             return (data,)
-        self._is_begun = True
+        self._head_seen = True
         end += len(HEAD_END)
         return (data[:end], data[end:]) if end < len(data) else (data,)
 
-    def has_unread(self) -> bool:
-        """Tell whether anything has come that no request has taken.
+    def has_unread_data(self) -> bool:
+        """Return whether data has arrived that belongs to no request.
 
-        The kernel may hold bytes, or the connection's end, since the loop last looked;
-        the parser may hold the beginning of a head, whose rest would then be read as
+        The kernel may have received bytes, or the connection's end, since the loop last
+        polled. The parser may hold the beginning of a head, whose rest would be read as
         the beginning of the next answer.
         """
         if self.transport is None:
             return False
-        return self._has_bytes() or self._has_part()
+        return self._has_unread_bytes() or self._has_partial_head()
 
-    def _has_bytes(self) -> bool:
+    def _has_unread_bytes(self) -> bool:
         poller = select.poll()
         poller.register(self.transport.get_extra_info("socket"), select.POLLIN)
         return bool(poller.poll(0))
 
-    def _has_part(self) -> bool:
-        # A connection that is taken gets a new parser: this one is not needed any more.
+    def _has_partial_head(self) -> bool:
+        # An acquired connection gets a new parser, so this one is no longer needed.
         try:
             return self._parser is not None and self._parser.feed_eof() is not None
         except HttpProcessingError:
             return True
 
     def drop(self) -> None:
-        """Close a connection on which something came unasked."""
+        """Close the connection after unsolicited data, and log that."""
         if self.transport is None:
             return
-        usage = self._measure()
-        # A connection that was reset has no other end any more.
+        usage = self._measure_usage()
+        # A connection that was reset has no peer name any more.
         peer = self.transport.get_extra_info("peername") or ("unknown", 0)
         log_message(
             f"{self._service}:connection_dropped",
@@ -126,12 +126,12 @@
         )
         self.abort()
 
-    def _measure(self) -> ConnectionUsage:
+    def _measure_usage(self) -> ConnectionUsage:
         return ConnectionUsage(time.monotonic() - self._opened_at, self._requests)
 
 
 class CheckedConnector(aiohttp.TCPConnector):
-    """Keep connections to a service, and pass none on that holds anything to read."""
+    """Pool connections to a service, and reuse none that has unread data."""
 
     def __init__(
         self,
@@ -140,19 +140,19 @@
         **options: Any,
     ) -> None:
         super().__init__(**options)
-        # The library has no public way to be given a protocol.
+        # The library has no public way to set the protocol class.
         self._factory = partial(CheckedHandler, self._loop, service, on_unsolicited)
 
     async def connect(self, *args: Any, **options: Any) -> Connection:
-        """Take a connection that is kept open, or open one."""
+        """Acquire an idle connection without unread data, or open a new one."""
         while True:
             connection = await super().connect(*args, **options)
             handler = connection.protocol
-            # What came since the loop last looked has not been read yet.
-            if not handler.is_kept or not handler.has_unread():
+            # Data that arrived since the loop last polled has not been read yet.
+            if not handler.is_reused or not handler.has_unread_data():
                 break
             handler.drop()
             connection.close()
-        handler.begin()
-        connection.add_callback(handler.rest)
+        handler.begin_request()
+        connection.add_callback(handler.end_request)
         return connection
--- a/radishtally/daemon.py
+++ b/radishtally/daemon.py
@@ -1,4 +1,4 @@
-"""Start one process of the system: `radishtallyd --settings FILE`."""
+"""Entry point of an agent or entry process: `radishtallyd --settings FILE`."""
 
 import asyncio
 import sys
@@ -15,7 +15,7 @@
 
 
 def run(path: str) -> None:
-    """Run until a planned stop; end with a code that tells what was wrong."""
+    """Run until a graceful stop; exit with a code that identifies the error."""
     outcome = read_settings(path)
     if outcome.is_error():
         print(f"radishtallyd: {outcome.error}", file=sys.stderr)
@@ -30,7 +30,7 @@
 
 
 def _make_daemon(settings: Settings):  # noqa: ANN202
-    # The agent must stay small, so the entry's libraries are imported only by entries.
+    # Agents must use little memory, so only entries import the entry's libraries.
     if settings.role == "agent":
         from radishtally.agent.daemon import AgentDaemon
 
@@ -41,7 +41,7 @@
 
 
 def main() -> None:
-    """Read the command line and run."""
+    """Parse the command line and run the daemon."""
     paths: list[str] = []
 
     def radishtallyd(settings: str) -> None:
@@ -54,8 +54,8 @@
         """
         paths.append(str(settings))
 
-    # fire calls a function before it looks at the words behind its arguments: the
-    # daemon starts only once the whole line is known to be good.
+    # fire calls a function before it checks the words after its arguments. The daemon
+    # starts only once the whole command line has been parsed.
     fire.Fire(radishtallyd, name="radishtallyd")
     if paths:
         run(paths[-1])
--- a/radishtally/driver.py
+++ b/radishtally/driver.py
@@ -1,4 +1,4 @@
-"""Drive a pure core: bring it events, carry out its commands, wake it in time."""
+"""Driver for cores without I/O: deliver events, execute commands, set timers."""
 
 import asyncio
 import time
@@ -7,14 +7,14 @@
 
 
 class Core(Protocol):
-    """Be what a driver needs of a core."""
+    """Define the interface of a core."""
 
     def handle(self, event: Any, now: float) -> list[Any]:
-        """Take one event and give the commands that follow."""
+        """Process an event and return the resulting commands."""
 
 
 class CoreDriver:
-    """Run one core on the loop; subclasses carry out its commands."""
+    """Run one core on the event loop; subclasses execute its commands."""
 
     def __init__(
         self, core: Core, tick: object, clock: Callable[[], float] = time.monotonic
@@ -26,7 +26,7 @@
         self._calls: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Begin."""
+        """Deliver the first tick."""
         self._handle(self._tick)
 
     def _handle(self, event: Any) -> None:
@@ -37,20 +37,20 @@
         raise TypeError(f"unknown command {command!r}")
 
     def _schedule_tick(self, when: float) -> None:
-        """Tick at a time, in place of any time that was asked for before."""
+        """Schedule the next tick, in place of any that was scheduled before."""
         self._cancel_timer()
         delay = max(0.0, when - self._clock())
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(delay, self._handle, self._tick)
 
     def _start_call(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a call whose outcome comes back as an event."""
+        """Run a call in a task; it delivers its outcome as an event."""
         call = asyncio.create_task(work)
         self._calls.add(call)
         call.add_done_callback(self._calls.discard)
 
     async def _cancel_all(self) -> None:
-        """Drop the calls that are under way and wake no more."""
+        """Cancel the timer and the calls in flight."""
         self._cancel_timer()
         calls = list(self._calls)
         for call in calls:
--- a/radishtally/exchange.py
+++ b/radishtally/exchange.py
@@ -1,4 +1,4 @@
-"""Make the HTTP library do once what it is told, and say how it failed."""
+"""HTTP exchanges without hidden retries, and with checks for truncated answers."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -15,8 +15,8 @@
     TimeoutError,
     ValueError,
 )
-"""What an exchange may end with. Any that is left out ends its task unseen, and the
-request holds its place at the upstream until its deadline."""
+"""Exceptions that an HTTP exchange may raise. Any other one ends its task unhandled,
+and the request occupies its slot at the upstream until its deadline."""
 
 
 BODILESS_STATUSES: Final = (204, 304)
@@ -24,18 +24,18 @@
 
 
 def decode_headers(raw: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Give headers as text, in their order and as they were sent."""
+    """Decode headers, keeping their order and spelling."""
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1")) for name, value in raw
     )
 
 
 class SendOnce:
-    """Let one call go out once.
+    """Send a request at most once.
 
-    The library sends PUT and DELETE again by itself when the connection ends without
-    an answer: a dispatch would be made twice, unseen by us. Whether a call may be run
-    again is for the configuration and the entry to say.
+    The library resends PUT and DELETE by itself if the connection ends without an
+    answer, so a dispatch could run twice unnoticed. Whether a call may be retried is
+    up to the configuration and the entry.
     """
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
     async def __call__(
         self, request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
     ) -> aiohttp.ClientResponse:
-        """Pass the first sending on and refuse any other."""
+        """Pass the first attempt on and fail any other."""
         if self._sent:
             raise aiohttp.ClientError("the connection ended without an answer")
         self._sent = True
@@ -52,22 +52,21 @@
 
 
 class CheckedResponse(aiohttp.ClientResponse):
-    """Know how the connection of an answer ended.
+    """Detect answers that a connection reset has truncated.
 
-    An answer without a length ends with its connection. The library takes the end for
-    good even if it was a reset: a caller would be given a part of an answer as a whole
-    one.
+    An answer without a length ends with its connection. The library accepts that end
+    even if it was a reset, and a caller would get a truncated answer as a complete one.
     """
 
     _watched: ResponseHandler | None = None
 
     async def start(self, connection: Connection) -> "CheckedResponse":
-        """Read the head, and keep hold of the connection."""
+        """Read the head, and keep a reference to the connection's protocol."""
         self._watched = connection.protocol
         return await super().start(connection)
 
     def check_end(self) -> None:
-        """Raise if an answer without a length ended otherwise than by a close."""
+        """Raise an error if an answer without a length did not end with a close."""
         if self.is_framed or self._watched is None:
             return
         error = self._watched.exception()
@@ -78,7 +77,7 @@
 
     @property
     def is_framed(self) -> bool:
-        """Tell whether the answer's end is marked, by its head, length or chunks."""
+        """Return whether the answer's end is defined by its head, length or chunks."""
         if self.status in BODILESS_STATUSES or self.method == "HEAD":
             return True
         coding = self.headers.get("Transfer-Encoding", "").lower()
--- a/radishtally/metrics.py
+++ b/radishtally/metrics.py
@@ -1,4 +1,4 @@
-"""Send metrics by statsd."""
+"""Metrics that are sent to a statsd daemon."""
 
 from typing import Protocol
 
@@ -6,34 +6,34 @@
 
 
 class Metrics(Protocol):
-    """Count, time and gauge."""
+    """Define the interface of a metrics client."""
 
     def incr(self, stat: str, count: int = 1) -> None:
-        """Count events."""
+        """Increment a counter."""
 
     def timing(self, stat: str, delta: float) -> None:
-        """Report a time in milliseconds."""
+        """Report a duration in milliseconds."""
 
     def gauge(self, stat: str, value: float) -> None:
-        """Report a level."""
+        """Report the current value of a gauge."""
 
 
-class NoMetrics:
-    """Stand where no statsd daemon is set."""
+class NullMetrics:
+    """Discard all metrics, if no statsd daemon is configured."""
 
     def incr(self, stat: str, count: int = 1) -> None:
-        """Count nothing."""
+        """Do nothing."""
 
     def timing(self, stat: str, delta: float) -> None:
-        """Report nothing."""
+        """Do nothing."""
 
     def gauge(self, stat: str, value: float) -> None:
-        """Report nothing."""
+        """Do nothing."""
 
 
 def make_metrics(address: str | None, host: str) -> Metrics:
-    """Make the client for the statsd daemon at an address, if there is one."""
+    """Create a client for the statsd daemon at an address, or one that does nothing."""
     if address is None:
-        return NoMetrics()
+        return NullMetrics()
     ip, port = address.rsplit(":", 1)
     return StatsClient(ip, int(port), prefix=f"radishtally.{host}")
--- a/radishtally/outcome.py
+++ b/radishtally/outcome.py
@@ -1,4 +1,4 @@
-"""Errors that the system's functions return as values."""
+"""Error types that functions return as values instead of raising."""
 
 from typing import Final, NamedTuple
 
@@ -8,30 +8,30 @@
 
 
 class Ran:
-    """Tell whether refused work ran."""
+    """Define whether work that was refused or lost may have run."""
 
     NO: Final = "no"
     UNKNOWN: Final = "unknown"
 
 
 class Fault(NamedTuple):
-    """Tell an operator what is wrong and where."""
+    """Describe an error and its location to an operator."""
 
     message: str
     place: str = ""
-    """File and key path, or the name of what was asked for."""
+    """File and key path, or the name of the requested object."""
 
     def __str__(self) -> str:
-        """Give one line for standard error."""
+        """Format the error in one line."""
         return f"{self.place}: {self.message}" if self.place else self.message
 
 
 class Refusal(NamedTuple):
-    """Tell a caller why its request is not answered."""
+    """Describe to a caller why its request was refused."""
 
     status: int
     code: str
     message: str
     ran: str = Ran.NO
     retry_after: float | None = None
-    """Seconds until it is worth asking again; none if it never is."""
+    """Seconds after which a retry makes sense; none if it never does."""
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -1,4 +1,4 @@
-"""Hold what every process of the system needs, whatever its role."""
+"""Base of entry and agent processes: store clients, links, metrics, configuration."""
 
 import secrets
 import time
@@ -28,7 +28,7 @@
 
 
 class Process(Runtime):
-    """Set up and unload the parts that entries and agents share."""
+    """Set up and shut down the components that entries and agents share."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
         self.on_configuration: Callable[[], None] = lambda: None
 
     def make_hub(self, callbacks: LinkCallbacks) -> LinkHub:
-        """Make the hub; it listens once it is started."""
+        """Create the link hub, which listens once it is started."""
         settings = self.settings
         hello = Hello(settings.host, settings.place, settings.role, self.incarnation, 0)
         guarded = LinkCallbacks(*map(self.guard_call, callbacks))
@@ -53,7 +53,7 @@
         return self.hub
 
     async def unload(self) -> None:
-        """Close what was set up; end with an error code if an invariant broke."""
+        """Close all components; exit with an error code if an invariant was broken."""
         self.cancel_tasks()
         await self.audit.stop()
         await self.hub.stop()
@@ -66,7 +66,7 @@
         self.metrics.timing("stalled", stall.seconds * 1000)
 
     def handle_common_message(self, host: str, message: Message) -> bool:
-        """Take a message that means the same in every role; tell whether it was one."""
+        """Handle a message that is common to all roles; return whether it was one."""
         if isinstance(message, Hello | Ping | Pong):
             self.request_newer_configuration(host, message.revision)
             return not isinstance(message, Ping)
@@ -81,13 +81,13 @@
         return False
 
     def request_newer_configuration(self, host: str, revision: int) -> None:
-        """Ask a peer that has a newer configuration for it."""
+        """Request the configuration from a peer that has a newer revision."""
         ask = self.keeper.note_peer(host, revision, time.monotonic())
         if ask is not None:
             self.hub.send(host, ask)
 
     def apply_configuration(self, given: ConfigurationFiles, source: str) -> None:
-        """Bring a configuration into force and tell every peer at once."""
+        """Apply a configuration and announce its revision to all peers."""
         outcome = self.keeper.take(given)
         if outcome.is_error():
             log_message(
--- a/radishtally/runtime.py
+++ b/radishtally/runtime.py
@@ -1,4 +1,4 @@
-"""Run a process's tasks, and end it when an invariant breaks."""
+"""Runtime of a process: tasks, signals, and the stop after a broken invariant."""
 
 import asyncio
 import signal
@@ -19,64 +19,67 @@
 
 
 def read_boot_clock() -> float:
-    """Give seconds on a steady clock that goes on while the machine is suspended.
+    """Return seconds of a monotonic clock that includes the time of a suspend.
 
-    The usual steady clock stands still meanwhile: a holder that was suspended past the
-    end of its lease would wake in the belief that it still holds it.
+    The usual monotonic clock stops during a suspend: a holder that is suspended beyond
+    the end of its lease would resume as if it still held the lease.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Runtime:
-    """Hold a process's tasks and its way to end."""
+    """Run a process's tasks, and stop the process on a signal or a broken invariant."""
 
     def __init__(self) -> None:
         self.stopping = asyncio.Event()
         self.broken = False
         self.on_stall: Callable[[Stall], None] = lambda _: None
         self.describe_state: Callable[[], dict[str, Any]] = dict
-        """Tell what this process believes that a stall may have made untrue."""
+        """Returns state that may be stale after a stall, to be logged with it."""
         self._tasks: set[asyncio.Task] = set()
 
     def install_handlers(self) -> None:
-        """Turn SIGTERM and SIGINT into a planned stop; let no error go unseen."""
+        """Handle SIGTERM and SIGINT as a graceful stop, and unhandled loop errors.
+
+        Also start to watch the event loop for stalls.
+        """
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self._take_loop_error)
+        loop.set_exception_handler(self._handle_loop_error)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
-        self.spawn(watch_stalls(self._take_stall, read_boot_clock))
+        self.spawn(watch_stalls(self._report_stall, read_boot_clock))
 
     def on_hangup(self, callback: Callable[[], None]) -> None:
-        """Call back when the settings are to be read again."""
+        """Call back on SIGHUP, which asks for the settings to be reloaded."""
         loop = asyncio.get_running_loop()
         call = self.guard_call(callback)
-        # A handler of the loop is set to the signal's default as it is removed, and a
-        # hangup at that moment, on whatever thread, ends the process.
+        # Removing a handler of the loop restores the signal's default action, and a
+        # SIGHUP at that moment, on any thread, would end the process.
         signal.signal(signal.SIGHUP, lambda *_: loop.call_soon_threadsafe(call))
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Run a coroutine until it ends or the process unloads."""
+        """Run a coroutine in a task that is cancelled when the process shuts down."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._finish)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _take_stall(self, stall: Stall) -> None:
+    def _report_stall(self, stall: Stall) -> None:
         log_message("process:stalled", **stall._asdict(), **self.describe_state())
         self.on_stall(stall)
 
-    def _finish(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
         self.abort(task.exception())
 
     def abort(self, error: BaseException) -> None:
-        """End the process after a broken invariant.
+        """Stop the process after a broken invariant.
 
-        Outcomes are values, so an exception that nobody takes shows a state that was
-        held to be impossible. Going on could answer wrongly; the process ends with an
-        error code, and its peers carry on.
+        Errors are returned as values, so an unhandled exception shows a state that
+        should be impossible. Wrong answers could follow, so the process exits with an
+        error code, and its peers take over.
         """
         trace = "".join(traceback.format_exception(error))
         log_message("process:broken", error=repr(error), traceback=trace)
@@ -85,7 +88,7 @@
 
     @contextmanager
     def guard(self) -> Iterator[None]:
-        """End the process if an exception comes out, whoever would swallow it."""
+        """Stop the process on an exception, even if a caller would suppress it."""
         try:
             yield
         except Exception as error:
@@ -93,7 +96,7 @@
             raise
 
     def guard_call(self, callback: Callable[..., Any]) -> Callable[..., Any]:
-        """Wrap a callback so that an exception out of it ends the process."""
+        """Wrap a callback so that an exception in it stops the process."""
 
         def call(*args: Any) -> Any:
             with self.guard():
@@ -101,37 +104,37 @@
 
         return call
 
-    def _take_loop_error(
+    def _handle_loop_error(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]
     ) -> None:
         error = context.get("exception")
-        if error is not None and _is_ours(error):
+        if error is not None and _is_from_package(error):
             self.abort(error)
             return
         log_message("loop:error", error=repr(error), text=str(context.get("message")))
 
     def cancel_tasks(self) -> None:
-        """Cancel all that was spawned and still runs."""
+        """Cancel all running tasks."""
         for task in list(self._tasks):
             task.cancel()
 
     def exit_if_broken(self) -> None:
-        """End with an error code if an invariant broke."""
+        """Exit with an error code if an invariant was broken."""
         if self.broken:
             raise SystemExit(EXIT_BROKEN)
 
 
-def _is_ours(error: BaseException) -> bool:
-    """Tell whether an exception came through code of the system.
+def _is_from_package(error: BaseException) -> bool:
+    """Return whether an exception was raised in or through code of this package.
 
-    Libraries leave errors of their broken connections to the loop as well.
+    Libraries report errors of their broken connections to the loop as well.
     """
     frames = traceback.extract_tb(error.__traceback__)
     return any(frame.filename.startswith(PACKAGE) for frame in frames)
 
 
 class Waker:
-    """Call back at the earliest time that was asked for."""
+    """Call back at the earliest of the requested times."""
 
     def __init__(self, callback: Callable[[], None]) -> None:
         self._callback = callback
@@ -139,7 +142,7 @@
         self._when = float("inf")
 
     def wake_at(self, when: float) -> None:
-        """Ask for a call at a monotonic time, unless an earlier one is set."""
+        """Request a call at a monotonic time, unless an earlier one is scheduled."""
         if when >= self._when or when == float("inf"):
             return
         if self._handle is not None:
@@ -149,7 +152,7 @@
         self._handle = asyncio.get_running_loop().call_later(delay, self._fire)
 
     def stop(self) -> None:
-        """Call back no more."""
+        """Cancel the scheduled call."""
         if self._handle is not None:
             self._handle.cancel()
 
--- a/radishtally/stalls.py
+++ b/radishtally/stalls.py
@@ -1,4 +1,4 @@
-"""Notice that this process was not run, or kept its loop busy, for a while."""
+"""Detection of times in which the process was paused or its event loop was blocked."""
 
 import asyncio
 import time
@@ -7,15 +7,17 @@
 
 TICK_SECONDS: Final = 0.5
 STALL_SECONDS: Final = 1.0
-"""Shortest stall that is told: half of the shortest time between two renewals."""
+"""Shortest stall that is reported: half of the shortest time between two lease
+renewals."""
 
 
 class Stall(NamedTuple):
-    """Describe a time in which the loop did not run."""
+    """Describe a time in which the event loop did not run."""
 
     seconds: float
     processor_seconds: float
-    """Processor time of this process meanwhile: near none if it was not run."""
+    """CPU time of this process during the stall: near zero if the process was
+    paused."""
 
 
 async def watch_stalls(
@@ -23,7 +25,7 @@
     clock: Callable[[], float],
     processor_clock: Callable[[], float] = time.process_time,
 ) -> None:
-    """Report each stall right after it, for good."""
+    """Report each stall right after it, until cancelled."""
     while True:
         due, used = clock() + TICK_SECONDS, processor_clock()
         await asyncio.sleep(TICK_SECONDS)
--- a/radishtally/tasks.py
+++ b/radishtally/tasks.py
@@ -1,4 +1,4 @@
-"""Hold the tasks that carry out attempts at upstreams."""
+"""Tasks that run attempts at upstreams."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -10,56 +10,58 @@
 
 
 class AttemptTasks:
-    """Run each attempt as a task, and what is left to do after attempts."""
+    """Run each attempt, and each follow-up of an attempt, as a task."""
 
     def __init__(self) -> None:
         self._running: dict[tuple[str, int], asyncio.Task[None]] = {}
-        self._kept: set[asyncio.Task[None]] = set()
+        self._detached: set[asyncio.Task[None]] = set()
 
     def start(self, request: str, attempt: int, work: Work) -> None:
-        """Begin an attempt."""
+        """Start the task of an attempt."""
         name = request, attempt
         task = asyncio.create_task(work)
         self._running[name] = task
-        task.add_done_callback(lambda ended: self._forget(name, ended))
+        task.add_done_callback(lambda ended: self._on_attempt_done(name, ended))
 
     def spawn_detached(self, work: Work) -> None:
-        """Do what belongs to no running attempt."""
+        """Run work that belongs to no running attempt."""
         task = asyncio.create_task(work)
-        self._kept.add(task)
-        task.add_done_callback(self._discard)
+        self._detached.add(task)
+        task.add_done_callback(self._on_detached_done)
 
     def pop(self, request: str, attempt: int) -> asyncio.Task[None] | None:
-        """Take out an attempt that is to end in another way than by itself."""
+        """Remove an attempt's task, and return it for the caller to end."""
         return self._running.pop((request, attempt), None)
 
     def cancel(self, request: str, attempt: int) -> None:
-        """End an attempt if it runs."""
+        """Cancel an attempt if it is running."""
         task = self.pop(request, attempt)
         if task is not None:
             task.cancel()
 
     def cancel_all(self) -> list[asyncio.Task[None]]:
-        """Cancel all, and give them to be waited for."""
-        tasks = [*self._running.values(), *self._kept]
+        """Cancel all tasks, and return them to be awaited."""
+        tasks = [*self._running.values(), *self._detached]
         for task in tasks:
             task.cancel()
         return tasks
 
-    def _discard(self, ended: asyncio.Task[None]) -> None:
-        self._kept.discard(ended)
-        _log_fault(ended)
+    def _on_detached_done(self, ended: asyncio.Task[None]) -> None:
+        self._detached.discard(ended)
+        _log_error(ended)
 
-    def _forget(self, name: tuple[str, int], ended: asyncio.Task[None]) -> None:
-        _log_fault(ended, request=name[0], attempt=name[1])
-        # A task that was taken out ends later; another one may have its name by then,
-        # and could not be cancelled any more.
+    def _on_attempt_done(
+        self, name: tuple[str, int], ended: asyncio.Task[None]
+    ) -> None:
+        _log_error(ended, request=name[0], attempt=name[1])
+        # A removed task ends later, when another task may be registered under the same
+        # name. Deleting that entry would make the other task impossible to cancel.
         if self._running.get(name) is ended:
             del self._running[name]
 
 
-def _log_fault(ended: asyncio.Task[None], **name: Any) -> None:
-    """Log an error that no attempt should end with: its request would just hang."""
+def _log_error(ended: asyncio.Task[None], **name: Any) -> None:
+    """Log an unexpected error of a task; its request gets no answer otherwise."""
     if ended.cancelled() or ended.exception() is None:
         return
     log_message("attempt:fault", error=type(ended.exception()).__name__, **name)
--- a/tests/common.py
+++ b/tests/common.py
@@ -34,33 +34,33 @@
 ROOT: Final = Path(__file__).resolve().parent.parent
 START_SECONDS: Final = 60.0
 READ_SECONDS: Final = 0.02
-"""Time after which what was written before has been read."""
+"""Time in which written data has certainly been read."""
 ADDRESSES: Final = itertools.count()
 
 T = TypeVar("T")
 
 
 class StandIn(NamedTuple):
-    """Hold a stand-in that runs as a child process."""
+    """Control a stand-in that runs as a child process."""
 
     address: str
     url: str
     process: subprocess.Popen[str]
 
     def post(self, path: str, data: dict[str, Any]) -> Any:
-        """Send a JSON body and read the JSON answer."""
+        """Post a JSON body and return the decoded answer."""
         body = json.dumps(data).encode()
         request = urllib.request.Request(self.url + path, body, method="POST")
         with urllib.request.urlopen(request, timeout=START_SECONDS) as reply:
             return json.load(reply)
 
     def get(self, path: str) -> Any:
-        """Read a JSON answer."""
+        """Get a path and return the decoded answer."""
         with urllib.request.urlopen(self.url + path, timeout=START_SECONDS) as reply:
             return json.load(reply)
 
     def set_fault(self, mode: str, **more: Any) -> None:
-        """Show a fault from now on."""
+        """Inject a fault from now on."""
         self.post("/_fault", {"mode": mode, **more})
 
 
@@ -68,16 +68,16 @@
 
 
 def run(coroutine: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine on a loop of its own."""
+    """Run a coroutine on a new event loop."""
     return uvloop.run(coroutine)
 
 
 def allocate_address() -> str:
-    """Give a loopback address that no other test uses at the same time.
+    """Return a loopback address that no other test uses at the same time.
 
-    A port that is free may be taken at any moment by what another test starts: a server
-    can't bind it then, or answers where a test counts on nobody. On an address of its
-    own none is.
+    A free port may be taken at any moment by another test's process. A server could not
+    bind to it then, or that process would answer where a test expects no listener. On
+    an address of the test's own, neither can happen.
     """
     number = next(ADDRESSES)
     process = os.getpid() % 62_000
@@ -86,7 +86,7 @@
 
 @contextmanager
 def run_standin(name: str, *args: str) -> Iterator[StandIn]:
-    """Run a stand-in and end it at the exit."""
+    """Run a stand-in as a child process, and kill it at the exit."""
     command = [sys.executable, "-m", f"standins.{name}", *args]
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
     with subprocess.Popen(
@@ -101,7 +101,7 @@
 
 @contextmanager
 def make_standin_starter() -> Iterator[StartStandIn]:
-    """Give a function that starts stand-ins, which all end at the exit."""
+    """Yield a function that starts stand-ins, which are all killed at the exit."""
     with ExitStack() as stack:
         yield lambda name, *args: stack.enter_context(run_standin(name, *args))
 
@@ -114,7 +114,7 @@
 
 
 class Rows:
-    """Hold rows as the table service does, without I/O or faults."""
+    """Store rows as the table service does, without I/O or faults."""
 
     def __init__(self) -> None:
         self.rows: dict[Key, Row] = {}
@@ -126,7 +126,7 @@
     def query(
         self, pk: str, after: str, prefix: str, limit: int, newest_first: bool
     ) -> list[Row]:
-        """Read rows of one partition in the order of their sort keys."""
+        """Read rows of one partition, ordered by sort key."""
         found = [
             row
             for key, row in sorted(self.rows.items(), reverse=newest_first)
@@ -139,9 +139,9 @@
         return found[:limit]
 
     def apply(self, writes: list[Write], write_id: str) -> Result[None, Conflict]:
-        """Carry out all writes or none."""
+        """Apply all writes or none."""
         keys = [write.key for write in writes]
-        assert len(set(keys)) == len(keys), "an item may stand only once"
+        assert len(set(keys)) == len(keys), "a transaction may have a key only once"
         failed = [i for i, write in enumerate(writes) if not self._meets(write)]
         if failed:
             return Error(Conflict(tuple(failed)))
@@ -161,15 +161,15 @@
 
 
 class MemoryTable:
-    """Serve rows through the table's contract, with faults."""
+    """Implement the table's interface in memory, with injected faults."""
 
     def __init__(self) -> None:
         self.rows = Rows()
         self.down = False
         self.lose_replies = 0
-        """So many writes to come take effect and are answered as unclear."""
+        """Number of further writes that are applied and answered as unclear."""
         self.drop_writes = 0
-        """So many writes to come have no effect and are answered as unclear."""
+        """Number of further writes that are not applied and answered as unclear."""
         self.transactions = 0
 
     async def get(self, key: Key) -> Result[Row | None, ReadError]:
@@ -185,7 +185,7 @@
         limit: int = 100,
         newest_first: bool = False,
     ) -> Result[list[Row], ReadError]:
-        """Read rows of one partition in the order of their sort keys."""
+        """Read rows of one partition, ordered by sort key."""
         if self.down:
             return Error(Unavailable("down"))
         return Ok(self.rows.query(pk, after, prefix, limit, newest_first))
@@ -193,7 +193,7 @@
     async def transact(
         self, writes: list[Write], write_id: str
     ) -> Result[None, TableError]:
-        """Carry out all writes or none."""
+        """Apply all writes or none."""
         if self.down:
             return Error(Unavailable("down"))
         if self.drop_writes:
@@ -209,10 +209,11 @@
 
 @asynccontextmanager
 async def answer_twice(first: bytes, second: bytes) -> AsyncIterator[str]:
-    """Serve answers without names: the first one twice, on connections kept open.
+    """Serve answers that name no request on persistent connections, the first one
+    twice.
 
-    The repeat comes with the first answer's end, which is read apart from its head: the
-    connection is idle by the time at which the repeat is found.
+    The duplicate is sent together with the first answer's body, which is read apart
+    from its head: the connection is already idle when the duplicate is found.
     """
     answers = iter([first])
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures and profiles that the tests share."""
+"""Fixtures and the Hypothesis profile that the tests share."""
 
 from collections.abc import Iterator
 
@@ -14,14 +14,14 @@
 
 @pytest.fixture
 def start_standin() -> Iterator[StartStandIn]:
-    """Start stand-ins for one test."""
+    """Provide a function that starts stand-ins for one test."""
     with make_standin_starter() as start:
         yield start
 
 
 @pytest.fixture(scope="module")
 def start_shared_standin() -> Iterator[StartStandIn]:
-    """Start stand-ins for all tests of a module."""
+    """Provide a function that starts stand-ins for all tests of a module."""
     with make_standin_starter() as start:
         yield start
 
--- a/tests/test_floors.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Tests of which package may import which."""
+"""Tests of the import rules between and within packages."""
 
 import ast
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 import radishtally
 
 ROOT: Final = Path(radishtally.__file__).parent
-FLOORS: Final = (
+LAYERS: Final = (
     {"limits", "links", "routes", "store"},
     {"routing"},
     {"serving"},
@@ -19,13 +19,13 @@
     {"stages"},
     {"entry", "gateway"},
 )
-"""Packages from the lowest floor up; each imports what is on floors below, and nothing
-that is on its own."""
-PLACES: Final = {name: floor for floor, names in enumerate(FLOORS) for name in names}
+"""Packages by layer, from the lowest up. A package may import packages of lower layers,
+and none of its own layer."""
+LAYER_OF: Final = {name: layer for layer, names in enumerate(LAYERS) for name in names}
 
 
 def list_imports(path: Path) -> Iterator[str]:
-    """List the packages of the product that a module imports."""
+    """List the packages of radishtally that a module imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             names = [node.module]
@@ -41,18 +41,20 @@
                 yield rest.partition(".")[0]
 
 
-# A change of what is peculiar to one edge breaks the other one: what both share had
-# grown inside one of them, and was reached there from everywhere.
-@pytest.mark.parametrize("package", sorted(PLACES))
-def test_no_import_goes_up_or_across(package: str) -> None:
+# Guards against a change of the entry breaking the gateway, or the other way round:
+# shared code had been placed in one of them and was imported from everywhere.
+@pytest.mark.parametrize("package", sorted(LAYER_OF))
+def test_packages_import_only_lower_layers(package: str) -> None:
     for path in sorted((ROOT / package).rglob("*.py")):
         for imported in set(list_imports(path)) - {package}:
-            if imported in PLACES:
-                assert PLACES[imported] < PLACES[package], f"{path.name}: {imported}"
+            if imported in LAYER_OF:
+                assert LAYER_OF[imported] < LAYER_OF[package], (
+                    f"{path.name}: {imported}"
+                )
 
 
 def list_modules(path: Path) -> Iterator[str]:
-    """List the modules of the product that a module imports, for types alone too."""
+    """List the modules that a module imports, including imports for type checking."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             yield node.module
@@ -61,8 +63,8 @@
             yield from (alias.name for alias in node.names)
 
 
-def find_circle(imports: dict[str, set[str]]) -> list[str]:
-    """Find modules that import each other in a circle; none if there is no circle."""
+def find_import_cycle(imports: dict[str, set[str]]) -> list[str]:
+    """Return the modules that are part of import cycles; none if there is no cycle."""
     left = dict(imports)
     while left:
         free = [name for name, needed in left.items() if not needed & left.keys()]
@@ -73,13 +75,13 @@
     return []
 
 
-# A part of a daemon can't be read or tested without all others: it names the daemon
-# that holds it, for types alone as well, and the daemon names it.
-@pytest.mark.parametrize("package", sorted(PLACES))
-def test_modules_of_a_package_import_in_no_circle(package: str) -> None:
+# Guards against components that can't be tested alone, because they import the daemon
+# that owns them, if only for type checking, while the daemon imports them.
+@pytest.mark.parametrize("package", sorted(LAYER_OF))
+def test_modules_of_a_package_have_no_import_cycle(package: str) -> None:
     imports = {
         f"radishtally.{package}.{path.stem}": set(list_modules(path))
         for path in (ROOT / package).glob("*.py")
         if path.stem != "__init__"
     }
-    assert find_circle(imports) == []
+    assert find_import_cycle(imports) == []
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Tests of writing logs without waiting for their reader."""
+"""Tests of writing logs without blocking on their reader."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 class Clock:
-    """Stand still until it is moved."""
+    """Return a time that only the test advances."""
 
     now = 0.0
 
@@ -27,14 +27,14 @@
 
 
 def make_writer() -> tuple[LogWriter, int, Clock]:
-    """Make a writer, the end of the pipe to read from, and its clock."""
+    """Create a writer, the read end of its pipe, and its clock."""
     reader, descriptor = os.pipe()
     clock = Clock()
     return LogWriter(descriptor, clock), reader, clock
 
 
 def read_lines(reader: int) -> list[dict]:
-    """Read the lines that are there."""
+    """Read all lines that the pipe holds."""
     os.set_blocking(reader, False)
     data = b""
     while True:
@@ -50,9 +50,9 @@
     assert read_lines(reader) == [{"message_type": "a", "error": "OSError('x')"}]
 
 
-# On-call finds no line of the decisive seconds: what keeps the logs keeps so many
-# bytes, and a third of these placed each message in a task that held nothing else.
-def test_message_that_stands_alone_has_no_task() -> None:
+# Guards against losing log lines to the collector's limit on bytes: a third of the
+# bytes were the fields that place a message in a task of which it is the only one.
+def test_message_that_is_the_only_one_of_its_task_has_no_task_fields() -> None:
     writer, reader, _ = make_writer()
     writer({"message_type": "a", "task_uuid": "u", "task_level": [1]})
     writer({"message_type": "b", "task_uuid": "u", "task_level": [2, 1]})
@@ -61,9 +61,9 @@
     assert within == {"message_type": "b", "task_uuid": "u", "task_level": [2, 1]}
 
 
-# Every request stands still: whoever reads the log has stopped, the pipe is full, and
-# the next write waits for room with the whole loop behind it.
-def test_reader_that_stops_costs_lines_and_no_time() -> None:
+# Guards against a blocked event loop. The log's reader has stopped, the pipe is full,
+# and a blocking write would wait for room.
+def test_stopped_reader_costs_lines_but_does_not_block() -> None:
     writer, reader, _ = make_writer()
     text = "x" * 1000
     for number in range(3 * MAX_BUFFER_BYTES // len(text)):
@@ -73,73 +73,79 @@
         lines += batch
     writer({"message_type": "process:state", "number": -1})
     lines += read_lines(reader)
-    said = [line["lines"] for line in lines if line["message_type"] == "log:left_out"]
+    dropped = [
+        line["lines"] for line in lines if line["message_type"] == "log:left_out"
+    ]
     kept = [line for line in lines if line["message_type"] != "log:left_out"]
-    assert len(said) == 1
-    assert len(kept) + said[0] == 3 * MAX_BUFFER_BYTES // len(text) + 1
+    assert len(dropped) == 1
+    assert len(kept) + dropped[0] == 3 * MAX_BUFFER_BYTES // len(text) + 1
 
 
-def test_flood_of_requests_is_cut_and_counted() -> None:
+def test_flood_of_request_lines_is_limited_and_counted() -> None:
     writer, reader, clock = make_writer()
-    taken = []
+    lines = []
     flood = int(BURST_LINES) + 500
     for number in range(flood):
         writer({"message_type": "request:step", "number": number})
         if number % 100 == 0:
-            taken += read_lines(reader)
+            lines += read_lines(reader)
     clock.now += 1.0
     writer({"message_type": "stage:ordered"})
-    taken += read_lines(reader)
-    said = [line["lines"] for line in taken if line["message_type"] == "log:left_out"]
-    assert said == [500]
-    assert taken[-1]["message_type"] == "stage:ordered"
+    lines += read_lines(reader)
+    dropped = [
+        line["lines"] for line in lines if line["message_type"] == "log:left_out"
+    ]
+    assert dropped == [500]
+    assert lines[-1]["message_type"] == "stage:ordered"
     for number in range(int(LINES_PER_SECOND) + 100):
         writer({"message_type": "request:step", "number": number})
         if number % 100 == 0:
-            taken += read_lines(reader)
-    assert writer._left_out == 100
+            lines += read_lines(reader)
+    assert writer._dropped == 100
 
 
-# The log fills up with requests that were turned away: each costs its sender nothing,
-# and one caller's flood of bad requests leaves no room for anybody's lines.
-def test_flood_of_refusals_is_cut_and_leaves_room_for_the_rest() -> None:
+# Guards against a log full of refusals: invalid requests cost their sender nothing, and
+# one caller's flood of them would suppress all other lines.
+def test_flood_of_refusals_is_limited_and_does_not_suppress_other_lines() -> None:
     writer, reader, _ = make_writer()
-    taken = []
+    lines = []
     for number in range(int(BURST_REFUSALS) + 300):
         writer({"message_type": "request:refused", "number": number})
         if number % 100 == 0:
-            taken += read_lines(reader)
+            lines += read_lines(reader)
     writer({"message_type": "request:step"})
-    taken += read_lines(reader)
-    said = [line["lines"] for line in taken if line["message_type"] == "log:left_out"]
-    assert said == [300]
-    assert taken[-1]["message_type"] == "request:step"
+    lines += read_lines(reader)
+    dropped = [
+        line["lines"] for line in lines if line["message_type"] == "log:left_out"
+    ]
+    assert dropped == [300]
+    assert lines[-1]["message_type"] == "request:step"
 
 
-def test_closed_reader_ends_nothing() -> None:
+def test_closed_reader_raises_no_error() -> None:
     writer, reader, _ = make_writer()
     os.close(reader)
     writer({"message_type": "a"})
 
 
-# On-call sees a log that ends minutes ago: its reader stood still for a while, and what
-# waited for it, and the count of what was left out, wait on for the next line. Where
-# little happens that is a long time.
-def test_reader_that_goes_on_gets_all_without_another_line() -> None:
+# Guards against a log that seems to end minutes ago. Its reader had stopped for a
+# while, and the buffered lines and the count of dropped ones would stay in the buffer
+# until the next line, which on a quiet process takes long.
+def test_resumed_reader_gets_pending_lines_without_a_new_one() -> None:
     writer, reader, _ = make_writer()
     text = "x" * 1000
-    lines = 2 * MAX_BUFFER_BYTES // len(text)
-    for number in range(lines):
+    total = 2 * MAX_BUFFER_BYTES // len(text)
+    for number in range(total):
         writer({"message_type": "process:state", "number": number, "text": text})
-    taken = read_lines(reader)
+    lines = read_lines(reader)
     while batch := (writer.flush(), read_lines(reader))[1]:
-        taken += batch
-    assert taken[-1]["message_type"] == "log:left_out"
-    assert len(taken) - 1 + taken[-1]["lines"] == lines
+        lines += batch
+    assert lines[-1]["message_type"] == "log:left_out"
+    assert len(lines) - 1 + lines[-1]["lines"] == total
 
 
-# The same of a process: while it works, and logs nothing, its reader goes on.
-def test_process_flushes_beside_its_work(monkeypatch: pytest.MonkeyPatch) -> None:
+# The same for a process that logs nothing while its reader resumes.
+def test_process_flushes_while_it_works(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(logs, "FLUSH_SECONDS", 0.01)
     writer, reader, _ = make_writer()
     text = "x" * 1000
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Test what the processes' logs hold, and what they must not hold."""
+"""Test what the processes' logs contain, and what they must not contain."""
 
 import json
 from typing import Any
@@ -12,17 +12,17 @@
 
 
 def read_log(fleet: Fleet, host: str) -> str:
-    """Read what a daemon has logged so far."""
+    """Return what a daemon has logged so far."""
     return (fleet.folder / f"{host}.log").read_text()
 
 
 def find_request(fleet: Fleet, host: str, request: str) -> list[dict[str, Any]]:
-    """Find a daemon's log lines about a request."""
+    """Return a daemon's log lines about a request."""
     lines = [json.loads(line) for line in read_log(fleet, host).splitlines()]
     return [line for line in lines if line.get("request") == request]
 
 
-def test_a_request_is_followed_across_processes(small_fleet: Fleet) -> None:
+def test_request_is_logged_by_all_its_processes(small_fleet: Fleet) -> None:
     url = next(iter(small_fleet.entries.values())).url
     body = {"model": "gown-llm", "prompt": PROMPT, "max_tokens": 3}
     answer = post_json(f"{url}/v1/completions", body, KEY)
@@ -30,9 +30,9 @@
         assert find_request(small_fleet, host, answer["id"]), host
 
 
-def test_logs_hold_no_prompts_answers_or_keys(small_fleet: Fleet) -> None:
-    # Logs are read by people who may not know a bride's measures, and kept longer
-    # than any answer: what callers send and get stays out of them.
+def test_logs_contain_no_prompts_answers_or_keys(small_fleet: Fleet) -> None:
+    # Logs are read by people who may not see callers' personal data, and are kept
+    # longer than any answer, so requests and answers must not be logged.
     url = next(iter(small_fleet.entries.values())).url
     body = {"model": "gown-llm", "prompt": PROMPT, "max_tokens": 3}
     post_json(f"{url}/v1/completions", body, KEY)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Test the metrics as a statsd daemon gets them."""
+"""Test the metrics that a statsd daemon receives."""
 
 import socket
 
@@ -7,7 +7,7 @@
 RECEIVE_SECONDS = 20.0
 
 
-def test_metrics_go_to_the_daemon() -> None:
+def test_metrics_are_sent_to_the_daemon() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as daemon:
         daemon.bind(("127.0.0.1", 0))
         daemon.settimeout(RECEIVE_SECONDS)
@@ -24,8 +24,8 @@
     ]
 
 
-def test_no_daemon_is_no_fault() -> None:
-    # Nobody listens on the port any more: metrics are lost, requests are not.
+def test_missing_daemon_is_no_error() -> None:
+    # The port has no listener: metrics are lost, but requests must not fail.
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""Test that a process notices that it was not run."""
+"""Test that a process detects that it was paused."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class Clock:
-    """Be late at the next look, once."""
+    """Simulate a clock on which the next sleep takes longer, once."""
 
     def __init__(self, late: float) -> None:
         self.late = late
@@ -28,13 +28,16 @@
 REAL_SLEEP = asyncio.sleep
 
 
-# An engineer can't tell why a planner lost its lease: nothing says that it was paused.
+# Guards against a lost lease without an explanation: nothing was logged about a pause
+# of the planner that held it.
 @pytest.mark.parametrize(
-    ("late", "told"),
+    ("late", "reported"),
     [(14.0, [Stall(14.0, 0.25)]), (STALL_SECONDS - 0.01, []), (0.0, [])],
 )
-def test_stall_is_told_once(monkeypatch, late: float, told: list[Stall]) -> None:
-    async def play_on() -> list[Stall]:
+def test_stall_is_reported_once(
+    monkeypatch, late: float, reported: list[Stall]
+) -> None:
+    async def watch() -> list[Stall]:
         stalls: list[Stall] = []
         clock = Clock(late)
         used = iter([1.0, 1.25, *[2.0] * 100])
@@ -47,10 +50,10 @@
         task.cancel()
         return stalls
 
-    assert run(play_on()) == told
+    assert run(watch()) == reported
 
 
-def test_stall_is_logged_with_what_was_believed(monkeypatch) -> None:
+def test_stall_is_logged_with_the_process_state(monkeypatch) -> None:
     lines: list[dict] = []
     monkeypatch.setattr(
         "radishtally.runtime.log_message",
@@ -60,7 +63,7 @@
     runtime = Runtime()
     runtime.on_stall = counted.append
     runtime.describe_state = lambda: {"lease": {"holds_lease": False}}
-    runtime._take_stall(Stall(14.0, 0.0))
+    runtime._report_stall(Stall(14.0, 0.0))
     assert counted == [Stall(14.0, 0.0)]
     assert lines == [
         {
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -9,43 +9,44 @@
 from tests.common import run
 
 
-async def wait_for_ever() -> None:
+async def wait_forever() -> None:
     await asyncio.Event().wait()
 
 
-# An upstream works on for a caller that has left: its attempt was begun again under the
-# same name, and the end of the first one took the second off the list.
-def test_attempt_that_began_again_can_be_cancelled() -> None:
-    async def play() -> None:
+# Guards against an upstream that continues work for a caller that has left. The attempt
+# was restarted under the same name, and the end of the first task unregistered the
+# second one.
+def test_restarted_attempt_can_be_cancelled() -> None:
+    async def check() -> None:
         tasks = AttemptTasks()
-        tasks.start("r", 1, wait_for_ever())
+        tasks.start("r", 1, wait_forever())
         tasks.cancel("r", 1)
-        tasks.start("r", 1, wait_for_ever())
+        tasks.start("r", 1, wait_forever())
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         second = tasks.pop("r", 1)
         assert second is not None
         second.cancel()
 
-    run(play())
+    run(check())
 
 
-def test_all_that_runs_is_cancelled() -> None:
-    async def play() -> None:
+def test_all_running_tasks_are_cancelled() -> None:
+    async def check() -> None:
         tasks = AttemptTasks()
-        tasks.start("r", 1, wait_for_ever())
-        tasks.spawn_detached(wait_for_ever())
+        tasks.start("r", 1, wait_forever())
+        tasks.spawn_detached(wait_forever())
         ended = tasks.cancel_all()
         await asyncio.gather(*ended, return_exceptions=True)
         assert len(ended) == 2
         assert tasks.cancel_all() == []
 
-    run(play())
+    run(check())
 
 
-# A caller waits until its deadline and no line says why: an attempt ended with an error
-# that nothing expects, and only the task knew.
-def test_unexpected_end_of_an_attempt_is_logged(
+# Guards against a caller that waits until its deadline without a log line about why: an
+# attempt failed with an unexpected error that only its task recorded.
+def test_unexpected_error_of_an_attempt_is_logged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     lines: list[tuple[str, dict[str, object]]] = []
@@ -56,14 +57,14 @@
     async def fail() -> None:
         raise KeyError("unexpected")
 
-    async def play() -> None:
+    async def check() -> None:
         tasks = AttemptTasks()
         tasks.start("r", 1, fail())
         tasks.spawn_detached(fail())
         for _ in range(3):
             await asyncio.sleep(0)
 
-    run(play())
+    run(check())
     assert lines == [
         ("attempt:fault", {"error": "KeyError", "request": "r", "attempt": 1}),
         ("attempt:fault", {"error": "KeyError"}),
