--- a/radishtally/links/__init__.py
+++ b/radishtally/links/__init__.py
@@ -1,1 +1,1 @@
-"""Carry messages between the system's own processes."""
+"""Message links between radishtally's own processes."""
--- a/radishtally/links/auth.py
+++ b/radishtally/links/auth.py
@@ -1,4 +1,4 @@
-"""Prove to a peer that a process belongs to the system."""
+"""Authentication of links by a shared key."""
 
 import hashlib
 import hmac
@@ -8,13 +8,13 @@
 
 
 def make_token(peer_key: str, host: str, incarnation: str) -> str:
-    """Sign the sender's name with the key that all processes share."""
+    """Sign the sender's host and incarnation with the shared key."""
     name = f"{host}|{incarnation}".encode()
     return hmac.new(peer_key.encode(), name, hashlib.sha256).hexdigest()
 
 
 def make_metadata(peer_key: str, host: str, incarnation: str) -> dict[str, str]:
-    """Give the metadata that opens a link."""
+    """Return the request metadata that opens a link."""
     return {
         ATTR_HOST: host,
         ATTR_INCARNATION: incarnation,
@@ -22,8 +22,8 @@
     }
 
 
-def is_member(peer_key: str, metadata: Mapping[str, object]) -> bool:
-    """Tell whether the sender knows the shared key."""
+def has_valid_token(peer_key: str, metadata: Mapping[str, object]) -> bool:
+    """Return whether the metadata is signed with the shared key."""
     host = str(metadata.get(ATTR_HOST, ""))
     incarnation = str(metadata.get(ATTR_INCARNATION, ""))
     token = str(metadata.get(ATTR_TOKEN, ""))
--- a/radishtally/links/link.py
+++ b/radishtally/links/link.py
@@ -1,4 +1,4 @@
-"""Exchange messages with one peer over one stream."""
+"""Link that exchanges messages with one peer over one stream."""
 
 import asyncio
 import contextlib
@@ -9,10 +9,10 @@
 
 from radishtally.links.codec import decode_frame, encode_frame
 from radishtally.links.const import (
-    FRAME_BYTES,
-    IDLE_PING_SECONDS,
+    IDLE_PING_INTERVAL_SECONDS,
     MAX_OUTBOX_BYTES,
-    PING_SECONDS,
+    PING_INTERVAL_SECONDS,
+    TARGET_FRAME_BYTES,
 )
 from radishtally.links.heartbeat import Heartbeat
 from radishtally.links.messages import (
@@ -26,25 +26,25 @@
 )
 
 CHECK_SECONDS: Final = 0.25
-"""Times at which links are looked at are multiples of this."""
-UNASKED: Final = 0
+"""Granularity of the times at which links are checked."""
+UNSOLICITED: Final = 0
 """Sequence number of a pong that answers no ping."""
 INTERVAL_TOLERANCE: Final = 0.2
-"""Part by which an interval may change without a word to the peer."""
+"""Relative change of the ping interval up to which it is not announced to the peer."""
 
 
 class Stream(Protocol):
-    """Be what grpclib's client and server streams have in common."""
+    """Define the common interface of grpclib's client and server streams."""
 
     async def send_message(self, message: Any) -> None:
         """Send a frame."""
 
     async def recv_message(self) -> Any:
-        """Receive a frame, or nothing at the stream's end."""
+        """Receive a frame, or none at the end of the stream."""
 
 
 class Link:
-    """Hold one stream to a peer, from the exchange of hellos to its end."""
+    """Run one stream to a peer, from the exchange of hellos to its end."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         receive: Callable[["Link", Message], None],
         is_busy: Callable[[str], bool],
         leads: bool = True,
-        find_spacing: Callable[[], float] = lambda: 0.0,
+        get_spacing: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self.peer: Hello | None = None
         self.reason = ""
@@ -66,18 +66,18 @@
         self._wake = asyncio.Event()
         self._heartbeat = Heartbeat(leads, time.monotonic())
         self._leads = leads
-        self._find_spacing = find_spacing
+        self._get_spacing = get_spacing
         self._timer: asyncio.TimerHandle | None = None
         self._check_at = float("inf")
         self._closed = asyncio.get_running_loop().create_future()
-        self._interval = IDLE_PING_SECONDS
-        """Interval that the peer goes by."""
+        self._interval = IDLE_PING_INTERVAL_SECONDS
+        """Ping interval that was last announced to the peer."""
         self._sequence = 0
-        self._answered = 0
+        self._acknowledged = 0
         self._revision = hello.revision
 
     async def run(self) -> None:
-        """Exchange messages until the link ends; `reason` tells why."""
+        """Exchange messages until the link ends, and set `reason`."""
         self._outbox.insert(0, self._hello)
         self._wake.set()
         tasks = [
@@ -100,54 +100,54 @@
                 await asyncio.gather(*tasks, return_exceptions=True)
 
     def send(self, message: Message) -> None:
-        """Queue a message; what is queued together goes in one frame."""
+        """Queue a message; messages that are queued together share a frame."""
         self._queue(message)
         if self._leads:
-            self._check_by(time.monotonic() + PING_SECONDS)
+            self._check_by(time.monotonic() + PING_INTERVAL_SECONDS)
 
     def _queue(self, message: Message) -> None:
         self._outbox.append(message)
-        self._outbox_bytes += _measure(message)
+        self._outbox_bytes += _estimate_size(message)
         self._wake.set()
-        # A peer that takes nothing must not take the whole memory with it. The answers
-        # are kept by their agents, so a new link can go on from there. Looked at only
-        # between frames the bound would not hold: a peer that reads nothing lets a
-        # frame's sending never end.
+        # A peer that reads nothing must not exhaust this process's memory. Agents
+        # retain their answers, so a new link can resume them. The limit has to be
+        # checked here and not between frames, since sending a frame to such a peer
+        # never ends.
         if self._outbox_bytes > MAX_OUTBOX_BYTES:
             self.close("the peer reads too slowly")
 
-    def renew(self, revision: int) -> None:
-        """Tell the peer which revision is in force here, if it was told another."""
+    def announce_if_changed(self, revision: int) -> None:
+        """Announce a revision to the peer unless it was the last one announced."""
         if revision != self._revision:
             self.announce(revision)
 
     def announce(self, revision: int) -> None:
-        """Tell the peer at once which configuration revision is in force here."""
+        """Announce to the peer the configuration revision that is in force here."""
         self._revision = revision
-        # A pong that nobody asked for: the peer's own word comes once it has the same
-        # revision in force, so an answer to a ping would only be a message more.
-        self._queue(Pong(UNASKED, revision))
+        # An unsolicited pong, which needs no answer: the peer announces its own
+        # revision as soon as it has applied the same one.
+        self._queue(Pong(UNSOLICITED, revision))
 
     def ping(self) -> None:
-        """Ask the peer for a sign of life."""
+        """Send a ping, which the peer answers with a pong."""
         self._sequence += 1
-        self._heartbeat.ping(time.monotonic())
+        self._heartbeat.record_ping(time.monotonic())
         self._queue(Ping(self._sequence, self._revision))
 
-    def _tell_interval(self, seconds: float) -> None:
-        """Tell the peer when to miss a ping, if that has changed much."""
-        seconds = max(seconds, IDLE_PING_SECONDS)
+    def _announce_interval(self, seconds: float) -> None:
+        """Announce the ping interval to the peer if it has changed much."""
+        seconds = max(seconds, IDLE_PING_INTERVAL_SECONDS)
         if abs(seconds - self._interval) <= INTERVAL_TOLERANCE * self._interval:
             return
         self._interval = seconds
         self._queue(Interval(seconds))
 
     def is_flushed(self) -> bool:
-        """Tell whether the peer has taken everything up to the last ping."""
-        return self._answered >= self._sequence
+        """Return whether the peer has received everything up to the last ping."""
+        return self._acknowledged >= self._sequence
 
     def close(self, reason: str) -> None:
-        """End the link."""
+        """Close the link."""
         self.reason = reason
         if not self._closed.done():
             self._closed.set_result(None)
@@ -157,17 +157,17 @@
             await self._wake.wait()
             self._wake.clear()
             while self._outbox:
-                await self._stream.send_message(encode_frame(self._take_frame()))
+                await self._stream.send_message(encode_frame(self._pop_frame()))
 
-    def _take_frame(self) -> list[Message]:
-        """Take what goes in one frame."""
-        # All that waits for a slow peer in one frame would be over what a peer takes:
-        # it would end the link, and so the next one, whenever much is under way.
+    def _pop_frame(self) -> list[Message]:
+        """Remove from the outbox the messages of the next frame."""
+        # With all messages for a slow peer in one frame, the frame could exceed the
+        # peer's limit. The peer would close the link, and each later one under load.
         size = count = 0
         for message in self._outbox:
-            size += _measure(message)
+            size += _estimate_size(message)
             count += 1
-            if size >= FRAME_BYTES:
+            if size >= TARGET_FRAME_BYTES:
                 break
         messages, self._outbox = self._outbox[:count], self._outbox[count:]
         self._outbox_bytes -= size
@@ -175,71 +175,71 @@
 
     async def _receive_all(self) -> None:
         while (frame := await self._stream.recv_message()) is not None:
-            self._heartbeat.hear(time.monotonic())
+            self._heartbeat.record_received(time.monotonic())
             outcome = decode_frame(frame)
             if outcome.is_error():
                 self.reason = str(outcome.error)
                 return
             for message in outcome.ok:
-                self._take(message)
+                self._handle(message)
 
-    def _take(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         if isinstance(message, Hello) and self.peer is None:
             self.peer = message
         if self.peer is None:
             self.close("the peer did not say hello")
             return
         if isinstance(message, Ping):
-            self._heartbeat.take_ping(time.monotonic())
+            self._heartbeat.record_peer_ping(time.monotonic())
             self._queue(Pong(message.sequence, self._revision))
         if isinstance(message, Interval):
-            self._heartbeat.take_interval(message.seconds)
+            self._heartbeat.set_peer_interval(message.seconds)
             return
         if isinstance(message, Pong):
-            self._answered = max(self._answered, message.sequence)
+            self._acknowledged = max(self._acknowledged, message.sequence)
         self._receive(self, message)
 
     def _check(self) -> None:
-        """Ping the peer if it is time, and give the link up if it is silent."""
-        # A connection that something between the ends has lost track of gives no
-        # error, only silence: without heartbeats its answers would wait until their
-        # deadlines. A link that is given up here is dialled anew at once.
+        """Ping the peer if a ping is due, and close the link if it is silent."""
+        # A connection that a middlebox has lost track of raises no error, and without
+        # heartbeats its answers would be awaited until their deadlines. A link that is
+        # closed here is redialled at once.
         busy = self.peer is not None and self._is_busy(self.peer.host)
-        spacing = self._find_spacing()
+        spacing = self._get_spacing()
         now = time.monotonic()
-        # A process that wakes from a pause finds only old signs of life, although
-        # others may wait to be read: it asks before it gives the link up.
-        woken = now - self._check_at > PING_SECONDS
-        if now >= self._heartbeat.silent_at(busy, spacing) and not woken:
+        # After a pause of this process the last received data is old, although newer
+        # data may be waiting to be read. So it pings first, and closes the link later.
+        woken = now - self._check_at > PING_INTERVAL_SECONDS
+        if now >= self._heartbeat.silence_deadline(busy, spacing) and not woken:
             self.close(self.reason or "silent")
             return
-        if woken or now >= self._heartbeat.next_ping(busy, spacing):
+        if woken or now >= self._heartbeat.next_ping_at(busy, spacing):
             self.ping()
         if self._leads:
-            self._tell_interval(spacing)
-        due = self._heartbeat.next_ping(busy, spacing)
-        due = min(due, self._heartbeat.silent_at(busy, spacing))
-        self._arm(due)
+            self._announce_interval(spacing)
+        due = self._heartbeat.next_ping_at(busy, spacing)
+        due = min(due, self._heartbeat.silence_deadline(busy, spacing))
+        self._schedule_check(due)
 
     def _check_by(self, when: float) -> None:
-        """Check the link no later than at a time: it may have become busy."""
+        """Check the link by a given time, since it may have become busy."""
         if when < self._check_at and self._timer is not None:
-            self._arm(when)
+            self._schedule_check(when)
 
-    def _arm(self, when: float) -> None:
+    def _schedule_check(self, when: float) -> None:
         if self._closed.done():
             return
         if self._timer is not None:
             self._timer.cancel()
-        # Links are looked at together: a process that wakes for each by itself pays
-        # three times as much for a ping, since nothing it needs is in the caches.
+        # Checks of several links are aligned. A process that wakes up for each link
+        # separately needs three times as much CPU time per ping, due to cold caches.
         when = math.floor(when / CHECK_SECONDS + 1) * CHECK_SECONDS
         self._check_at = when
         delay = when - time.monotonic()
         self._timer = asyncio.get_running_loop().call_later(delay, self._check)
 
 
-def _measure(message: Message) -> int:
+def _estimate_size(message: Message) -> int:
     if isinstance(message, Chunk):
         return len(message.data) + 64
     if isinstance(message, Offer):
--- a/radishtally/links/messages.py
+++ b/radishtally/links/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes.
+"""Messages between radishtally's own processes.
 
 A frame on the wire is a MessagePack list of pairs: the kind's number and the message.
 """
@@ -8,9 +8,9 @@
 CHAT: Final = "chat"
 COMPLETION: Final = "completion"
 CALL: Final = "call"
-"""A call of a plain service."""
+"""A call to a plain service."""
 STREAM: Final = "stream"
-"""A generation whose events are passed on as the engine makes them."""
+"""A generation whose events are forwarded as the engine produces them."""
 
 WHOLE: Final = "whole"
 PREFILL: Final = "prefill"
@@ -19,35 +19,35 @@
 
 
 LEAVING: Final = "leaving"
-"""Reason of a refusal: the upstream drains."""
+"""Reason of a refusal: the upstream is draining."""
 KEY_REUSED: Final = "key reused"
-"""Reason of a refusal: the idempotency key came with another request before."""
+"""Reason of a refusal: the idempotency key was used with another request before."""
 NOT_KNOWN: Final = "not known here"
-"""Reason of a loss: the agent remembers no such attempt."""
+"""Reason of a loss: the agent has no record of the attempt."""
 UNREACHED: Final = "out of reach"
-"""Reason of a loss: no connection was made, so the host never saw the work."""
+"""Reason of a loss: no connection could be made, so the host never got the work."""
 REPLACED: Final = "replaced"
-"""Reason of a refusal: another instance has the host's address now."""
+"""Reason of a refusal: another instance now has the host's address."""
 RESTARTED: Final = "restarted"
-"""Reason of a loss: the host has started again, and knows nothing of the attempt."""
+"""Reason of a loss: the host was restarted, and has no record of the attempt."""
 ENDED: Final = "host ended"
-"""Reason of a loss: the answer broke off, and nothing listens at the host any more."""
+"""Reason of a loss: the answer broke off, and the host refuses connections."""
 
 
 class Hello(NamedTuple):
-    """Introduce the sender; first message of either side of a link."""
+    """Introduce the sender; the first message of both sides of a link."""
 
     host: str
     place: str
     role: str
     incarnation: str
-    """New with every start of the process."""
+    """Unique to each start of the process."""
     revision: int
-    """Configuration revision in force at the sender."""
+    """Revision of the configuration that is in force at the sender."""
 
 
 class Ping(NamedTuple):
-    """Ask for a sign of life."""
+    """Request a pong, as a heartbeat."""
 
     sequence: int
     revision: int
@@ -61,7 +61,7 @@
 
 
 class Work(NamedTuple):
-    """Describe what a caller wants; the same over all attempts."""
+    """Describe a caller's request; the same in all attempts."""
 
     request: str
     team: str
@@ -69,28 +69,28 @@
     kind: str
     """CHAT, COMPLETION, CALL or STREAM."""
     body: bytes
-    """JSON body for an engine, raw body for a service."""
+    """JSON for an engine, the raw body for a service."""
     model: str = ""
     adapter: str = ""
     method: str = "POST"
     path: str = ""
     headers: tuple[tuple[str, str], ...] = ()
     key: str = ""
-    """Idempotency key, unique within the team; empty if the caller gave none."""
+    """Idempotency key, unique within the team; empty if the caller sent none."""
     idempotent: bool = True
     priority: int = 0
     """Lower goes first."""
     share: float = 1.0
-    """Weight of the team's fair share."""
+    """The team's weight in fair queueing."""
     prompt_tokens: int = 0
-    """Estimate."""
+    """Estimated number."""
     max_tokens: int = 0
     prefix: int = 0
-    """Hash of the prompt's beginning."""
+    """Hash of the beginning of the prompt."""
 
 
 class KvRef(NamedTuple):
-    """Tell where the KV cache of a cut answer can be fetched."""
+    """Locate the KV cache of an interrupted answer."""
 
     host: str
     url: str
@@ -104,11 +104,11 @@
     work: Work
     attempt: int
     budget: float
-    """Seconds left to the caller's deadline when the message was sent."""
+    """Seconds until the caller's deadline when the message was sent."""
     stage: str = WHOLE
-    """WHOLE, or PREFILL for the first token and its KV cache only."""
+    """WHOLE, or PREFILL for only the first token and its KV cache."""
     done: bytes = b""
-    """Part of the answer that earlier attempts gave; only the rest is wanted."""
+    """Part of the answer from earlier attempts; only the rest is requested."""
     tokens_done: int = 0
     kv: KvRef | None = None
 
@@ -120,42 +120,42 @@
     queued: int
     running: int
     slots: int
-    """Requests that the upstream takes at once."""
+    """Requests that the upstream runs concurrently."""
     prefill_backlog: float
-    """Seconds of prefill accepted and not begun."""
+    """Seconds of prefill work that is accepted but not started."""
     wait: float
-    """Seconds that new work of middling priority would wait now."""
+    """Seconds that new work of medium priority would wait now."""
     prefill_rate: float
-    """Tokens a second."""
+    """Tokens per second."""
     decode_seconds: float
-    """Seconds a token."""
+    """Seconds per token."""
     role: str
     model: str
     version: str
     adapters: tuple[str, ...]
     draining: bool
     prompt_tokens: int = 0
-    """Of work accepted since the agent's start; so are the next three."""
+    """Total of all work accepted since the agent's start, as are the next three."""
     output_tokens: int = 0
     requests: int = 0
     refused: int = 0
     token_seconds: float = 0.0
-    """Seconds a token at present, with what else the upstream does."""
+    """Seconds per token at the upstream's current load."""
 
 
 class Accepted(NamedTuple):
-    """Say that the agent answers for the work from now on."""
+    """Confirm that the agent has accepted the work and is now responsible for it."""
 
     request: str
     attempt: int
     wait: float
-    """Seconds predicted until the first token."""
+    """Predicted seconds until the first token."""
     attached: bool = False
-    """The answer was already there under the same idempotency key."""
+    """Whether an answer for the same idempotency key already exists."""
 
 
 class Refused(NamedTuple):
-    """Say that the work did not run here and won't."""
+    """Signal that the work was not run here and will not be."""
 
     request: str
     attempt: int
@@ -165,9 +165,9 @@
 
 
 class Begun(NamedTuple):
-    """Say that an answer which is passed on as it comes has begun.
+    """Signal the head of a streamed answer.
 
-    Made within an entry only, for hosts that it reaches without an agent.
+    Used only within an entry, for hosts that it calls without an agent.
     """
 
     request: str
@@ -182,20 +182,20 @@
     request: str
     attempt: int
     offset: int
-    """Place of the first byte within the whole answer, earlier attempts included."""
+    """Offset of the first byte in the whole answer, including earlier attempts."""
     data: bytes
     tokens: int
-    """Tokens of the whole answer up to the chunk's end: a part that is sent again
-    after a break counts no token twice."""
+    """Tokens of the whole answer up to the end of the chunk, so that resending a part
+    after an interruption counts no token twice."""
 
 
 class Finished(NamedTuple):
-    """End an attempt's answer; only with it the answer is complete."""
+    """Signal the end of an attempt's answer, which is complete only then."""
 
     request: str
     attempt: int
     length: int
-    """Bytes of the whole answer, earlier attempts included."""
+    """Bytes of the whole answer, including earlier attempts."""
     checksum: int
     """xxh64 of the whole answer."""
     status: int
@@ -206,7 +206,7 @@
 
 
 class Handover(NamedTuple):
-    """End an attempt in good order with the answer unfinished: go on elsewhere."""
+    """End an attempt gracefully before its answer is complete, to resume elsewhere."""
 
     request: str
     attempt: int
@@ -216,7 +216,7 @@
 
 
 class Lost(NamedTuple):
-    """Say that the upstream failed the attempt after it was accepted."""
+    """Signal that an accepted attempt failed at the upstream."""
 
     request: str
     attempt: int
@@ -224,11 +224,11 @@
     """Ran.NO or Ran.UNKNOWN."""
     reason: str
     length: int
-    """Bytes of the whole answer that may be relied on."""
+    """Bytes of the whole answer that are valid."""
 
 
 class Ack(NamedTuple):
-    """Confirm that the end of an answer has come; the agent may drop it."""
+    """Acknowledge the end of an answer, which the agent may then discard."""
 
     request: str
     attempt: int
@@ -236,7 +236,7 @@
 
 
 class Attach(NamedTuple):
-    """Ask for an attempt's answer again from an offset, over a new link."""
+    """Resume an attempt's answer at an offset, over a new link."""
 
     request: str
     attempt: int
@@ -244,45 +244,46 @@
 
 
 class Cancel(NamedTuple):
-    """Withdraw an attempt; a late offer of it is refused."""
+    """Cancel an attempt; a later offer of it is refused."""
 
     request: str
     attempt: int
 
 
 class Cancelled(NamedTuple):
-    """Confirm a withdrawal and put up a tombstone for the attempt."""
+    """Confirm a cancellation, for which the agent keeps a tombstone of the attempt."""
 
     request: str
     attempt: int
     ran: str
-    """Ran.NO only if the upstream never saw it."""
+    """Ran.NO only if the attempt never reached the upstream."""
 
 
 class Leaving(NamedTuple):
-    """Say that the sender takes no new work from now on."""
+    """Announce that the sender accepts no new work from now on."""
 
     host: str
     reason: str
 
 
 class Hint(NamedTuple):
-    """Say that a row of the table is worth reading; it orders nothing by itself."""
+    """Hint that a row of the table has changed; the row itself is authoritative."""
 
     pk: str
     sk: str
 
 
 class ConfigurationRequest(NamedTuple):
-    """Ask for the configuration if the peer has a newer one."""
+    """Request the peer's configuration if it is newer."""
 
     revision: int
     hashes: dict[str, str]
-    """SHA-256 hex of each file that the sender has."""
+    """SHA-256 in hexadecimal of each file that the sender has."""
 
 
 class ConfigurationFiles(NamedTuple):
-    """Give a configuration: what its files are, and those that the peer lacks."""
+    """Send a configuration: the hashes of all files, and the files that the peer
+    lacks."""
 
     revision: int
     hashes: dict[str, str]
@@ -290,13 +291,13 @@
 
 
 class Interval(NamedTuple):
-    """Say how far apart the sender's pings over an idle link may be."""
+    """Announce the longest interval between the sender's pings over an idle link."""
 
     seconds: float
 
 
 class WaitingTokens(NamedTuple):
-    """Say how many prompt tokens of one priority are still to be read."""
+    """Count the prompt tokens of one priority that await prefill."""
 
     priority: int
     """Lower goes first."""
@@ -304,32 +305,36 @@
 
 
 class EngineShare(NamedTuple):
-    """Say what one entry has open at an engine that it reaches itself."""
+    """Describe the requests that an entry has in flight at an engine it calls
+    itself."""
 
     host: str
     waiting: tuple[WaitingTokens, ...]
-    """The most urgent first."""
+    """Ordered by priority, the most urgent first."""
     answers: int
     start: int = 0
-    """Mark of the engine's start that has it; 0 if the sender knows none."""
+    """Marker of the start of the engine that runs them; 0 if it is unknown."""
 
 
-class FormerShare(NamedTuple):
-    """Say the same as two releases before: no engine's start, no priorities."""
+class EngineShareV1(NamedTuple):
+    """Describe an engine share in the format of two releases ago.
+
+    It has no engine start and no priorities.
+    """
 
     host: str
     tokens: int
     answers: int
 
 
-class FormerBacklog(NamedTuple):
-    """Hold the place of what two releases before tell; it is not taken."""
+class BacklogV1(NamedTuple):
+    """Reserve the kind of the backlog of two releases ago, which is ignored."""
 
-    shares: tuple[FormerShare, ...]
+    shares: tuple[EngineShareV1, ...]
 
 
-class EarlierShare(NamedTuple):
-    """Say the same as the release before: without priorities."""
+class EngineShareV2(NamedTuple):
+    """Describe an engine share in the previous release's format, without priorities."""
 
     host: str
     tokens: int
@@ -337,59 +342,59 @@
     start: int = 0
 
 
-class EarlierBacklog(NamedTuple):
-    """Hold the place of what the release before tells; it is not taken."""
+class BacklogV2(NamedTuple):
+    """Reserve the kind of the previous release's backlog, which is ignored."""
 
-    shares: tuple[EarlierShare, ...]
+    shares: tuple[EngineShareV2, ...]
 
 
 class Backlog(NamedTuple):
-    """Tell the other entries what the sender has open, where that has changed."""
+    """Report to the other entries the sender's engine shares that have changed."""
 
     shares: tuple[EngineShare, ...]
 
 
 class HashedPart(NamedTuple):
-    """Name a part of a prompt by a hash of its name and the model's."""
+    """Identify a part of a prompt by a hash of its name and the model's."""
 
     key: int
     tokens: int
 
 
 class PartsRead(NamedTuple):
-    """Tell the other entries which parts of prompts an engine was first given.
+    """Report to the other entries the prompt parts that an engine has newly received.
 
-    Or, from one that has just started, which ones the engine says that it keeps.
+    An entry that has just started reports the parts that the engine lists as cached.
     """
 
     host: str
     start: int
-    """Mark of the engine's start."""
+    """Marker of the engine's start."""
     parts: tuple[HashedPart, ...]
-    """The least recently used first."""
+    """Ordered by use, the least recently used first."""
 
 
 class Suspicion(NamedTuple):
-    """Say how many hosts ended in a row under a request."""
+    """Report how many hosts in a row ended while they ran a request."""
 
     content: str
-    """Digest of what is asked, as it is the same in all repeats."""
+    """Digest of the request's content, which is the same in all retries."""
     ends: int
-    """None if the request was answered since."""
+    """Zero if the request has been answered since."""
     seconds: float
-    """Longest time for which one of them had been answering it."""
+    """Longest time for which one of these hosts had been running the request."""
     left: float
-    """Seconds for which that is remembered."""
+    """Seconds until the report expires."""
 
 
 class Suspicions(NamedTuple):
-    """Tell the other entries under which requests hosts have ended."""
+    """Report to the other entries the requests under which hosts have ended."""
 
     suspicions: tuple[Suspicion, ...]
 
 
-class FormerDemandReport(NamedTuple):
-    """Hold the place of what the release before tells; it is not taken."""
+class DemandReportV1(NamedTuple):
+    """Reserve the kind of the previous release's demand report, which is ignored."""
 
     upstream: str
     prefill: float
@@ -397,16 +402,16 @@
 
 
 class DemandReport(NamedTuple):
-    """Tell the other entries what has come to the sender of late."""
+    """Report to the other entries the sender's recent demand for an upstream."""
 
     upstream: str
     requests: float
     prompt_tokens: float
-    """Those that no engine was known to keep."""
+    """Only tokens that no engine was known to have cached."""
     answer_tokens: float
-    """As callers expect them."""
+    """Answer tokens by the callers' estimates."""
     ended: float
-    """Answers that have ended whole, as are those behind the next two."""
+    """Answers that were completed; the next two fields refer to the same answers."""
     ended_events: float
     ended_tokens: float
 
@@ -433,9 +438,9 @@
     | ConfigurationRequest
     | ConfigurationFiles
     | Interval
-    | FormerBacklog
-    | FormerDemandReport
-    | EarlierBacklog
+    | BacklogV1
+    | DemandReportV1
+    | BacklogV2
     | Backlog
     | DemandReport
     | PartsRead
@@ -463,13 +468,14 @@
     ConfigurationRequest,
     ConfigurationFiles,
     Interval,
-    FormerBacklog,
-    FormerDemandReport,
-    EarlierBacklog,
+    BacklogV1,
+    DemandReportV1,
+    BacklogV2,
     DemandReport,
     PartsRead,
     Backlog,
     Suspicions,
 )
-"""A kind's number is its place here: add at the end, never reorder, and give a message
-whose fields change a kind of its own; an older release reads neither more nor fewer."""
+"""A kind's number is its index here: append new kinds and never reorder them. A message
+whose fields change needs a new kind, since older releases reject any other number of
+fields."""
--- a/tests/links/__init__.py
+++ b/tests/links/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of radishtally.limits."""
+"""Tests of radishtally.links."""
--- a/tests/links/common.py
+++ b/tests/links/common.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of links."""
+"""Helpers for the tests of links."""
 
 import asyncio
 import time
@@ -10,11 +10,11 @@
 from standins.proxy import FaultProxy
 
 KEY = "shared"
-LIMIT_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 class Peer:
-    """Hold one process's hub and what it was told."""
+    """Run the hub of one process, and record its callbacks."""
 
     def __init__(self, host: str, key: str = KEY, incarnation: str = "1") -> None:
         self.ups: list[Hello] = []
@@ -32,7 +32,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on a port that the system chooses."""
+        """Listen on a free port."""
         await self.hub.start("127.0.0.1:0")
         ip, port = self.hub._server._server.sockets[0].getsockname()
         self.address = f"{ip}:{port}"
@@ -43,15 +43,15 @@
 
 async def wait_for(condition: Callable[[], object]) -> None:
     """Wait until a condition holds."""
-    until = time.monotonic() + LIMIT_SECONDS
+    until = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < until, "the condition never held"
+        assert time.monotonic() < until, "timed out waiting for the condition"
         await asyncio.sleep(0.01)
 
 
 @asynccontextmanager
-async def pair(key: str = KEY) -> AsyncIterator[tuple[Peer, Peer, FaultProxy]]:
-    """Hold an agent and an entry that dials it through a proxy with its key."""
+async def connect_pair(key: str = KEY) -> AsyncIterator[tuple[Peer, Peer, FaultProxy]]:
+    """Run an agent, and an entry that dials it with a key through a fault proxy."""
     async with AsyncExitStack() as stack:
         agent, entry = Peer("agent-0"), Peer("entry-0", key)
         for peer in (agent, entry):
--- a/tests/links/test_codec.py
+++ b/tests/links/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of frames: whatever comes, there is a clear outcome."""
+"""Tests of encoding and decoding frames, including arbitrary input."""
 
 from types import UnionType
 from typing import Any, get_args, get_origin, get_type_hints
@@ -14,11 +14,11 @@
     Ack,
     Attach,
     Backlog,
+    BacklogV1,
+    BacklogV2,
     DemandReport,
-    EarlierBacklog,
+    DemandReportV1,
     EngineShare,
-    FormerBacklog,
-    FormerDemandReport,
     Message,
     WaitingTokens,
 )
@@ -43,7 +43,7 @@
 
 
 def build(hint: Any) -> st.SearchStrategy[Any]:
-    """Build values of a type, with numbers that the encoding has room for."""
+    """Build a strategy for a type, with integers in the range of the encoding."""
     if hint is int:
         return INTEGERS
     if isinstance(hint, UnionType):
@@ -61,28 +61,32 @@
 
 @settings(max_examples=80)
 @given(messages=st.lists(MESSAGES, max_size=3))
-def test_messages_come_back_as_they_went(messages: list[Message]) -> None:
+def test_messages_survive_a_round_trip(messages: list[Message]) -> None:
     frame = encode_frame(messages)
     assert encode_frame(decode_frame(frame).ok) == frame
 
 
 @settings(max_examples=150)
 @given(frame=st.binary() | VALUES.map(PACK))
-def test_any_bytes_have_an_outcome(frame: bytes) -> None:
+def test_any_bytes_are_decoded_or_rejected(frame: bytes) -> None:
     outcome = decode_frame(frame)
     assert outcome.is_ok() or isinstance(outcome.error, Fault)
 
 
 @settings(max_examples=150)
 @given(number=st.integers(-1, len(KINDS) + 1), value=VALUES, extra=st.binary())
-def test_any_fields_have_an_outcome(number: int, value: object, extra: bytes) -> None:
+def test_any_fields_are_decoded_or_rejected(
+    number: int, value: object, extra: bytes
+) -> None:
     outcome = decode_frame(PACK([(number, value)]) + extra)
     assert outcome.is_ok() or isinstance(outcome.error, Fault)
 
 
 @settings(max_examples=80)
 @given(message=MESSAGES, data=st.data())
-def test_damaged_frame_has_an_outcome(message: Message, data: st.DataObject) -> None:
+def test_damaged_frame_is_decoded_or_rejected(
+    message: Message, data: st.DataObject
+) -> None:
     frame = bytearray(encode_frame([message]))
     place = data.draw(st.integers(0, len(frame) - 1))
     frame[place] = data.draw(st.integers(0, 255))
@@ -120,30 +124,30 @@
         "oversized",
     ],
 )
-def test_bad_frame_is_a_fault(frame: bytes) -> None:
+def test_invalid_frame_is_a_fault(frame: bytes) -> None:
     assert isinstance(decode_frame(frame).error, Fault)
 
 
-# Links between gateways break while a release is rolled out, as each takes what the
-# other one tells for damaged: the shares of the release before have other fields.
+# Guards against broken links between gateways during a rollout. Messages of earlier
+# releases have other fields, so each release would reject the other's as damaged.
 @pytest.mark.parametrize(
-    ("kind", "told"),
+    ("kind", "fields"),
     [
-        (FormerBacklog, [[["engine", 5, 1]]]),
-        (EarlierBacklog, [[["engine", 5, 1, 9]]]),
-        (FormerDemandReport, ["llm", 2.5, 1.0]),
+        (BacklogV1, [[["engine", 5, 1]]]),
+        (BacklogV2, [[["engine", 5, 1, 9]]]),
+        (DemandReportV1, ["llm", 2.5, 1.0]),
     ],
 )
-def test_loads_of_releases_before_are_read_and_ours_are_other_kinds(
-    kind: type, told: list
+def test_messages_of_earlier_releases_are_decoded_and_have_other_kinds(
+    kind: type, fields: list
 ) -> None:
     before = KINDS.index(kind)
-    assert isinstance(decode_frame(PACK([(before, told)])).ok[0], kind)
+    assert isinstance(decode_frame(PACK([(before, fields)])).ok[0], kind)
     assert KINDS.index(Backlog) > before
     assert KINDS.index(DemandReport) > before
 
 
-# Three bytes for a number of tokens are three more where these are told by priority.
+# A token count takes three bytes, and each additional priority takes as many again.
 @pytest.mark.parametrize("priorities", [1, 2, 3])
 def test_share_of_an_engine_stays_small(priorities: int) -> None:
     waiting = tuple(WaitingTokens(each, 100_000) for each in range(priorities))
@@ -153,6 +157,6 @@
 
 
 @pytest.mark.parametrize("number", [len(KINDS), 255, -1, 2**63])
-def test_kind_of_a_newer_release_is_passed_over(number: int) -> None:
+def test_unknown_kind_of_a_newer_release_is_skipped(number: int) -> None:
     frame = PACK([(ACK, ["r", 1, 2]), (number, {"new": 1}), (ACK, ["s", 3, 4])])
     assert decode_frame(frame).ok == [Ack("r", 1, 2), Ack("s", 3, 4)]
--- a/tests/links/test_hub.py
+++ b/tests/links/test_hub.py
@@ -1,8 +1,8 @@
-"""Tests of links over loopback, through a proxy that shows faults."""
+"""Tests of links over loopback, through a fault proxy."""
 
 import asyncio
 
-from radishtally.links.auth import is_member, make_metadata
+from radishtally.links.auth import has_valid_token, make_metadata
 from radishtally.links.codec import decode_frame, encode_frame
 from radishtally.links.const import MAX_OUTBOX_BYTES
 from radishtally.links.link import Link
@@ -17,12 +17,12 @@
     Work,
 )
 from tests.common import run
-from tests.links.common import KEY, Peer, pair, wait_for
+from tests.links.common import KEY, Peer, connect_pair, wait_for
 
 
-def test_peers_meet_and_keep_the_order() -> None:
+def test_peers_exchange_messages_in_order() -> None:
     async def check() -> None:
-        async with pair() as (agent, entry, _):
+        async with connect_pair() as (agent, entry, _):
             await wait_for(lambda: agent.ups and entry.ups)
             assert agent.ups[0].host == "entry-0"
             assert entry.ups[0].host == "agent-0"
@@ -35,11 +35,10 @@
     run(check())
 
 
-def test_stranger_is_refused() -> None:
-    # Nothing reaches the agent: who does not know the shared key gets no link, and
-    # none of its messages is looked at.
+def test_peer_without_the_shared_key_is_refused() -> None:
+    # A process with another key gets no link, and none of its messages is processed.
     async def check() -> None:
-        async with pair(key="other") as (agent, entry, _):
+        async with connect_pair(key="other") as (agent, entry, _):
             dials = count_dials(entry)
             await wait_for(lambda: len(dials) >= 2)
             assert not agent.ups and not agent.received
@@ -49,7 +48,7 @@
 
 
 def count_dials(peer: Peer) -> list[str]:
-    """Give a list that grows with each dial that has ended."""
+    """Return a list that grows with each completed dial."""
     ended = []
     dial_once = peer.hub._dial_once
 
@@ -62,12 +61,12 @@
     return ended
 
 
-def test_links_are_made_anew_under_a_changed_key() -> None:
-    # Two processes never link again, each with a key that the other refuses. They take
-    # another key while they run, one after the other: links made under the old key
-    # end, what dials with it is refused, and once both have the new one a link is up.
+def test_links_are_set_up_again_under_a_changed_key() -> None:
+    # Guards against two running processes that never link again after a key change. The
+    # key is changed in one after the other: links under the old key end, dials with it
+    # are refused, and a link is up once both processes have the new key.
     async def check() -> None:
-        async with pair() as (agent, entry, _):
+        async with connect_pair() as (agent, entry, _):
             await wait_for(lambda: agent.ups and entry.ups)
             dials = count_dials(entry)
             agent.hub.change_key("other")
@@ -83,11 +82,12 @@
     run(check())
 
 
-def test_dialler_whose_key_changed_dials_under_the_new_one() -> None:
-    # A link stays up under a key that nobody else has. It is the dialler that takes
-    # another key first: it ends its link, and is refused until the other has it too.
+def test_dialling_process_uses_its_changed_key() -> None:
+    # Guards against a link that stays up under an outdated key. The dialling process
+    # changes its key first: it ends its link, and is refused until its peer has the new
+    # key too.
     async def check() -> None:
-        async with pair() as (agent, entry, _):
+        async with connect_pair() as (agent, entry, _):
             await wait_for(lambda: agent.ups and entry.ups)
             dials = count_dials(entry)
             entry.hub.change_key("other")
@@ -100,12 +100,11 @@
     run(check())
 
 
-def test_silent_link_is_noticed_and_dialled_anew() -> None:
-    # Messages flow again after a while. Something between the ends loses track of the
-    # connection: no error comes, only silence. The heartbeat ends the link at either
-    # side, and a new connection works.
+def test_silent_link_is_detected_and_redialled() -> None:
+    # A middlebox loses track of the connection, which raises no error. The heartbeat
+    # ends the link at both sides, and messages get through on a new connection.
     async def check() -> None:
-        async with pair() as (agent, entry, proxy):
+        async with connect_pair() as (agent, entry, proxy):
             await wait_for(lambda: agent.ups and entry.ups)
             proxy.go_silent()
             await wait_for(lambda: len(entry.ups) == 2 and len(agent.ups) == 2)
@@ -118,10 +117,10 @@
 
 
 def test_newer_link_replaces_an_older_one() -> None:
-    # The agent has one link to each entry. A new one of the same entry ends the old,
-    # with "down" before "up", and what still comes over the old is not listened to.
+    # The agent has one link to each entry. A new link of the same entry ends the old
+    # one, with "down" before "up", and later messages on the old link are ignored.
     async def check() -> None:
-        async with pair() as (agent, entry, _):
+        async with connect_pair() as (agent, entry, _):
             await wait_for(lambda: agent.ups and entry.ups)
             old = agent.hub._links["entry-0"]
             twin = Peer("entry-0", incarnation="2")
@@ -129,18 +128,17 @@
             await wait_for(lambda: len(agent.ups) >= 2)
             assert agent.downs[0] == ("entry-0", "replaced by a newer link")
             assert agent.hub.hosts == ["entry-0"]
-            agent.hub._take(old, Ack("late", 1, 0))
+            agent.hub._handle(old, Ack("late", 1, 0))
             assert not agent.list_received(Ack)
             await twin.hub.stop()
 
     run(check())
 
 
-def test_bad_frame_ends_its_link_only() -> None:
-    # Others see nothing: a peer that sends rubbish loses its link, and the process
-    # goes on to serve.
+def test_invalid_frame_ends_only_its_own_link() -> None:
+    # A peer that sends invalid data loses its link, without an effect on other links.
     async def check() -> None:
-        async with pair() as (agent, entry, _):
+        async with connect_pair() as (agent, entry, _):
             await wait_for(lambda: agent.ups and entry.ups)
             stray = Peer("stray")
             stray.hub.dial("agent-0", agent.address)
@@ -156,11 +154,11 @@
     run(check())
 
 
-def test_much_waiting_work_goes_in_frames_that_a_peer_takes() -> None:
-    # Callers with large bodies are served. Put together in one frame, what comes at
-    # the same moment would be over a peer's limit and end the link each time.
+def test_many_large_messages_are_split_into_frames_within_the_limit() -> None:
+    # Guards against failing requests with large bodies. In a single frame, those that
+    # arrive at once would exceed the peer's limit and end the link each time.
     async def check() -> None:
-        async with pair() as (agent, entry, _):
+        async with connect_pair() as (agent, entry, _):
             await wait_for(lambda: agent.ups and entry.ups)
             body = b"x" * 1_000_000
             for number in range(30):
@@ -173,7 +171,7 @@
 
 
 class StuckStream:
-    """Take the first frame for ever and give nothing."""
+    """Block forever on the first frame, and never receive any."""
 
     async def send_message(self, message: object) -> None:
         await asyncio.Event().wait()
@@ -182,9 +180,9 @@
         await asyncio.Event().wait()
 
 
-def test_peer_that_reads_nothing_does_not_take_the_memory() -> None:
-    # The process keeps its size, and callers go on over a new link: a peer takes
-    # nothing, so that the first frame's sending never ends and the rest piles up.
+def test_peer_that_reads_nothing_does_not_exhaust_the_memory() -> None:
+    # Sending the first frame to a peer that reads nothing never ends, and further
+    # messages pile up. The link is closed, and callers are served over a new one.
     async def check() -> None:
         hello = Hello("entry-0", "howrah", "entry", "1", 0)
         link = Link(StuckStream(), hello, lambda *_: None, lambda _: True)
@@ -202,14 +200,14 @@
 
 def test_token_is_bound_to_host_and_incarnation() -> None:
     metadata = make_metadata(KEY, "entry-0", "1")
-    assert is_member(KEY, metadata)
-    assert not is_member("other", metadata)
-    assert not is_member(KEY, metadata | {"radishtally-host": "entry-1"})
-    assert not is_member(KEY, {})
+    assert has_valid_token(KEY, metadata)
+    assert not has_valid_token("other", metadata)
+    assert not has_valid_token(KEY, metadata | {"radishtally-host": "entry-1"})
+    assert not has_valid_token(KEY, {})
 
 
 class ScriptedStream:
-    """Give the peer's frames when the test says so, and keep what is sent."""
+    """Deliver the peer's frames when the test says so, and record what is sent."""
 
     def __init__(self) -> None:
         self.sent: list[Message] = []
@@ -222,14 +220,14 @@
         return await self.frames.get()
 
 
-def test_revision_that_comes_into_force_within_the_hellos_is_told() -> None:
-    # Operators see the host confirmed, not behind until the next change. Our hello
-    # goes out with the old revision; the new one comes into force before the peer's
-    # hello is there, so that the link is not among those that are told of it.
+def test_revision_that_changes_between_the_hellos_is_announced() -> None:
+    # Guards against a host that operators see as outdated until the next change. Its
+    # hello is sent with the old revision, and the new one comes into force before the
+    # peer's hello arrives, so the link is not yet among those it is announced to.
     async def check() -> None:
         peer = Peer("agent-0", KEY)
         stream = ScriptedStream()
-        link = asyncio.create_task(peer.hub.exchange(stream, leads=False))
+        link = asyncio.create_task(peer.hub.run_link(stream, leads=False))
         await wait_for(lambda: any(isinstance(m, Hello) for m in stream.sent))
         peer.hub.announce(4)
         hello = Hello("entry-0", "place", "entry", "new", 4)
@@ -242,8 +240,8 @@
     run(check())
 
 
-# A process that is told to stop while it starts ends with an error, and whoever watches
-# it takes a planned stop for a crash: its parts are stopped before they have started.
+# Guards against a stop during the start that looks like a crash: the process exited
+# with an error, since its components were stopped before they had started.
 def test_hub_can_be_stopped_while_it_starts() -> None:
     async def check() -> None:
         peer = Peer("agent-0")
