--- a/radishtally/settings/__init__.py
+++ b/radishtally/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Read a daemon's settings."""
+"""Settings of a daemon."""
--- a/radishtally/settings/core.py
+++ b/radishtally/settings/core.py
@@ -1,4 +1,4 @@
-"""Read and check a daemon's settings file."""
+"""Reading and validation of a daemon's settings file."""
 
 import ipaddress
 from collections.abc import Iterator
@@ -14,14 +14,14 @@
 
 
 def read_settings(path: str | Path) -> Result[Settings, Fault]:
-    """Read the settings from a file in JSON with comments."""
+    """Read and validate settings from a file in JSON with comments."""
     return read_file(path, Settings).bind(
         lambda settings: _check_role(settings, str(path))
     )
 
 
 def read_file(path: str | Path, kind: type[T]) -> Result[T, Fault]:
-    """Read a file in JSON with comments into its schema."""
+    """Read a file in JSON with comments and convert it to its schema."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except UnicodeDecodeError:
@@ -32,7 +32,7 @@
 
 
 def parse_settings(text: str, file: str) -> Result[Settings, Fault]:
-    """Check the settings of one process."""
+    """Parse and validate the settings of one process."""
     return _parse(text, file, Settings).bind(
         lambda settings: _check_role(settings, file)
     )
--- a/tests/settings/test_core.py
+++ b/tests/settings/test_core.py
@@ -1,4 +1,4 @@
-"""Settings are checked, and a fault names file, key path and expectation."""
+"""Tests of reading settings: a fault names the file, key path and expectation."""
 
 import json
 
@@ -58,7 +58,7 @@
     assert message in fault.message
 
 
-def test_file_that_is_not_there_is_a_fault(tmp_path):
+def test_missing_file_is_a_fault(tmp_path):
     assert "none.json" in read_settings(tmp_path / "none.json").error.place
 
 
