--- a/radishtally/gateway/config.py
+++ b/radishtally/gateway/config.py
@@ -4,14 +4,14 @@
 
 from msgspec import Meta
 
-from radishtally.settings.config import Part, Text
+from radishtally.settings.config import SettingsSection, Text
 
 PositiveSeconds = Annotated[float, Meta(gt=0, le=3_600)]
 Milliseconds = Annotated[float, Meta(gt=0, le=3_600_000)]
 Ratio = Annotated[float, Meta(ge=0, le=1)]
 
 
-class Bounds(Part):
+class Bounds(SettingsSection):
     """Hold what the deployment promises of its times and budgets."""
 
     grace_seconds: PositiveSeconds
@@ -27,7 +27,7 @@
     retry_window_seconds: PositiveSeconds
 
 
-class GatewaySettings(Part):
+class GatewaySettings(SettingsSection):
     """Describe one gateway."""
 
     host: Text
