--- a/radishtally/entry/members.py
+++ b/radishtally/entry/members.py
@@ -92,7 +92,7 @@
         """Bring the link and the core's view of one host up to date."""
         member = self.membership.members.get(host)
         if member is None:
-            self._hub.forget(host)
+            self._hub.stop_dialling(host)
             self._core.forget_host(host)
             return
         self._dial(host, member.upstream, member.address)
@@ -112,7 +112,7 @@
         listed = any(m.address for m in self.membership.members.values())
         for address in self._settings.seeds:
             if listed:
-                self._hub.forget(SEED + address)
+                self._hub.stop_dialling(SEED + address)
             else:
                 self._hub.dial(SEED + address, address)
 
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -174,7 +174,7 @@
         silent = self._dialled - set(self._hub.hosts)
         dialled = set(choose_dialled(sites, self._host, silent))
         for name in self._dialled - dialled:
-            self._hub.forget(name)
+            self._hub.stop_dialling(name)
         for name in dialled:
             self._hub.dial(name, rows[name].value["address"])
         self._dialled = dialled
--- a/radishtally/links/hub.py
+++ b/radishtally/links/hub.py
@@ -86,16 +86,17 @@
                 await asyncio.wait_for(self._server.wait_closed(), DIAL_TIMEOUT_SECONDS)
 
     def dial(self, host: str, address: str) -> None:
-        """Dial a host, and redial it whenever its link ends, until it is forgotten."""
+        """Dial a host, and redial it whenever its link ends, until dialling is
+        stopped."""
         if host in self._dialers:
             if self._dialers[host][0] == address:
                 return
-            self.forget(host)
+            self.stop_dialling(host)
         task = asyncio.create_task(self._dial_forever(host, address))
         task.add_done_callback(_raise_task_error)
         self._dialers[host] = (address, task)
 
-    def forget(self, host: str) -> None:
+    def stop_dialling(self, host: str) -> None:
         """Stop dialling a host; its link ends."""
         _, task = self._dialers.pop(host, ("", None))
         if task is not None:
@@ -121,7 +122,7 @@
         # Dialling is restarted, since a dialler that was refused for long has backed
         # off.
         for host, (address, _) in list(self._dialers.items()):
-            self.forget(host)
+            self.stop_dialling(host)
             self.dial(host, address)
 
     def announce(self, revision: int) -> None:
