--- a/radishtally/agent/engine.py
+++ b/radishtally/agent/engine.py
@@ -17,7 +17,7 @@
     UPSTREAM_CONNECT_SECONDS,
 )
 from radishtally.agent.sse import Done, read_parts
-from radishtally.exchange import BROKEN
+from radishtally.exchange import EXCHANGE_ERRORS
 from radishtally.links.messages import CHAT, PREFILL, KvRef, Offer
 from radishtally.outcome import Fault, Ran
 from radishtally.tasks import AttemptTasks
@@ -107,7 +107,7 @@
     def abort(self, request: str, attempt: int) -> None:
         """End work without an outcome."""
         self._tasks.cancel(request, attempt)
-        self._tasks.keep(self._cancel(request, attempt))
+        self._tasks.spawn_detached(self._cancel(request, attempt))
 
     def drop_silent(self, now: float) -> None:
         """Give up streams whose tokens have stopped coming.
@@ -130,8 +130,8 @@
 
     def export(self, request: str, attempt: int) -> None:
         """End work in good order and keep its KV cache for another engine."""
-        task = self._tasks.take(request, attempt)
-        self._tasks.keep(self._export(request, attempt, task))
+        task = self._tasks.pop(request, attempt)
+        self._tasks.spawn_detached(self._export(request, attempt, task))
 
     async def _run(self, offer: Offer) -> None:
         name = offer.work.request, offer.attempt
@@ -154,7 +154,7 @@
                 await self._read(name, response, started)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             self._report(events.Failed(*name, Ran.NO, repr(error)))
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             ran = Ran.UNKNOWN if not isinstance(error, ValueError) else ran
             self._report(events.Failed(*name, ran, repr(error)))
         finally:
--- a/radishtally/authority/lease_driver.py
+++ b/radishtally/authority/lease_driver.py
@@ -151,7 +151,7 @@
         self._handle(Resign())
         if self._calls:
             await asyncio.wait(self._calls, timeout=RESIGN_TIMEOUT_SECONDS)
-        await self._end()
+        await self._cancel_all()
 
     @singledispatchmethod
     def _execute(self, command: Command) -> None:
@@ -159,11 +159,11 @@
 
     @_execute.register
     def _(self, command: ReadLease) -> None:
-        self._call(self._read(command))
+        self._start_call(self._read(command))
 
     @_execute.register
     def _(self, command: WriteLease) -> None:
-        self._call(self._write(command))
+        self._start_call(self._write(command))
 
     @_execute.register
     def _(self, command: LeaseGained) -> None:
@@ -179,7 +179,7 @@
 
     @_execute.register
     def _(self, command: WakeAt) -> None:
-        self._wake_at(command.time)
+        self._schedule_tick(command.time)
 
     async def _read(self, command: ReadLease) -> None:
         era, asked_at = self._era, self._clock()
--- a/radishtally/direct/answer_checks.py
+++ b/radishtally/direct/answer_checks.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from radishtally.connector import Usage
+from radishtally.connector import ConnectionUsage
 
 
 class AnswerMismatch(StrEnum):
@@ -41,7 +41,7 @@
 
 
 def find_mismatch(
-    names: Collection[str], request: str, usage: Usage
+    names: Collection[str], request: str, usage: ConnectionUsage
 ) -> AnswerMismatch | None:
     """Return why an answer may belong to another request, by the request ids in it."""
     if len(names) > 1:
--- a/radishtally/direct/answers.py
+++ b/radishtally/direct/answers.py
@@ -7,7 +7,7 @@
 import xxhash
 from eliot import log_message
 
-from radishtally.connector import Usage
+from radishtally.connector import ConnectionUsage
 from radishtally.direct.answer_checks import (
     AnswerMismatch,
     IncompleteAnswerError,
@@ -110,7 +110,7 @@
         self,
         mismatch: AnswerMismatch,
         head: Head,
-        usage: Usage,
+        usage: ConnectionUsage,
         instance: Instance,
         offer: Offer,
     ) -> None:
--- a/radishtally/direct/hosts.py
+++ b/radishtally/direct/hosts.py
@@ -24,7 +24,7 @@
 )
 from radishtally.direct.pool import open_session
 from radishtally.direct.probes import HostProbes
-from radishtally.exchange import BROKEN, SendOnce
+from radishtally.exchange import EXCHANGE_ERRORS, SendOnce
 from radishtally.links.messages import (
     ENDED,
     LEAVING,
@@ -95,7 +95,7 @@
 
     def drop(self, kv: KvRef) -> None:
         """Free a KV cache that no engine will fetch."""
-        self._tasks.keep(self._free_kv(kv))
+        self._tasks.spawn_detached(self._free_kv(kv))
 
     async def read_report(self, instance: Instance) -> Result[EngineReport, str]:
         """Query an engine's state."""
@@ -126,7 +126,7 @@
                 if response.status != OK:
                     return Error(f"status {response.status}")
                 return Ok(await response.read())
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             return Error(describe_error(error))
 
     async def order_role(
@@ -143,7 +143,7 @@
                 return self._dialect.read_order(response.status)
         except NOT_CONNECTED:
             return OrderOutcome.UNREACHED
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             log_message(
                 "upstream:order_unclear",
                 upstream_host=instance.host,
@@ -162,7 +162,7 @@
         except NOT_CONNECTED as error:
             self._receive(host, Lost(*attempt_id, Ran.NO, UNREACHED, 0))
             log_message("upstream:unreached", upstream_host=host, error=repr(error))
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             # Computing the prompt does not count as running: no token was generated.
             ran = Ran.NO if offer.stage == PREFILL else Ran.UNKNOWN
             has_ended = await self._probes.has_ended(instance, error)
@@ -201,7 +201,7 @@
                 if instance is not None and instance.address == kv.url:
                     self.answers.report_notice(response, instance)
                 await response.read()
-        except BROKEN as error:
+        except EXCHANGE_ERRORS as error:
             log_message(
                 "upstream:kv_not_freed", upstream_host=kv.host, error=repr(error)
             )
--- a/radishtally/direct/pool.py
+++ b/radishtally/direct/pool.py
@@ -7,7 +7,7 @@
 import aiohttp
 from aiohttp.connector import Connection
 
-from radishtally.connector import KeepingConnector, KeptHandler, Usage
+from radishtally.connector import CheckedConnector, CheckedHandler, ConnectionUsage
 from radishtally.direct.const import CONNECT_SECONDS, IDLE_CONNECTION_SECONDS
 from radishtally.direct.sockets import open_socket
 from radishtally.exchange import CheckedResponse
@@ -19,8 +19,8 @@
 class WatchedResponse(CheckedResponse):
     """Record how the connection of an answer was used before."""
 
-    usage = Usage()
-    _watched: KeptHandler | None = None
+    usage = ConnectionUsage()
+    _watched: CheckedHandler | None = None
 
     async def start(self, connection: Connection) -> "WatchedResponse":
         """Read the head and remember the connection."""
@@ -58,7 +58,7 @@
 ) -> aiohttp.ClientSession:
     """Open a connection pool, or with `force_close` one without connection reuse."""
     extra = {} if force_close else {"keepalive_timeout": IDLE_CONNECTION_SECONDS}
-    connector = KeepingConnector(
+    connector = CheckedConnector(
         "upstream",
         on_unrequested,
         limit=0,
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -32,7 +32,7 @@
 from radishtally.entry.planning import Parts
 from radishtally.entry.watch import Watcher
 from radishtally.limits.retries import RetryBudgets
-from radishtally.links.hub import Callbacks
+from radishtally.links.hub import LinkCallbacks
 from radishtally.links.messages import Hello, Leaving, Load, Message, Work
 from radishtally.outcome import Ran, Refusal
 from radishtally.process import Process
@@ -61,7 +61,7 @@
         self.core = DispatchCore(settings.host, settings.place, random.Random())
         self.waker = Waker(lambda: self.handle(events.Tick()))
         hub = self.process.make_hub(
-            Callbacks(self._link_up, self._link_down, self._receive, self._is_busy)
+            LinkCallbacks(self._link_up, self._link_down, self._receive, self._is_busy)
         )
         self.members = Members(settings, hub, self.core)
         self.configurations = ConfigurationStore(
@@ -83,14 +83,14 @@
                 self.process.spawn,
             )
         )
-        self.process.describe_beliefs = lambda: {"leases": self.planning.describe()}
+        self.process.describe_state = lambda: {"leases": self.planning.describe()}
         self.watcher = Watcher(self)
         self._started: dict[str, float] = {}
         self._closed = False
 
     async def run(self) -> None:
         """Serve until a planned stop."""
-        self.process.watch_loop()
+        self.process.install_handlers()
         await self.process.hub.start(self.settings.address)
         self.process.audit.start()
         self.claims.start()
@@ -256,7 +256,7 @@
         self.planning.configure(current.configuration)
 
     def _link_up(self, hello: Hello) -> None:
-        self.process.note_peer(hello.host, hello.revision)
+        self.process.request_newer_configuration(hello.host, hello.revision)
         self.members.link_up(hello)
         self.handle(events.LinkUp(hello))
 
@@ -267,7 +267,7 @@
 
     def _receive(self, host: str, message: Message) -> None:
         self.members.heard(host)
-        if self.process.handle_shared(host, message):
+        if self.process.handle_common_message(host, message):
             return
         if isinstance(message, Leaving):
             self.members.left(host, message.reason)
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -74,7 +74,7 @@
         self.replies = Replies()
         self.metrics = GatewayMetrics()
         self.runtime.on_stall = self.metrics.count_stall
-        self.runtime.describe_beliefs = self._describe_state
+        self.runtime.describe_state = self._describe_state
         self._gateway_count: int | None = None
         """Number of gateways that share the retry budget; None until listed."""
         self.core = DispatchCore(
@@ -127,7 +127,7 @@
 
     async def run(self) -> None:
         """Serve until a graceful stop."""
-        self.runtime.watch_loop()
+        self.runtime.install_handlers()
         await self.hosts.start()
         settings = self.settings
         await self.frontend.start(
@@ -150,7 +150,7 @@
         await self._stop_parts(resigning)
         self.runtime.cancel_tasks()
         log_message("gateway:stopped", open=len(self.replies))
-        self.runtime.exit()
+        self.runtime.exit_if_broken()
 
     def _describe_state(self) -> dict[str, Any]:
         configuration = self.router.configuration
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -29,7 +29,7 @@
     list_gateways_in,
 )
 from radishtally.gateway.unreachable import UnreachablePeers
-from radishtally.links.hub import Callbacks, LinkHub
+from radishtally.links.hub import LinkCallbacks, LinkHub
 from radishtally.links.messages import Hello, Message
 from radishtally.runtime import Runtime
 from radishtally.serving.state import DispatchCore
@@ -85,7 +85,7 @@
         )
         gateway = self._gateway
         guard = gateway.runtime.guard_call
-        callbacks = Callbacks(
+        callbacks = LinkCallbacks(
             guard(self._link_up),
             guard(self._link_down),
             guard(self._receive),
@@ -177,7 +177,7 @@
         silent = self._dialled - set(self._hub.hosts)
         dialled = set(choose_dialled(sites, self._host, silent))
         for name in self._dialled - dialled:
-            self._hub.forget(name)
+            self._hub.stop_dialling(name)
         for name in dialled:
             self._hub.dial(name, rows[name].value["address"])
         self._dialled = dialled
--- a/radishtally/store/client.py
+++ b/radishtally/store/client.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from radishtally.connector import KeepingConnector
+from radishtally.connector import CheckedConnector
 from radishtally.outcome import Error, Ok, Result
 
 CONNECT_TIMEOUT_FRACTION: Final = 0.5
@@ -42,7 +42,7 @@
             total=timeout, connect=timeout * CONNECT_TIMEOUT_FRACTION
         )
         # Replies carry no request id, so a reply can't be matched to its call.
-        connector = KeepingConnector("platform")
+        connector = CheckedConnector("platform")
         self.session = aiohttp.ClientSession(connector=connector, timeout=limits)
         self.calls = 0
         self.retired = False
--- a/tests/gateway/common.py
+++ b/tests/gateway/common.py
@@ -12,7 +12,7 @@
 from adapter.store import StoreClient
 from adapter.table import StoreTable
 from adapter.upstreams import PlatformUpstreams
-from adapter.watch import Watcher
+from adapter.watch import StoreWatcher
 from aiohttp import web
 
 from radishtally.engines.placement import EnginePlacement
@@ -20,7 +20,7 @@
 from radishtally.gateway.daemon import Gateway
 from standins.rows import Name, Rows
 from standins.staged import StagedEngine
-from tests.common import find_address
+from tests.common import allocate_address
 
 LOOPBACK = "127.0.0.1"
 WAIT_SECONDS = 10.0
@@ -152,7 +152,7 @@
     client = StoreClient(store)
     await client.start()
     gateway = make_gateway(client, store, host)
-    watcher = Watcher(client, gateway)
+    watcher = StoreWatcher(client, gateway)
     watcher.start()
     running = asyncio.create_task(gateway.run())
     try:
@@ -171,7 +171,7 @@
 
 def make_gateway(client: StoreClient, store: str, host: str) -> Gateway:
     """Make a gateway on addresses of its own."""
-    ip = find_address()
+    ip = allocate_address()
     settings = GatewaySettings(
         host=host,
         data_centre="howrah",
--- a/tests/store/test_table.py
+++ b/tests/store/test_table.py
@@ -16,7 +16,7 @@
     Row,
 )
 from radishtally.store.table import HttpTable, compute_revision
-from tests.common import find_address, run
+from tests.common import allocate_address, run
 from tests.store import common
 from tests.store.common import SERVICE_FAULTS, TIMEOUT, name_outcome
 from tests.store.scripted import build_reply, serve_replies
@@ -132,7 +132,7 @@
 
 
 def test_refused_connection_means_that_nothing_was_run(start_standin):
-    service = start_standin("table", "--address", find_address())
+    service = start_standin("table", "--address", allocate_address())
     service.process.kill()
     service.process.wait()
 
