--- a/radishtally/routing/__init__.py
+++ b/radishtally/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of the host that a request is offered to."""
+"""Routing of requests to hosts."""
--- a/radishtally/routing/core.py
+++ b/radishtally/routing/core.py
@@ -1,4 +1,4 @@
-"""Choice of the host that work is offered to."""
+"""Routing policies: the choice of the host that work is offered to."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from math import inf
@@ -8,27 +8,29 @@
 
 from radishtally.links.messages import DECODE, MIXED, PREFILL, WHOLE, Load
 
-FIRST_FEW: Final = 3
-"""Hosts at the top of the ranking that keep a prefix's KV cache."""
+PREFIX_HOSTS: Final = 3
+"""Hosts at the top of a prefix's ranking that share its KV cache."""
 PREFIX_CHARACTERS: Final = 1_024
 STALE_SECONDS: Final = 10.0
-"""Age from which a reported wait says nothing any more."""
-BALANCE: Final = 1.25
-"""Load over the mean that a host of the first few may have."""
-SPARE_REQUESTS: Final = 2.0
-"""Requests over the mean that are no imbalance, however small the mean."""
-SOONER: Final = 0.75
-"""Share of the preferred role's time in which another one must answer to be chosen."""
-SOONER_SECONDS: Final = 0.05
-GRAIN_SECONDS: Final = 0.05
-"""Difference from which one predicted wait is longer than another."""
-TRIP_SECONDS: Final = 0.003
-"""Round trip between places of a region, about."""
-SPLIT_TOKENS: Final = 1_024
-"""Prompt from which its prefill is worth a host of its own."""
-HANDOVER_SECONDS: Final = 0.1
-"""Cost of moving a KV cache between hosts, about."""
-UNKNOWN_SLOTS: Final = 16
+"""Age beyond which a load report is ignored."""
+MAX_LOAD_RATIO: Final = 1.25
+"""Load relative to the mean up to which a top-ranked host is used."""
+TOLERATED_REQUESTS: Final = 2.0
+"""Requests above the mean that never count as imbalance, however small the mean."""
+ROLE_SWITCH_RATIO: Final = 0.75
+"""Share of the preferred role's time within which another role must finish."""
+ROLE_SWITCH_SECONDS: Final = 0.05
+"""Time that another role must save at least, in addition."""
+WAIT_RESOLUTION_SECONDS: Final = 0.05
+"""Resolution at which predicted waits are compared."""
+ROUND_TRIP_SECONDS: Final = 0.003
+"""Approximate round trip between two places of a region."""
+MIN_SPLIT_TOKENS: Final = 1_024
+"""Prompt length from which prefill may go to a separate host."""
+KV_TRANSFER_SECONDS: Final = 0.1
+"""Approximate time to transfer a KV cache between hosts."""
+ASSUMED_SLOTS: Final = 16
+"""Slots of a host that has not reported any load."""
 
 PREFERRED_ROLES: Final[dict[str, tuple[str, ...]]] = {
     WHOLE: (MIXED, DECODE, PREFILL),
@@ -38,22 +40,22 @@
 
 
 class Candidate(NamedTuple):
-    """Describe a host as the entry knows it."""
+    """Describe a host as the entry sees it."""
 
     host: str
     place: str
     load: Load | None
-    """Last load heard of."""
+    """Last reported load; None before the first report."""
     load_age: float
-    """Seconds."""
+    """Seconds since the report."""
     in_flight: int
-    """Own requests offered there and not ended."""
+    """Requests of this entry that are in flight there."""
     reported_in_flight: int
-    """Own requests in flight when the load was reported."""
+    """Requests of this entry that were in flight when the load was reported."""
 
 
 class WorkSpec(NamedTuple):
-    """Describe the work to be offered."""
+    """Describe the work to place."""
 
     stage: str
     """WHOLE, PREFILL or DECODE."""
@@ -63,20 +65,20 @@
     prompt_tokens: int
     max_tokens: int
     slack: float
-    """Seconds to the deadline."""
+    """Seconds until the deadline."""
     place: str
     """Place of the entry."""
 
 
 class Prediction(NamedTuple):
-    """Predict how a request would fare at a candidate."""
+    """Hold the predicted times of a request at a candidate."""
 
     wait: float
-    """Seconds to the start."""
+    """Seconds until the start."""
     finish: float
-    """Seconds to the last token."""
+    """Seconds until the last token."""
     occupancy: float
-    """Requests there for each slot."""
+    """Requests per slot."""
 
 
 def hash_prefix(text: str) -> int:
@@ -93,122 +95,128 @@
 
 
 def choose_host(
-    wanted: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
+    work: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
 ) -> str | None:
-    """Choose the host to offer the work to next; none if all were tried."""
-    able = [item for item in candidates if may_serve(item, wanted)]
-    left = [item for item in able if item.host not in tried]
-    host = find_soonest_role(wanted, able, tried)
+    """Choose the next host to offer the work to; None if all were tried."""
+    eligible = [item for item in candidates if may_serve(item, work)]
+    untried = [item for item in eligible if item.host not in tried]
+    host = choose_by_role(work, eligible, tried)
     if host is not None:
         return host
-    # No prediction fits the slack. The agents have the last word, and a prediction may
-    # be out of date, so the work is offered where it would wait least.
+    # No host is predicted to meet the deadline. The prediction may be stale and the
+    # agents do admission control, so the work is offered where it would wait least.
     best = min(
-        left, key=lambda item: (predict(item, wanted).wait, item.host), default=None
+        untried, key=lambda item: (predict(item, work).wait, item.host), default=None
     )
     return best.host if best is not None else None
 
 
-def find_soonest_role(
-    wanted: WorkSpec, candidates: Sequence[Candidate], tried: Collection[str]
+def choose_by_role(
+    work: WorkSpec, candidates: Sequence[Candidate], tried: Collection[str]
 ) -> str | None:
-    """Find a host that fits: of the preferred role, or of one that is far sooner."""
-    best, soonest, least = None, 0.0, 0.0
-    for role, cost in order_roles(wanted, candidates):
-        able = [item for item in candidates if may_have_role(item, role)]
-        host = find_fitting(wanted, able, tried)
+    """Choose a host of the preferred role, or of another role that is much faster."""
+    best, best_finish, best_cost = None, 0.0, 0.0
+    for role, cost in order_roles(work, candidates):
+        eligible = [item for item in candidates if may_have_role(item, role)]
+        host = choose_within_slack(work, eligible, tried)
         if host is None:
             continue
-        finish = next(predict(i, wanted).finish for i in able if i.host == host)
-        # The preferred role was filled up to the callers' deadlines while engines of
-        # another one stood idle that would have answered at once.
-        sooner = SOONER * least / cost if cost > least > 0 else SOONER
-        if best is None or finish + SOONER_SECONDS < sooner * soonest:
-            best, soonest, least = host, finish, cost
+        finish = next(predict(i, work).finish for i in eligible if i.host == host)
+        # Otherwise the preferred role fills up to the callers' deadlines while idle
+        # engines of another role could answer immediately.
+        ratio = (
+            ROLE_SWITCH_RATIO * best_cost / cost
+            if cost > best_cost > 0
+            else ROLE_SWITCH_RATIO
+        )
+        if best is None or finish + ROLE_SWITCH_SECONDS < ratio * best_finish:
+            best, best_finish, best_cost = host, finish, cost
     return best
 
 
 def order_roles(
-    wanted: WorkSpec, candidates: Sequence[Candidate]
+    work: WorkSpec, candidates: Sequence[Candidate]
 ) -> list[tuple[str, float]]:
-    """Order the roles by what the work costs there, then as its stage prefers."""
+    """Order the roles by the cost of the work, then by the preference of its stage."""
     costs = [
-        (r, find_cost(wanted, candidates, r)) for r in PREFERRED_ROLES[wanted.stage]
+        (r, estimate_cost(work, candidates, r)) for r in PREFERRED_ROLES[work.stage]
     ]
-    least = min((cost for _, cost in costs if cost > 0), default=0.0)
-    if wanted.stage != WHOLE or not least:
+    min_cost = min((cost for _, cost in costs if cost > 0), default=0.0)
+    if work.stage != WHOLE or not min_cost:
         return costs
-    # Long prompts on decode engines hold up all that is queued behind them, and short
-    # ones on mixed engines take places that those with long prompts need.
-    return sorted(costs, key=lambda item: round(item[1] / least, 1) or inf)
+    # Long prompts on decode engines delay everything queued behind them, and short ones
+    # on mixed engines take slots that long prompts need.
+    return sorted(costs, key=lambda item: round(item[1] / min_cost, 1) or inf)
 
 
-def find_cost(wanted: WorkSpec, candidates: Sequence[Candidate], role: str) -> float:
-    """Find the engine-seconds that the work takes in a role; 0 if that is not known."""
+def estimate_cost(work: WorkSpec, candidates: Sequence[Candidate], role: str) -> float:
+    """Estimate the engine-seconds of the work in a role; 0 if unknown."""
     loads = (item.load for item in candidates if item.load and item.load.role == role)
     load = next((load for load in loads if load.prefill_rate > 0), None)
     if load is None:
         return 0.0
-    decode = wanted.max_tokens * load.decode_seconds / max(1, load.slots)
-    return wanted.prompt_tokens / load.prefill_rate + decode
+    decode = work.max_tokens * load.decode_seconds / max(1, load.slots)
+    return work.prompt_tokens / load.prefill_rate + decode
 
 
-def find_fitting(
-    wanted: WorkSpec, candidates: Sequence[Candidate], tried: Collection[str]
+def choose_within_slack(
+    work: WorkSpec, candidates: Sequence[Candidate], tried: Collection[str]
 ) -> str | None:
-    """Find a host that fits the slack: the first few by rank, then by least wait."""
-    left = {item.host: item for item in candidates if item.host not in tried}
-    prospects = {host: predict(item, wanted) for host, item in left.items()}
+    """Choose a host within the slack: by rank if balanced, else by least wait."""
+    untried = {item.host: item for item in candidates if item.host not in tried}
+    predictions = {host: predict(item, work) for host, item in untried.items()}
     fitting = {
-        host: prospect.wait
-        for host, prospect in prospects.items()
-        if prospect.finish <= wanted.slack
+        host: prediction.wait
+        for host, prediction in predictions.items()
+        if prediction.finish <= work.slack
     }
     if not fitting:
         return None
-    # A hot prefix would pile up on its first host: hosts well over the mean load are
-    # passed over, so that it spills to the next few of its own ranking.
-    bound = find_bound(candidates)
-    ranked = rank((item.host for item in candidates), hash_key(wanted))
-    # The first that will do, not the soonest: reports lag, all entries see the same,
-    # and each rule that compared hosts sent bursts to the one that looked best.
-    for host in ranked[:FIRST_FEW]:
-        if host in fitting and count_requests(left[host]) <= bound:
+    # A hot prefix would overload its first host. Hosts well above the mean load are
+    # skipped, so that it spills over to the next hosts of its ranking.
+    bound = find_load_bound(candidates)
+    ranked = rank((item.host for item in candidates), hash_affinity_key(work))
+    # Takes the first suitable host instead of the fastest: all entries see the same
+    # stale reports, and comparing hosts by them sends bursts to the best-looking one.
+    for host in ranked[:PREFIX_HOSTS]:
+        if host in fitting and count_requests(untried[host]) <= bound:
             return host
-    return find_least_busy([host for host in ranked if host in fitting], fitting, left)
+    return choose_least_wait(
+        [host for host in ranked if host in fitting], fitting, untried
+    )
 
 
-def find_least_busy(
+def choose_least_wait(
     ranked: Sequence[str],
     waits: Mapping[str, float],
     candidates: Mapping[str, Candidate],
 ) -> str:
-    """Find the host with the least wait; of like ones that with fewest own requests."""
+    """Choose the host with the least wait, then with the fewest own requests."""
 
-    # By name, all entries sent what spilled over to the same host at the same time.
-    def measure(host: str) -> tuple[float, int]:
-        return round(waits[host] / GRAIN_SECONDS), candidates[host].in_flight
+    # A tie-break by name would send the overflow of all entries to the same host.
+    def score(host: str) -> tuple[float, int]:
+        return round(waits[host] / WAIT_RESOLUTION_SECONDS), candidates[host].in_flight
 
-    return min(ranked, key=measure)
+    return min(ranked, key=score)
 
 
 def choose_round_robin(
-    wanted: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
+    work: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
 ) -> str | None:
-    """Choose the host with the fewest own requests, whatever its load."""
-    left = find_left(wanted, candidates, tried)
-    key = hash_key(wanted)
-    hosts = rank((item.host for item in left), key ^ wanted.prefix)
-    counts = {item.host: item.in_flight for item in left}
+    """Choose the host with the fewest own requests, regardless of its load."""
+    untried = list_untried(work, candidates, tried)
+    key = hash_affinity_key(work)
+    hosts = rank((item.host for item in untried), key ^ work.prefix)
+    counts = {item.host: item.in_flight for item in untried}
     return min(hosts, key=counts.__getitem__, default=None)
 
 
 def choose_least_reported(
-    wanted: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
+    work: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
 ) -> str | None:
-    """Choose the host that last reported the least wait."""
-    left = find_left(wanted, candidates, tried)
-    waits = {item.host: item.load.wait if item.load else 0.0 for item in left}
+    """Choose the host with the least reported wait."""
+    untried = list_untried(work, candidates, tried)
+    waits = {item.host: item.load.wait if item.load else 0.0 for item in untried}
     return min(sorted(waits), key=waits.__getitem__, default=None)
 
 
@@ -221,14 +229,14 @@
 }
 
 
-def needs_split(candidates: Iterable[Candidate], wanted: WorkSpec) -> bool:
-    """Tell whether prefill and decode should go to hosts of their own."""
-    if wanted.prompt_tokens < SPLIT_TOKENS or wanted.max_tokens < 2:
+def needs_split(candidates: Iterable[Candidate], work: WorkSpec) -> bool:
+    """Return whether prefill and decode should run on separate hosts."""
+    if work.prompt_tokens < MIN_SPLIT_TOKENS or work.max_tokens < 2:
         return False
-    usable = [item for item in candidates if may_serve(item, wanted)]
-    prefill = find_least_wait(usable, wanted, PREFILL)
-    decode = find_least_wait(usable, wanted, DECODE)
-    mixed = find_least_wait(usable, wanted, MIXED)
+    usable = [item for item in candidates if may_serve(item, work)]
+    prefill = predict_least_wait(usable, work, PREFILL)
+    decode = predict_least_wait(usable, work, DECODE)
+    mixed = predict_least_wait(usable, work, MIXED)
     if prefill is None and decode is None:
         return False
     prefill = prefill or mixed
@@ -237,95 +245,97 @@
         return False
     if mixed is None:
         return True
-    return max(prefill.finish, decode.wait) + HANDOVER_SECONDS < mixed.finish
+    return max(prefill.finish, decode.wait) + KV_TRANSFER_SECONDS < mixed.finish
 
 
-def find_least_wait(
-    candidates: Sequence[Candidate], wanted: WorkSpec, role: str
+def predict_least_wait(
+    candidates: Sequence[Candidate], work: WorkSpec, role: str
 ) -> Prediction | None:
-    """Find the best prospect of a prompt's prefill among the hosts of a role."""
-    prompt = wanted._replace(max_tokens=1)
-    prospects = [
+    """Return the prediction with the least wait for prefill on hosts of a role."""
+    prompt = work._replace(max_tokens=1)
+    predictions = [
         predict(item, prompt)
         for item in candidates
         if item.load is not None and item.load.role == role
     ]
-    return min(prospects, key=lambda prospect: prospect.wait, default=None)
+    return min(predictions, key=lambda prediction: prediction.wait, default=None)
 
 
-def find_left(
-    wanted: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
+def list_untried(
+    work: WorkSpec, candidates: Iterable[Candidate], tried: Collection[str]
 ) -> list[Candidate]:
-    """Find the untried candidates of the most fitting role that is left."""
-    usable = [item for item in candidates if may_serve(item, wanted)]
-    left = [item for item in usable if item.host not in tried]
-    for role in PREFERRED_ROLES[wanted.stage]:
-        fitting = [item for item in left if may_have_role(item, role)]
+    """List the untried candidates of the most preferred role that has any."""
+    usable = [item for item in candidates if may_serve(item, work)]
+    untried = [item for item in usable if item.host not in tried]
+    for role in PREFERRED_ROLES[work.stage]:
+        fitting = [item for item in untried if may_have_role(item, role)]
         if fitting:
             return fitting
-    return left
+    return untried
 
 
 def may_have_role(candidate: Candidate, role: str) -> bool:
-    """Tell whether the host has the role, or may have it for all that is known."""
+    """Return whether the host has the role, or its role is unknown."""
     return candidate.load is None or candidate.load.role == role
 
 
-def may_serve(candidate: Candidate, wanted: WorkSpec) -> bool:
-    """Tell whether the host may take the work, for all that is known."""
+def may_serve(candidate: Candidate, work: WorkSpec) -> bool:
+    """Return whether the host can serve the work, as far as is known."""
     load = candidate.load
     if load is None:
         return True
     if load.draining:
         return False
-    if wanted.adapter:
-        return wanted.adapter in load.adapters
-    return not wanted.model or not load.model or load.model == wanted.model
+    if work.adapter:
+        return work.adapter in load.adapters
+    return not work.model or not load.model or load.model == work.model
 
 
-def hash_key(wanted: WorkSpec) -> int:
-    """Hash what the KV cache of the work depends on."""
-    text = f"{wanted.model}\0{wanted.adapter}\0{wanted.prefix}"
+def hash_affinity_key(work: WorkSpec) -> int:
+    """Hash the fields that determine the KV cache of the work."""
+    text = f"{work.model}\0{work.adapter}\0{work.prefix}"
     return xxh3_64_intdigest(text.encode(errors="surrogatepass"))
 
 
-def find_bound(candidates: Sequence[Candidate]) -> float:
-    """Find the number of requests up to which a host counts as balanced."""
+def find_load_bound(candidates: Sequence[Candidate]) -> float:
+    """Return the number of requests up to which a host counts as balanced."""
     mean = sum(map(count_requests, candidates)) / len(candidates)
-    return max(BALANCE * mean, mean + SPARE_REQUESTS)
+    return max(MAX_LOAD_RATIO * mean, mean + TOLERATED_REQUESTS)
 
 
 def count_requests(candidate: Candidate) -> int:
-    """Count the requests at a host: those reported, and own ones sent since."""
+    """Count the requests at a host: those reported plus own ones sent since."""
     load = candidate.load
     if load is None or candidate.load_age > STALE_SECONDS:
         return candidate.in_flight
-    return max(candidate.in_flight, load.queued + load.running + count_new(candidate))
+    return max(
+        candidate.in_flight, load.queued + load.running + count_unreported(candidate)
+    )
 
 
-def count_new(candidate: Candidate) -> int:
-    """Count own requests that the load can't know of, less those that ended since."""
+def count_unreported(candidate: Candidate) -> int:
+    """Count own requests sent since the report, minus those that ended since."""
     return candidate.in_flight - candidate.reported_in_flight
 
 
-def predict(candidate: Candidate, wanted: WorkSpec) -> Prediction:
-    """Predict how the work would fare at a host."""
+def predict(candidate: Candidate, work: WorkSpec) -> Prediction:
+    """Predict wait and finish time of the work at a host."""
     load = candidate.load
-    trip = 0.0 if candidate.place == wanted.place else TRIP_SECONDS
+    trip = 0.0 if candidate.place == work.place else ROUND_TRIP_SECONDS
     requests = count_requests(candidate)
     if load is None:
-        occupancy = requests / UNKNOWN_SLOTS
+        occupancy = requests / ASSUMED_SLOTS
         return Prediction(trip + occupancy, trip + occupancy, occupancy)
-    prefill = wanted.prompt_tokens / load.prefill_rate if load.prefill_rate > 0 else 0.0
+    prefill = work.prompt_tokens / load.prefill_rate if load.prefill_rate > 0 else 0.0
     fresh = candidate.load_age <= STALE_SECONDS
     pace = max(load.decode_seconds, load.token_seconds if fresh else 0.0)
-    decode = wanted.max_tokens * pace
-    # Reports lag: a host that was idle a second ago has got what was sent since. Own
-    # requests are known at once and are added to what it reported.
+    decode = work.max_tokens * pace
+    # Reports lag: a host that was idle a second ago may have received requests since.
+    # Own requests are known immediately and are added to the reported load.
     wait = load.wait if fresh else 0.0
-    wait += max(0, count_new(candidate)) * prefill
+    wait += max(0, count_unreported(candidate)) * prefill
     slots = max(1, load.slots)
-    over = max(0, requests + 1 - slots)
+    excess = max(0, requests + 1 - slots)
     queued = load.queued if fresh else 0
-    wait += max(0, over - queued) * (prefill + decode) / slots
+    wait += max(0, excess - queued) * (prefill + decode) / slots
     return Prediction(trip + wait, trip + wait + prefill + decode, requests / slots)
