--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -116,7 +116,7 @@
         )
         placement.observer = self.stages
         self.stages.on_report = self._take_report
-        self.stages.is_out_of_reach = self.core.is_out_of_reach
+        self.stages.is_unreachable = self.core.is_out_of_reach
         self.waker = Waker(lambda: self.handle(events.Tick()))
 
     @property
--- a/radishtally/stages/core.py
+++ b/radishtally/stages/core.py
@@ -6,7 +6,7 @@
 
 from radishtally.links.messages import DECODE, PREFILL
 from radishtally.stages import const
-from radishtally.stages.split import Needs, choose_prefill, weigh
+from radishtally.stages.split import Needs, choose_prefill, score_split
 
 
 class Engine(NamedTuple):
@@ -34,17 +34,17 @@
     def __init__(self) -> None:
         self._needs: Needs | None = None
         """What was needed when it was last measured."""
-        self._count = 0
+        self._settled_count = 0
         """Engines that the roles were last in order for."""
-        self._off_since: float | None = None
+        self._mismatch_since: float | None = None
         self._is_moving = False
-        self._moved_at = float("-inf")
+        self._last_move_at = float("-inf")
 
     def decide(
         self,
         engines: Sequence[Engine],
         needs: Needs | None,
-        has_begun: bool,
+        has_traffic: bool,
         now: float,
     ) -> list[RoleChange]:
         """Give the changes of role that are due now.
@@ -52,25 +52,25 @@
         Until the needs are known, roles are set before traffic has begun, or where one
         of them has no engine.
         """
-        engines = _leave_out_unreached(engines)
+        engines = _exclude_unreachable(engines)
         if not engines:
             return []
         is_first = self._needs is None and needs is not None
         self._needs = needs or self._needs
         present = sum(engine.role == PREFILL for engine in engines)
         has_both = 0 < present < len(engines)
-        if has_begun and not has_both:
+        if has_traffic and not has_both:
             # Nothing is answered until another engine has changed its role.
             self._is_moving = True
         # A gateway that starts amid traffic would undo what another one has measured.
-        if self._needs is None and has_begun and has_both:
+        if self._needs is None and has_traffic and has_both:
             return []
-        wanted = self._choose(present, len(engines))
+        wanted = self._choose_prefill_count(present, len(engines))
         if wanted == present:
             self._settle(len(engines), now)
             return []
-        if self._off_since is None:
-            self._off_since = now
+        if self._mismatch_since is None:
+            self._mismatch_since = now
         # What is once due stays so until it is done: an order may fail.
         self._is_moving |= is_first or self._is_due(present, len(engines), now)
         return choose_changes(engines, wanted) if self._is_moving else []
@@ -78,12 +78,12 @@
     def _settle(self, count: int, now: float) -> None:
         """Take that so many engines are as wanted."""
         if self._is_moving:
-            self._moved_at = now
+            self._last_move_at = now
         self._is_moving = False
-        self._off_since = None
-        self._count = count
+        self._mismatch_since = None
+        self._settled_count = count
 
-    def _choose(self, present: int, count: int) -> int:
+    def _choose_prefill_count(self, present: int, count: int) -> int:
         """Choose how many engines are to read prompts: as now, where that is enough.
 
         An engine that changes its role serves nobody for seconds and leaves the parts
@@ -92,25 +92,25 @@
         if count < 2:
             return 0
         if self._needs is None:
-            return min(max(round(count * const.START_SHARE), 1), count - 1)
+            return min(max(round(count * const.INITIAL_PREFILL_SHARE), 1), count - 1)
         wanted = choose_prefill(self._needs, count)
-        weight = weigh(self._needs, present, count - present)
-        best = weigh(self._needs, wanted, count - wanted)
-        is_better = weight > 1.0 and best < weight * const.GAIN
+        weight = score_split(self._needs, present, count - present)
+        best = score_split(self._needs, wanted, count - wanted)
+        is_better = weight > 1.0 and best < weight * const.MAX_SCORE_RATIO
         return wanted if is_better else present
 
     def _is_due(self, present: int, count: int, now: float) -> bool:
         """Tell whether the roles have been other than wanted for long enough."""
         has_both = 0 < present < count
-        if not has_both or not self._count:
-            return now >= self._off_since + const.SETTLE_SECONDS
-        if count != self._count:
-            return now >= self._off_since + const.LACK_SECONDS
-        is_rested = now >= self._moved_at + const.REST_SECONDS
-        return is_rested and now >= self._off_since + const.SHIFT_SECONDS
+        if not has_both or not self._settled_count:
+            return now >= self._mismatch_since + const.SETTLE_SECONDS
+        if count != self._settled_count:
+            return now >= self._mismatch_since + const.COUNT_CHANGE_SECONDS
+        is_rested = now >= self._last_move_at + const.COOLDOWN_SECONDS
+        return is_rested and now >= self._mismatch_since + const.DEMAND_SHIFT_SECONDS
 
 
-def _leave_out_unreached(engines: Sequence[Engine]) -> Sequence[Engine]:
+def _exclude_unreachable(engines: Sequence[Engine]) -> Sequence[Engine]:
     """Leave out engines that requests don't reach, where a role has no others.
 
     While both roles have others, an engine that crashed may be back sooner than another
--- a/radishtally/stages/role_controller.py
+++ b/radishtally/stages/role_controller.py
@@ -18,10 +18,10 @@
 from radishtally.outcome import Result
 from radishtally.stages import const
 from radishtally.stages.core import Engine, RoleChange, RolePlan
-from radishtally.stages.demand import Demand, DemandSums
+from radishtally.stages.demand import DemandSums, DemandTracker
 from radishtally.stages.split import Needs
 
-PENDING_SECONDS: Final = {
+PENDING_SECONDS_BY_OUTCOME: Final = {
     OrderOutcome.TAKEN: const.PENDING_SECONDS,
     OrderOutcome.HOLDS: const.PENDING_SECONDS,
     # An order without an answer may be carried out seconds later. Until then a second
@@ -76,45 +76,45 @@
         self._measure_rate = measure_rate
         """Give the prompt tokens that an engine reads in a second."""
         self._clock = clock
-        self.is_out_of_reach: Callable[[str], bool] = lambda _: False
+        self.is_unreachable: Callable[[str], bool] = lambda _: False
         """Tell whether requests don't reach an engine."""
         self.on_report: Callable[[Instance, EngineReport], None] = lambda *_: None
         """Take what an engine said when asked."""
         self._plans: dict[str, RolePlan] = {}
-        self._demands: dict[str, Demand] = {}
+        self._demands: dict[str, DemandTracker] = {}
         self._pending: dict[str, tuple[str, float]] = {}
         """Role that an engine was ordered to take, and until when that counts."""
-        self._logged: dict[str, list[str]] = {}
+        self._logged_changes: dict[str, list[str]] = {}
         """Changes of each upstream's roles that were logged last."""
-        self._passed_over: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
         """Engines that could not be ordered, and until when others go before them."""
 
     def record_request(
         self, upstream: str, prompt_tokens: int, answer_tokens: int, now: float
     ) -> None:
         """Take in tokens that are to be read and those of the answer expected."""
-        self._find_demand(upstream).note(prompt_tokens, answer_tokens, now)
+        self._get_tracker(upstream).record_request(prompt_tokens, answer_tokens, now)
 
     def record_pace(
         self, upstream: str, answers: int, events: int, seconds: float
     ) -> None:
         """Take in the time of an answer's next events, of some answers at a time."""
-        self._find_demand(upstream).pace.record_events(answers, events, seconds)
+        self._get_tracker(upstream).pace.record_events(answers, events, seconds)
 
     def record_answer(
         self, upstream: str, events: int, expected: int, seconds: float, now: float
     ) -> None:
         """Take in a whole answer: events, tokens expected, seconds that it had."""
-        demand = self._find_demand(upstream)
+        demand = self._get_tracker(upstream)
         demand.record_answer(events, expected, seconds, now)
 
     def record_report(self, peer: str, report: DemandReport, now: float) -> None:
         """Take what has come to another gateway."""
         upstream, *sums = report
-        self._find_demand(upstream).record_report(peer, DemandSums(*sums), now)
+        self._get_tracker(upstream).record_report(peer, DemandSums(*sums), now)
 
-    def _find_demand(self, upstream: str) -> Demand:
-        return self._demands.setdefault(upstream, Demand())
+    def _get_tracker(self, upstream: str) -> DemandTracker:
+        return self._demands.setdefault(upstream, DemandTracker())
 
     def forget_report(self, peer: str) -> None:
         """Forget what came to a gateway that tells no more."""
@@ -124,7 +124,7 @@
     def reset_engine(self, host: str) -> None:
         """Forget what an engine was ordered, as it has started again."""
         self._pending.pop(host, None)
-        self._passed_over.pop(host, None)
+        self._skipped_until.pop(host, None)
 
     def build_reports(
         self, now: float, left_out: Container[str] | None = None
@@ -156,15 +156,15 @@
             for item in self._list_instances()
             if item.role and not item.is_draining
         ]
-        self._forget_past(now)
+        self._drop_expired(now)
         due = []
         for upstream in {item.upstream for item in instances}:
             ours = {i.host: i for i in instances if i.upstream == upstream}
             engines = [self._describe(i, now) for i in ours.values()]
             plan = self._plans.setdefault(upstream, RolePlan())
             needs = self._measure_needs(upstream, list(ours.values()), now)
-            has_begun = self._find_demand(upstream).has_begun
-            changes = plan.decide(engines, needs, has_begun, now)
+            has_traffic = self._get_tracker(upstream).has_traffic
+            changes = plan.decide(engines, needs, has_traffic, now)
             self._log_wanted(upstream, changes, needs)
             due += [(ours[change.host], change) for change in changes]
         return [] if self._lease.fencing is None else due
@@ -174,9 +174,9 @@
     ) -> None:
         """Log what is wanted when it is another than at the last look."""
         wanted = [f"{change.host} {change.role}" for change in changes]
-        if wanted == self._logged.get(upstream, []):
+        if wanted == self._logged_changes.get(upstream, []):
             return
-        self._logged[upstream] = wanted
+        self._logged_changes[upstream] = wanted
         log_message(
             "stage:wanted",
             upstream=upstream,
@@ -191,17 +191,17 @@
         rates = [self._measure_rate(item.host) for item in instances]
         slots = min(item.slots for item in instances)
         mean = sum(rates) / len(rates)
-        return self._find_demand(upstream).measure(mean, slots, now)
+        return self._get_tracker(upstream).measure(mean, slots, now)
 
-    def _forget_past(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Forget what no longer counts, of engines that are gone as well."""
         self._pending = {
             host: (role, until)
             for host, (role, until) in self._pending.items()
             if now < until
         }
-        self._passed_over = {
-            host: until for host, until in self._passed_over.items() if now < until
+        self._skipped_until = {
+            host: until for host, until in self._skipped_until.items() if now < until
         }
 
     def _describe(self, instance: Instance, now: float) -> Engine:
@@ -209,8 +209,8 @@
         if now >= until or role == instance.role:
             self._pending.pop(instance.host, None)
             role = instance.role
-        is_orderable = instance.host not in self._passed_over
-        is_reachable = not self.is_out_of_reach(instance.host)
+        is_orderable = instance.host not in self._skipped_until
+        is_reachable = not self.is_unreachable(instance.host)
         return Engine(
             instance.host, instance.data_centre, role, is_orderable, is_reachable
         )
@@ -220,7 +220,7 @@
         report = await self._orders.read_report(instance)
         if report.is_error():
             log_message("stage:engine_unread", engine=change.host, reason=report.error)
-            self._pass_over(instance)
+            self._skip(instance)
             return
         self.on_report(instance, report.ok)
         # A new start counts its orders anew: one by the count of another start might be
@@ -235,7 +235,7 @@
             )
             return
         if report.ok.is_busy or report.ok.role == change.role:
-            self._count_as_done(instance, change, const.PENDING_SECONDS)
+            self._mark_pending(instance, change, const.PENDING_SECONDS)
             return
         # The lease may have lapsed while the engine was asked: an order is given only
         # by who holds it at that moment.
@@ -255,19 +255,19 @@
         )
         if outcome == OrderOutcome.STALE:
             self._lease.give_up(fencing)
-        if outcome in PENDING_SECONDS:
-            self._count_as_done(instance, change, PENDING_SECONDS[outcome])
+        if outcome in PENDING_SECONDS_BY_OUTCOME:
+            self._mark_pending(instance, change, PENDING_SECONDS_BY_OUTCOME[outcome])
         else:
-            self._pass_over(instance)
+            self._skip(instance)
 
-    def _count_as_done(
+    def _mark_pending(
         self, instance: Instance, change: RoleChange, seconds: float
     ) -> None:
         # The engine may have started again while it was asked or ordered.
         if self._is_present(instance):
             self._pending[change.host] = (change.role, self._clock() + seconds)
 
-    def _pass_over(self, instance: Instance) -> None:
+    def _skip(self, instance: Instance) -> None:
         """Let other engines be chosen before one that could not be ordered.
 
         Chosen by the same rule it would be the same one at each look, and the change
@@ -275,7 +275,7 @@
         """
         if self._is_present(instance):
             until = self._clock() + const.RETRY_SECONDS
-            self._passed_over[instance.host] = until
+            self._skipped_until[instance.host] = until
 
     def _is_present(self, instance: Instance) -> bool:
         """Tell whether an engine is there, and no other start of it is known."""
--- a/tests/stages/test_core.py
+++ b/tests/stages/test_core.py
@@ -7,8 +7,8 @@
 from radishtally.stages import const
 from radishtally.stages.core import Engine, RoleChange, RolePlan, choose_changes
 from radishtally.stages.split import (
-    ANSWERING_TARGET,
-    READING_TARGET,
+    DECODE_TARGET,
+    PREFILL_TARGET,
     Needs,
     choose_prefill,
 )
@@ -44,7 +44,7 @@
     engines = make_engines(3, 6)
     assert plan.decide(engines, None, False, 0.0) == []
     changes = plan.decide(engines, None, False, const.SETTLE_SECONDS)
-    wanted = round(9 * const.START_SHARE)
+    wanted = round(9 * const.INITIAL_PREFILL_SHARE)
     assert [change.role for change in changes] == [PREFILL] * (wanted - 3)
 
 
@@ -70,16 +70,16 @@
     engines = make_engines(6, 3)
     fits, asks = Needs(3.0, 2.0), Needs(1.5, 4.5)
     play(plan, engines, fits, 0.0, 20.0)
-    assert play(plan, engines, asks, 20.0, 20.0 + const.SHIFT_SECONDS - 1) == []
+    assert play(plan, engines, asks, 20.0, 20.0 + const.DEMAND_SHIFT_SECONDS - 1) == []
     assert play(plan, engines, fits, 30.0, 31.0) == []
-    assert play(plan, engines, asks, 31.0, 31.0 + const.SHIFT_SECONDS) == []
-    later = 31.0 + const.SHIFT_SECONDS
+    assert play(plan, engines, asks, 31.0, 31.0 + const.DEMAND_SHIFT_SECONDS) == []
+    later = 31.0 + const.DEMAND_SHIFT_SECONDS
     assert play(plan, engines, asks, later, later + 1.0)
 
 
 # An engine that changes serves nobody for seconds. Where both roles have enough engines
 # none is moved, however uneven their loads are.
-@given(st.floats(0.0, 4 * READING_TARGET), st.floats(0.0, 2 * ANSWERING_TARGET))
+@given(st.floats(0.0, 4 * PREFILL_TARGET), st.floats(0.0, 2 * DECODE_TARGET))
 def test_engines_stay_while_both_roles_have_enough(
     reading: float, answering: float
 ) -> None:
@@ -101,8 +101,8 @@
     needs = Needs(2.4, 1.3)
     play(plan, make_engines(6, 2), needs, 0.0, 2.0)
     left = make_engines(6, 1)
-    assert play(plan, left, needs, 2.0, 2.0 + const.LACK_SECONDS) == []
-    later = 2.0 + const.LACK_SECONDS
+    assert play(plan, left, needs, 2.0, 2.0 + const.COUNT_CHANGE_SECONDS) == []
+    later = 2.0 + const.COUNT_CHANGE_SECONDS
     (change,) = plan.decide(left, needs, True, later)
     assert change.role == DECODE
 
@@ -114,8 +114,8 @@
     plan.decide(make_engines(2, 0), None, False, 0.0)
     engines = make_engines(3, 6)
     plan.decide(engines, None, False, 0.1)
-    changes = plan.decide(engines, None, False, 0.1 + const.LACK_SECONDS)
-    assert len(changes) == round(9 * const.START_SHARE) - 3
+    changes = plan.decide(engines, None, False, 0.1 + const.COUNT_CHANGE_SECONDS)
+    assert len(changes) == round(9 * const.INITIAL_PREFILL_SHARE) - 3
 
 
 # All answers stop: the only engine that makes answers crashes, and the others compute
--- a/tests/stages/test_role_controller.py
+++ b/tests/stages/test_role_controller.py
@@ -12,7 +12,7 @@
 from radishtally.links.messages import DECODE, PREFILL
 from radishtally.outcome import Error, Ok, Result
 from radishtally.stages.const import (
-    LACK_SECONDS,
+    COUNT_CHANGE_SECONDS,
     RETRY_SECONDS,
     SETTLE_SECONDS,
     TICK_SECONDS,
@@ -153,7 +153,7 @@
     assert keeper._decide(0.0) == []
     engines[4] = engines[4]._replace(is_draining=True)
     keeper._decide(10.0)
-    ((_, change),) = keeper._decide(10.0 + LACK_SECONDS)
+    ((_, change),) = keeper._decide(10.0 + COUNT_CHANGE_SECONDS)
     assert change.role == DECODE
 
 
@@ -188,7 +188,7 @@
         "g", orders, lambda: engines, FakeLease(4), give_rate, clock
     )
     orders.silent = {"e3"}
-    play(keeper, clock, LACK_SECONDS + 2 * TICK_SECONDS)
+    play(keeper, clock, COUNT_CHANGE_SECONDS + 2 * TICK_SECONDS)
     assert orders.asked[0] == "e3"
     assert [host for host, *_ in orders.given] == ["e2"]
 
@@ -217,7 +217,7 @@
     keeper = RoleController(
         "g", orders, lambda: engines, FakeLease(4), give_rate, clock
     )
-    play(keeper, clock, LACK_SECONDS + RETRY_SECONDS + TICK_SECONDS)
+    play(keeper, clock, COUNT_CHANGE_SECONDS + RETRY_SECONDS + TICK_SECONDS)
     assert {host for host, *_ in orders.given} == {"e3"}
 
 
@@ -251,7 +251,9 @@
         )
         lease.start()
         keeper = RoleController("g", orders, lambda: engines, lease, give_rate, clock)
-        for _ in range(round((LACK_SECONDS + RETRY_SECONDS) / TICK_SECONDS) + 1):
+        for _ in range(
+            round((COUNT_CHANGE_SECONDS + RETRY_SECONDS) / TICK_SECONDS) + 1
+        ):
             while lease.fencing is None:
                 await asyncio.sleep(0)
             clock.now += TICK_SECONDS
@@ -355,7 +357,7 @@
     run(keeper._carry_out(engines[0], CHANGE))
     assert len(orders.given) == 1
     assert keeper._pending == {}
-    assert keeper._passed_over == {}
+    assert keeper._skipped_until == {}
 
 
 def test_pending_role_is_forgotten_with_its_start() -> None:
--- a/tests/stages/test_split.py
+++ b/tests/stages/test_split.py
@@ -6,12 +6,12 @@
 
 from radishtally.engines.pace import Pace
 from radishtally.stages.split import (
-    ANSWERING_TARGET,
-    READING_TARGET,
+    DECODE_TARGET,
+    PREFILL_TARGET,
     Needs,
     choose_prefill,
-    find_most_events,
-    weigh,
+    find_max_event_rate,
+    score_split,
 )
 
 
@@ -46,21 +46,21 @@
 ) -> None:
     needs = Needs(reading, answering)
     chosen = choose_prefill(needs, count)
-    best = weigh(needs, chosen, count - chosen)
+    best = score_split(needs, chosen, count - chosen)
     for prefill in range(count + 1):
-        assert best <= weigh(needs, prefill, count - prefill)
+        assert best <= score_split(needs, prefill, count - prefill)
 
 
 def test_weight_is_one_at_the_targets() -> None:
-    needs = Needs(3 * READING_TARGET, 2 * ANSWERING_TARGET)
-    assert weigh(needs, 3, 2) == pytest.approx(1.0)
-    assert weigh(needs, 5, 0) == float("inf")
+    needs = Needs(3 * PREFILL_TARGET, 2 * DECODE_TARGET)
+    assert score_split(needs, 3, 2) == pytest.approx(1.0)
+    assert score_split(needs, 5, 0) == float("inf")
 
 
 def test_engine_makes_most_events_with_a_full_batch_or_in_time() -> None:
     pace = Pace(0.03, 0.001)
-    assert find_most_events(pace, 64, 10.0) == pytest.approx(64 / 0.094)
+    assert find_max_event_rate(pace, 64, 10.0) == pytest.approx(64 / 0.094)
     # Answers whose events take longer than 70 ms would miss their deadlines.
-    assert find_most_events(pace, 64, 0.07) == pytest.approx(40 / 0.07)
+    assert find_max_event_rate(pace, 64, 0.07) == pytest.approx(40 / 0.07)
     # Even alone an answer is too slow: all engines together would not be enough.
-    assert find_most_events(pace, 64, 0.001) == pytest.approx(32 / 0.062)
+    assert find_max_event_rate(pace, 64, 0.001) == pytest.approx(32 / 0.062)
