--- a/radishtally/stages/__init__.py
+++ b/radishtally/stages/__init__.py
@@ -1,1 +1,1 @@
-"""Which engines compute prompts and which make answers, and who says so."""
+"""Division of engines between prefill and decode, and control of their roles."""
--- a/radishtally/stages/const.py
+++ b/radishtally/stages/const.py
@@ -1,44 +1,45 @@
-"""Constants of the engines' roles."""
+"""Constants for controlling the engines' roles."""
 
 from typing import Final
 
 INITIAL_PREFILL_SHARE: Final = 0.6
-"""Share of the engines that read prompts until traffic tells: assumed. Before traffic a
-change of role costs nobody anything, and the first seconds of it correct the share."""
+"""Share of prefill engines before there is traffic. A role change then costs nothing,
+and the first seconds of traffic correct the share."""
 MAX_SCORE_RATIO: Final = 0.85
-"""Part of its weight that another split must come down to: a change takes an engine
-away for seconds, and the needs are estimates."""
+"""Ratio to the current split's score below which another split is worth a change: a
+change takes an engine out of service for seconds, and the needs are estimates."""
 SETTLE_SECONDS: Final = 1.0
-"""Time for which the list of engines must stand before the first roles are set, and for
-which a role must be without any engine."""
+"""Time that the list of engines must be stable before the first roles are set, and that
+a role must be without engines before one is moved to it."""
 COUNT_CHANGE_SECONDS: Final = 2.0
-"""Time for which another number of engines must be seen before roles change for it: an
-engine that restarts is back sooner than another one has changed."""
+"""Time that a changed number of engines must persist before roles change: an engine
+that restarts is back before another one could have changed its role."""
 DEMAND_SHIFT_SECONDS: Final = 5.0
-"""Time for which demand must ask for other roles. With 2.5 s and less of a margin roles
-followed each burst, and came back wrong for the next one."""
+"""Time that demand must favour other roles. With 2.5 s and a smaller margin, roles
+followed each burst and were wrong for the next one."""
 COOLDOWN_SECONDS: Final = 12.0
-"""Least time between two changes for demand's sake."""
+"""Minimum time between two changes caused by demand."""
 PENDING_SECONDS: Final = 4.0
-"""Time for which an order that was given, or may have been, counts as carried out."""
+"""Time that a role order counts as carried out, if the engine has or may have it."""
 RETRY_SECONDS: Final = 1.0
-"""Time for which others are chosen before an engine that could not be ordered."""
+"""Time that an engine is skipped after it could not be ordered."""
 TICK_SECONDS: Final = 0.5
+"""Interval of the control loop."""
 DEMAND_WINDOW_SECONDS: Final = 6.0
-"""Window of the demand: long enough for a burst to pass, short against a shift."""
+"""Window of the demand: longer than a burst, shorter than a lasting shift."""
 MIN_DEMAND_SECONDS: Final = 1.5
-"""Time from the first request after which the needs are measured: some of the answers
-that have begun have ended, and each second with wrong roles is a second of them."""
+"""Time from the first request until the needs are computed: some answers have then
+ended, and every second of waiting is a second with possibly wrong roles."""
 MIN_REQUESTS: Final = 20
-"""Requests from which the needs are measured: their sizes differ by a hundredfold."""
+"""Requests before the needs are computed: their sizes differ by a factor of 100."""
 MIN_ANSWERS: Final = 10
-"""Whole answers from which events are told from expected tokens: the expectations
-scatter by half, so that the ratio is then right to a sixth (worked out)."""
+"""Complete answers before the ratio of events to expected tokens is used: expectations
+deviate by half, so that the ratio is then accurate to a sixth."""
 MIN_ENDED_SHARE: Final = 0.5
-"""Part of the expected tokens that came whose answers have ended, from which events are
-told from tokens. Told after 1.7 s where long answers take three, needs of 1.1 engines
-were measured in place of 2.2, and two engines too many were moved to prompts."""
+"""Share of the expected tokens whose answers must have ended before that ratio is used.
+When computed after 1.7 s while long answers take 3 s, the needs were 1.1 engines
+instead of 2.2, and two engines too many were moved to prefill."""
 REPORT_INTERVAL_SECONDS: Final = 1.0
-"""Time between two reports of demand to the other gateways."""
+"""Interval of the demand reports to other gateways."""
 STALE_SECONDS: Final = 5.0
-"""Age from which another gateway's report counts no more."""
+"""Age beyond which another gateway's report is ignored."""
--- a/radishtally/stages/role_controller.py
+++ b/radishtally/stages/role_controller.py
@@ -1,4 +1,4 @@
-"""Give engines their roles while this process holds the lease."""
+"""Control loop that sets the engines' roles while this process holds the lease."""
 
 import asyncio
 import time
@@ -24,41 +24,41 @@
 PENDING_SECONDS_BY_OUTCOME: Final = {
     OrderOutcome.TAKEN: const.PENDING_SECONDS,
     OrderOutcome.HOLDS: const.PENDING_SECONDS,
-    # An order without an answer may be carried out seconds later. Until then a second
-    # one would move one engine more than is wanted.
+    # An order without an answer may be carried out seconds later. Until then, another
+    # order would move one engine too many.
     OrderOutcome.UNCLEAR: const.PENDING_SECONDS,
-    # The engine is changing by another order, and says soon what it becomes.
+    # The engine is carrying out another order and will soon report its new role.
     OrderOutcome.BUSY: const.RETRY_SECONDS,
 }
-"""Time for which an engine counts as having its ordered role after an outcome; after
-any other one the engine stays as it is."""
+"""Time that an engine counts as having the ordered role, by outcome of the order; after
+any other outcome it counts with its reported role."""
 
 
 class Lease(Protocol):
-    """Be what the keeper needs of the lease."""
+    """Provide the part of the lease that the controller needs."""
 
     @property
     def fencing(self) -> int | None:
-        """Give the fencing number if the lease is held now."""
+        """Return the fencing token if the lease is held now."""
 
     def give_up(self, fencing: int) -> None:
-        """Give a number up that was refused; contend for the lease under a new one."""
+        """Release a lease whose token was refused; contend for it with a new token."""
 
 
 class Orders(Protocol):
-    """Reach engines."""
+    """Send reads and orders to engines."""
 
     async def read_report(self, instance: Instance) -> Result[EngineReport, str]:
-        """Ask an engine what it does."""
+        """Read an engine's role and order state."""
 
     async def order_role(
         self, instance: Instance, role: str, owner: str, fencing: int, sequence: int
     ) -> OrderOutcome:
-        """Order an engine to take a role."""
+        """Order an engine to take a role, under a fencing token."""
 
 
 class RoleController(Observer):
-    """Watch the engines' roles and set them right."""
+    """Compare the engines' roles with the demand and order changes."""
 
     def __init__(
         self,
@@ -74,42 +74,42 @@
         self._list_instances = list_instances
         self._lease = lease
         self._measure_rate = measure_rate
-        """Give the prompt tokens that an engine reads in a second."""
+        """Return an engine's prefill rate in tokens per second."""
         self._clock = clock
         self.is_unreachable: Callable[[str], bool] = lambda _: False
-        """Tell whether requests don't reach an engine."""
+        """Return whether requests fail to reach an engine."""
         self.on_report: Callable[[Instance, EngineReport], None] = lambda *_: None
-        """Take what an engine said when asked."""
+        """Handle a report that was read from an engine."""
         self._plans: dict[str, RolePlan] = {}
         self._demands: dict[str, DemandTracker] = {}
         self._pending: dict[str, tuple[str, float]] = {}
-        """Role that an engine was ordered to take, and until when that counts."""
+        """Ordered role by engine, and the time until which it counts."""
         self._logged_changes: dict[str, list[str]] = {}
-        """Changes of each upstream's roles that were logged last."""
+        """Last logged role changes, by upstream."""
         self._skipped_until: dict[str, float] = {}
-        """Engines that could not be ordered, and until when others go before them."""
+        """Time until which an engine that could not be ordered is skipped."""
 
     def record_request(
         self, upstream: str, prompt_tokens: int, answer_tokens: int, now: float
     ) -> None:
-        """Take in tokens that are to be read and those of the answer expected."""
+        """Record the tokens to prefill and the expected answer tokens of a request."""
         self._get_tracker(upstream).record_request(prompt_tokens, answer_tokens, now)
 
     def record_pace(
         self, upstream: str, answers: int, events: int, seconds: float
     ) -> None:
-        """Take in the time of an answer's next events, of some answers at a time."""
+        """Record how long new events of an answer took at a number of open answers."""
         self._get_tracker(upstream).pace.record_events(answers, events, seconds)
 
     def record_answer(
         self, upstream: str, events: int, expected: int, seconds: float, now: float
     ) -> None:
-        """Take in a whole answer: events, tokens expected, seconds that it had."""
+        """Record a complete answer: events, expected tokens and available seconds."""
         demand = self._get_tracker(upstream)
         demand.record_answer(events, expected, seconds, now)
 
     def record_report(self, peer: str, report: DemandReport, now: float) -> None:
-        """Take what has come to another gateway."""
+        """Record the demand that another gateway reported."""
         upstream, *sums = report
         self._get_tracker(upstream).record_report(peer, DemandSums(*sums), now)
 
@@ -117,40 +117,40 @@
         return self._demands.setdefault(upstream, DemandTracker())
 
     def forget_report(self, peer: str) -> None:
-        """Forget what came to a gateway that tells no more."""
+        """Drop the demand of a gateway that no longer reports."""
         for demand in self._demands.values():
             demand.forget_report(peer)
 
     def reset_engine(self, host: str) -> None:
-        """Forget what an engine was ordered, as it has started again."""
+        """Drop the pending order of an engine that has restarted."""
         self._pending.pop(host, None)
         self._skipped_until.pop(host, None)
 
     def build_reports(
-        self, now: float, left_out: Container[str] | None = None
+        self, now: float, excluded: Container[str] | None = None
     ) -> list[DemandReport]:
-        """Give what has come to this gateway, or to all but some others."""
+        """Return the demand of this gateway, or of all gateways except some."""
         return [
-            DemandReport(upstream, *demand.collect(now, left_out))
+            DemandReport(upstream, *demand.collect(now, excluded))
             for upstream, demand in self._demands.items()
         ]
 
     async def run(self) -> None:
-        """Keep the roles for good."""
+        """Run the control loop until cancelled."""
         while True:
             await asyncio.sleep(const.TICK_SECONDS)
             await self._set_roles()
 
     async def _set_roles(self) -> None:
-        """Give the orders that are due now."""
+        """Carry out the role changes that are due now."""
         for instance, change in self._decide(self._clock()):
             await self._carry_out(instance, change)
 
     def _decide(self, now: float) -> list[tuple[Instance, RoleChange]]:
-        """Give the changes that are due, the plan being followed lease or not."""
-        # An engine that leaves takes no new work. Counted as one of its role it would
-        # be missed only once it is gone, and the others of that role are overloaded
-        # until then.
+        """Return the due changes; plans are updated even without the lease."""
+        # A draining engine takes no new work. If it counted for its role, it would be
+        # replaced only after it is gone, and the others of that role would be
+        # overloaded until then.
         instances = [
             item
             for item in self._list_instances()
@@ -159,20 +159,20 @@
         self._drop_expired(now)
         due = []
         for upstream in {item.upstream for item in instances}:
-            ours = {i.host: i for i in instances if i.upstream == upstream}
-            engines = [self._describe(i, now) for i in ours.values()]
+            by_host = {i.host: i for i in instances if i.upstream == upstream}
+            engines = [self._describe(i, now) for i in by_host.values()]
             plan = self._plans.setdefault(upstream, RolePlan())
-            needs = self._measure_needs(upstream, list(ours.values()), now)
+            needs = self._measure_needs(upstream, list(by_host.values()), now)
             has_traffic = self._get_tracker(upstream).has_traffic
             changes = plan.decide(engines, needs, has_traffic, now)
             self._log_wanted(upstream, changes, needs)
-            due += [(ours[change.host], change) for change in changes]
+            due += [(by_host[change.host], change) for change in changes]
         return [] if self._lease.fencing is None else due
 
     def _log_wanted(
         self, upstream: str, changes: list[RoleChange], needs: Needs | None
     ) -> None:
-        """Log what is wanted when it is another than at the last look."""
+        """Log the wanted changes if they differ from those logged last."""
         wanted = [f"{change.host} {change.role}" for change in changes]
         if wanted == self._logged_changes.get(upstream, []):
             return
@@ -190,11 +190,11 @@
     ) -> Needs | None:
         rates = [self._measure_rate(item.host) for item in instances]
         slots = min(item.slots for item in instances)
-        mean = sum(rates) / len(rates)
-        return self._get_tracker(upstream).measure(mean, slots, now)
+        mean_rate = sum(rates) / len(rates)
+        return self._get_tracker(upstream).measure(mean_rate, slots, now)
 
     def _drop_expired(self, now: float) -> None:
-        """Forget what no longer counts, of engines that are gone as well."""
+        """Drop expired entries, also those of removed engines."""
         self._pending = {
             host: (role, until)
             for host, (role, until) in self._pending.items()
@@ -216,15 +216,15 @@
         )
 
     async def _carry_out(self, instance: Instance, change: RoleChange) -> None:
-        """Give one order, as the engine and the lease stand now."""
+        """Order one change, if the engine's current state and the lease allow it."""
         report = await self._orders.read_report(instance)
         if report.is_error():
             log_message("stage:engine_unread", engine=change.host, reason=report.error)
             self._skip(instance)
             return
         self.on_report(instance, report.ok)
-        # A new start counts its orders anew: one by the count of another start might be
-        # carried out though nobody wants it of this one.
+        # A restarted engine resets its order sequence, so that an order meant for the
+        # earlier start could be accepted by mistake.
         is_same = is_same_start(instance.started_ms, report.ok.started_ms)
         if not is_same or not self._is_present(instance):
             log_message(
@@ -237,8 +237,8 @@
         if report.ok.is_busy or report.ok.role == change.role:
             self._mark_pending(instance, change, const.PENDING_SECONDS)
             return
-        # The lease may have lapsed while the engine was asked: an order is given only
-        # by who holds it at that moment.
+        # The lease may have expired while the report was read, so it is checked again
+        # right before the order.
         fencing = self._lease.fencing
         if fencing is None:
             return
@@ -263,22 +263,22 @@
     def _mark_pending(
         self, instance: Instance, change: RoleChange, seconds: float
     ) -> None:
-        # The engine may have started again while it was asked or ordered.
+        # The engine may have restarted during the exchange.
         if self._is_present(instance):
             self._pending[change.host] = (change.role, self._clock() + seconds)
 
     def _skip(self, instance: Instance) -> None:
-        """Let other engines be chosen before one that could not be ordered.
+        """Prefer other engines for a while to one that could not be ordered.
 
-        Chosen by the same rule it would be the same one at each look, and the change
-        would wait for as long as that engine is listed.
+        Otherwise each tick would choose the same engine, and the change would be
+        blocked for as long as that engine is listed.
         """
         if self._is_present(instance):
             until = self._clock() + const.RETRY_SECONDS
             self._skipped_until[instance.host] = until
 
     def _is_present(self, instance: Instance) -> bool:
-        """Tell whether an engine is there, and no other start of it is known."""
+        """Return whether an engine is still listed with the same start."""
         return any(
             item.host == instance.host
             and is_same_start(item.started_ms, instance.started_ms)
--- a/radishtally/stages/split.py
+++ b/radishtally/stages/split.py
@@ -1,56 +1,59 @@
-"""Weigh how an upstream's engines can be shared out between prompts and answers."""
+"""Division of an upstream's engines between prefill and decode."""
 
 from typing import Final, NamedTuple
 
 from radishtally.engines.pace import Pace
 
 PREFILL_TARGET: Final = 0.6
-"""Part of their time that engines for prompts can be busy. They read one prompt after
-another, so the mean wait is busy / (1 - busy) times half the length of a prompt that
-just then holds up others (Pollaczek-Khinchine): 0.75 of it at 0.6, 2 at 0.8. Prompts
-differ by a hundredfold in length, so that length is several times the mean one."""
+"""Target utilization of prefill engines. They work on one prompt at a time, so the mean
+wait is busy / (1 - busy) times half the length of a prompt that is blocking others
+(Pollaczek-Khinchine): 0.75 of that length at 0.6, 2 at 0.8. Prompt lengths differ by a
+factor of 100, so the length of a blocking prompt is several times the mean."""
 DECODE_TARGET: Final = 0.7
-"""Part of the most events that engines for answers can make. Answers share an engine,
-so nobody waits until its batch is full: at 0.7 one of 40 is that in less than 1 of 100
-moments, one of 64 in less than 1 of 1,000; at 0.85 in 9 to 16 and in 2 to 6 of 100
-(worked out: arrivals at random, shared processor, an event in a full batch taking two
-to four times a lone one's time). What is left bears a burst of 1.4 times the load."""
+"""Target share of the decode engines' maximum event rate. Answers share an engine, so
+none waits until the batch is full. At 0.7, a batch of 40 is full less than 1 % of the
+time and one of 64 less than 0.1 %; at 0.85, 9 to 16 % and 2 to 6 %. This is for
+processor sharing with random arrivals, where events in a full batch take two to four
+times as long as those of a single answer. The reserve absorbs a burst of 1.4 times the
+load."""
 MIN_BATCH_SHARE: Final = 0.5
-"""Part of a batch that engines are taken to fill at least."""
+"""Lower bound for the share of a batch that engines are assumed to fill."""
 
 
 class Needs(NamedTuple):
-    """Hold what has to be done, in engines that do nothing else."""
+    """Hold the work to be done, as the number of fully busy engines it takes."""
 
     reading: float
+    """Prefill engines."""
     answering: float
+    """Decode engines."""
 
 
 def score_split(needs: Needs, prefill: int, decode: int) -> float:
-    """Weigh a split: over 1 the worse off of the two roles has too few engines."""
+    """Score a split, lower is better: above 1, one of the roles has too few engines."""
     if prefill < 1 or decode < 1:
         return float("inf")
-    reading = needs.reading / (prefill * PREFILL_TARGET)
-    answering = needs.answering / (decode * DECODE_TARGET)
-    return max(reading, answering)
+    prefill_load = needs.reading / (prefill * PREFILL_TARGET)
+    decode_load = needs.answering / (decode * DECODE_TARGET)
+    return max(prefill_load, decode_load)
 
 
 def choose_prefill(needs: Needs, count: int) -> int:
-    """Choose how many of some engines are to read prompts."""
+    """Choose how many of the engines should be prefill engines."""
     if count < 2:
         return 0
     return min(range(1, count), key=lambda n: (score_split(needs, n, count - n), n))
 
 
-def find_max_event_rate(pace: Pace, slots: int, longest: float) -> float:
-    """Find the events a second that an engine makes at most.
+def find_max_event_rate(pace: Pace, slots: int, max_interval: float) -> float:
+    """Return the maximum event rate of an engine, in events per second.
 
-    Where an event may take so many seconds at the longest, or long answers don't end
-    before their deadlines, fewer answers are to be made at a time. A batch is taken to
-    be half full all the same: the fewer answers the slower the engine as a whole.
+    If events must not take longer than max_interval, so that long answers meet their
+    deadlines, fewer answers can be decoded at a time. At least half a batch is assumed,
+    because the total rate falls with the number of concurrent answers.
     """
     answers = float(slots)
     if pace.per_answer > 0:
-        answers = min(answers, (longest - pace.base) / pace.per_answer)
+        answers = min(answers, (max_interval - pace.base) / pace.per_answer)
     answers = max(answers, slots * MIN_BATCH_SHARE)
     return answers / pace.interval_at(answers)
--- a/tests/stages/test_core.py
+++ b/tests/stages/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of sharing engines out between prompts and answers."""
+"""Tests of deciding on the engines' roles."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -24,14 +24,14 @@
     ]
 
 
-def play(
+def run_plan(
     plan: RolePlan,
     engines: list[Engine],
     needs: Needs | None,
     begin: float,
     end: float,
 ) -> list[RoleChange]:
-    """Look at the engines as often as the keeper does; give all changes."""
+    """Run the plan at the interval of the control loop; return all changes."""
     changes = []
     for tick in range(round((end - begin) / const.TICK_SECONDS)):
         now = begin + tick * const.TICK_SECONDS
@@ -39,7 +39,7 @@
     return changes
 
 
-def test_roles_are_set_before_traffic_once_the_list_has_settled() -> None:
+def test_roles_are_set_before_traffic_once_the_list_is_stable() -> None:
     plan = RolePlan()
     engines = make_engines(3, 6)
     assert plan.decide(engines, None, False, 0.0) == []
@@ -48,68 +48,73 @@
     assert [change.role for change in changes] == [PREFILL] * (wanted - 3)
 
 
-# Prompts wait for seconds: a gateway starts again amid traffic, takes the lease and
-# brings back the shares that are assumed before traffic tells.
-def test_gateway_that_starts_amid_traffic_keeps_the_roles() -> None:
-    assert play(RolePlan(), make_engines(8, 1), None, 0.0, 20.0) == []
+# A gateway that restarts during traffic and takes the lease must not restore the
+# initial split, or prompts wait for seconds.
+def test_gateway_started_during_traffic_keeps_the_roles() -> None:
+    assert run_plan(RolePlan(), make_engines(8, 1), None, 0.0, 20.0) == []
 
 
-# Prompts wait for seconds though engines idle: most engines have the wrong role as
-# traffic begins. Its first measure corrects that at once, nothing being learned later
-# that would be worth the wait.
-def test_first_measure_moves_engines_at_once() -> None:
+# If most engines have the wrong role when traffic starts, prompts wait for seconds
+# while engines are idle. The first known needs are applied immediately, because waiting
+# for more data would not improve them enough.
+def test_first_needs_move_engines_immediately() -> None:
     plan = RolePlan()
     engines = make_engines(3, 3)
-    play(plan, engines, None, 0.0, 2.0)
+    run_plan(plan, engines, None, 0.0, 2.0)
     changes = plan.decide(engines, Needs(2.8, 0.5), True, 2.0)
     assert [change.role for change in changes] == [PREFILL] * 2
 
 
-def test_shift_of_demand_must_last() -> None:
+def test_demand_shift_must_persist() -> None:
     plan = RolePlan()
     engines = make_engines(6, 3)
-    fits, asks = Needs(3.0, 2.0), Needs(1.5, 4.5)
-    play(plan, engines, fits, 0.0, 20.0)
-    assert play(plan, engines, asks, 20.0, 20.0 + const.DEMAND_SHIFT_SECONDS - 1) == []
-    assert play(plan, engines, fits, 30.0, 31.0) == []
-    assert play(plan, engines, asks, 31.0, 31.0 + const.DEMAND_SHIFT_SECONDS) == []
+    matching, shifted = Needs(3.0, 2.0), Needs(1.5, 4.5)
+    run_plan(plan, engines, matching, 0.0, 20.0)
+    assert (
+        run_plan(plan, engines, shifted, 20.0, 20.0 + const.DEMAND_SHIFT_SECONDS - 1)
+        == []
+    )
+    assert run_plan(plan, engines, matching, 30.0, 31.0) == []
+    assert (
+        run_plan(plan, engines, shifted, 31.0, 31.0 + const.DEMAND_SHIFT_SECONDS) == []
+    )
     later = 31.0 + const.DEMAND_SHIFT_SECONDS
-    assert play(plan, engines, asks, later, later + 1.0)
+    assert run_plan(plan, engines, shifted, later, later + 1.0)
 
 
-# An engine that changes serves nobody for seconds. Where both roles have enough engines
-# none is moved, however uneven their loads are.
+# An engine that changes its role is out of service for seconds. While both roles have
+# enough engines, none is moved, however uneven their loads are.
 @given(st.floats(0.0, 4 * PREFILL_TARGET), st.floats(0.0, 2 * DECODE_TARGET))
 def test_engines_stay_while_both_roles_have_enough(
     reading: float, answering: float
 ) -> None:
     plan = RolePlan()
     engines = make_engines(4, 2)
-    assert play(plan, engines, Needs(reading, answering), 0.0, 20.0) == []
+    assert run_plan(plan, engines, Needs(reading, answering), 0.0, 20.0) == []
 
 
-# Answers slow down until long ones miss their deadlines: an engine for prompts leaves,
-# and two of those for answers are moved over since the list is a new one.
-def test_roles_stay_when_an_engine_leaves_that_can_be_spared() -> None:
+# When a prefill engine that can be spared leaves, no decode engines may be moved just
+# because the list has changed: answers would slow down and miss their deadlines.
+def test_roles_stay_when_a_spare_engine_leaves() -> None:
     plan = RolePlan()
-    play(plan, make_engines(5, 4), Needs(2.2, 2.8), 0.0, 2.0)
-    assert play(plan, make_engines(4, 4), Needs(2.2, 2.8), 2.0, 20.0) == []
+    run_plan(plan, make_engines(5, 4), Needs(2.2, 2.8), 0.0, 2.0)
+    assert run_plan(plan, make_engines(4, 4), Needs(2.2, 2.8), 2.0, 20.0) == []
 
 
-def test_engine_is_moved_soon_when_one_leaves_that_is_missed() -> None:
+def test_engine_is_moved_soon_when_a_needed_one_leaves() -> None:
     plan = RolePlan()
     needs = Needs(2.4, 1.3)
-    play(plan, make_engines(6, 2), needs, 0.0, 2.0)
-    left = make_engines(6, 1)
-    assert play(plan, left, needs, 2.0, 2.0 + const.COUNT_CHANGE_SECONDS) == []
+    run_plan(plan, make_engines(6, 2), needs, 0.0, 2.0)
+    remaining = make_engines(6, 1)
+    assert run_plan(plan, remaining, needs, 2.0, 2.0 + const.COUNT_CHANGE_SECONDS) == []
     later = 2.0 + const.COUNT_CHANGE_SECONDS
-    (change,) = plan.decide(left, needs, True, later)
+    (change,) = plan.decide(remaining, needs, True, later)
     assert change.role == DECODE
 
 
-# Most engines have the wrong role as traffic begins: the list was short when roles were
-# first thought of, and the rounding of a share of two engines was kept for nine.
-def test_share_is_not_rounded_for_a_list_that_grows() -> None:
+# If the list is short at first, the split that was rounded for two engines must not be
+# kept for nine, or most engines have the wrong role when traffic starts.
+def test_initial_split_follows_a_growing_list() -> None:
     plan = RolePlan()
     plan.decide(make_engines(2, 0), None, False, 0.0)
     engines = make_engines(3, 6)
@@ -118,9 +123,9 @@
     assert len(changes) == round(9 * const.INITIAL_PREFILL_SHARE) - 3
 
 
-# All answers stop: the only engine that makes answers crashes, and the others compute
-# prompts. One of them is moved over without waiting for demand to show it.
-def test_engine_is_moved_when_a_role_is_gone() -> None:
+# When the decode engines crash, all answers stop. Prefill engines are moved without
+# waiting for the demand to show it.
+def test_engines_are_moved_when_a_role_has_none_left() -> None:
     plan = RolePlan()
     needs = Needs(1.2, 1.1)
     plan.decide(make_engines(4, 2), needs, True, 0.0)
@@ -128,31 +133,32 @@
     assert [change.role for change in changes] == [DECODE] * 2
 
 
-# All answers stop for eight seconds: the only engine that makes them crashes, stays
-# listed for three heartbeats, and another one takes three seconds to change its role.
-def test_engine_is_moved_at_once_when_no_other_of_a_role_is_reached() -> None:
+# When the only decode engine crashes, it stays listed for three heartbeats, and another
+# engine takes three seconds to change its role. Waiting for the list would stop all
+# answers for eight seconds.
+def test_engine_is_moved_immediately_when_a_role_is_unreachable() -> None:
     plan = RolePlan()
     needs = Needs(2.4, 0.5)
     engines = make_engines(5, 1)
-    play(plan, engines, needs, 0.0, 20.0)
+    run_plan(plan, engines, needs, 0.0, 20.0)
     engines[5] = engines[5]._replace(is_reachable=False)
     (change,) = plan.decide(engines, needs, True, 20.0)
     assert change.role == DECODE
 
 
-# Engines change their roles whenever one of them crashes for a moment, or the gateway
-# that orders them is cut off from one of them alone.
-def test_engine_out_of_reach_counts_while_its_role_has_others() -> None:
+# Engines must not change roles whenever one of them crashes for a moment, or only the
+# gateway that orders them is cut off from one.
+def test_unreachable_engine_counts_while_its_role_has_others() -> None:
     plan = RolePlan()
     needs = Needs(2.4, 1.3)
     engines = make_engines(4, 2)
-    play(plan, engines, needs, 0.0, 20.0)
+    run_plan(plan, engines, needs, 0.0, 20.0)
     engines[5] = engines[5]._replace(is_reachable=False)
-    assert play(plan, engines, needs, 20.0, 40.0) == []
+    assert run_plan(plan, engines, needs, 20.0, 40.0) == []
 
 
 @given(st.integers(0, 12), st.integers(0, 12))
-def test_changes_give_the_wanted_number(prefill: int, decode: int) -> None:
+def test_changes_lead_to_the_wanted_number(prefill: int, decode: int) -> None:
     engines = make_engines(prefill, decode)
     for needs in (Needs(1.0, 0.0), Needs(1.0, 1.0), Needs(0.0, 1.0)):
         wanted = choose_prefill(needs, len(engines))
@@ -163,9 +169,9 @@
         assert sum(role == PREFILL for role in roles.values()) == wanted
 
 
-# All answers stop: of two engines that make them one is dead and still listed, and the
-# other one is made to read prompts in its place.
-def test_last_engine_that_can_be_ordered_stays_in_its_role() -> None:
+# Of two decode engines, one is dead but still listed. If the other one were moved to
+# prefill, all answers would stop.
+def test_last_orderable_engine_stays_in_its_role() -> None:
     engines = make_engines(0, 2)
     engines[1] = engines[1]._replace(is_orderable=False)
     assert choose_changes(engines, 1) == []
--- a/tests/stages/test_demand.py
+++ b/tests/stages/test_demand.py
@@ -1,4 +1,4 @@
-"""Tests of measuring what is needed of an upstream's engines."""
+"""Tests of computing the engines that the demand needs."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 
 RATE = 50_000.0
 SLOTS = 64
-MOST = 64 / 0.114
-"""Events that an engine makes in a second, by learn_pace."""
+MAX_EVENT_RATE = 64 / 0.114
+"""Event rate of an engine, according to learn_pace."""
 
 
-def bring(
+def record_traffic(
     demand: DemandTracker, prompt: int, answer: int, seconds: float, requests: int = 40
 ) -> None:
-    """Let tokens come, so many a second, evenly; a tenth of them are events."""
+    """Record evenly spaced requests, in tokens per second; 10 tokens form an event."""
     for number in range(int(seconds * requests)):
         now = number / requests
         tokens = answer // requests
@@ -23,65 +23,65 @@
 
 
 def learn_pace(demand: DemandTracker) -> None:
-    """Let events take 50 ms alone and 1 ms more for each other answer."""
+    """Record event intervals of 50 ms plus 1 ms for each answer."""
     for answers in range(1, SLOTS + 1):
         for _ in range(20):
             demand.pace.record_events(answers, 1, 0.05 + 0.001 * answers)
 
 
-# A window that is not full yet is taken for one in which little came: roles stay wrong
-# for the first seconds.
+# A window that is not full yet must not look like low demand, or roles stay wrong for
+# the first seconds.
 @pytest.mark.parametrize("seconds", [const.MIN_DEMAND_SECONDS, 4.0, 20.0])
-def test_needs_are_in_engines_from_the_first_seconds_on(seconds: float) -> None:
+def test_needs_are_right_from_the_first_seconds_on(seconds: float) -> None:
     demand = DemandTracker()
     learn_pace(demand)
-    bring(demand, 125_000, 8_000, seconds)
+    record_traffic(demand, 125_000, 8_000, seconds)
     needs = demand.measure(RATE, SLOTS, seconds)
     assert needs.reading == pytest.approx(2.5, rel=0.1)
-    assert needs.answering == pytest.approx(800 / MOST, rel=0.1)
+    assert needs.answering == pytest.approx(800 / MAX_EVENT_RATE, rel=0.1)
 
 
-def test_nothing_is_told_of_too_little() -> None:
+def test_needs_are_unknown_with_too_little_data() -> None:
     demand = DemandTracker()
     assert demand.measure(RATE, SLOTS, 5.0) is None
-    bring(demand, 125_000, 8_000, const.MIN_DEMAND_SECONDS)
+    record_traffic(demand, 125_000, 8_000, const.MIN_DEMAND_SECONDS)
     assert demand.measure(RATE, SLOTS, const.MIN_DEMAND_SECONDS) is None
     learn_pace(demand)
     assert demand.measure(RATE, SLOTS, const.MIN_DEMAND_SECONDS / 2) is None
     assert demand.measure(RATE, SLOTS, const.MIN_DEMAND_SECONDS)
 
 
-# Engines are taken from answers while these queue for full batches: few of them end,
-# and what has ended looks like all that is wanted.
-def test_answers_that_do_not_end_are_needed_too() -> None:
+# When answers queue for full batches, few of them end. If only complete answers
+# counted, engines would be taken away from decode.
+def test_unfinished_answers_count_as_demand() -> None:
     demand = DemandTracker()
     learn_pace(demand)
-    bring(demand, 1_000, 8_000, 4.0)
+    record_traffic(demand, 1_000, 8_000, 4.0)
     assert demand.measure(RATE, SLOTS, 4.0) is not None
     for number in range(400):
         demand.record_request(0, 200, 4.0 + number / 40)
     needs = demand.measure(RATE, SLOTS, 14.0)
-    assert needs.answering == pytest.approx(800 / MOST, rel=0.1)
+    assert needs.answering == pytest.approx(800 / MAX_EVENT_RATE, rel=0.1)
 
 
-# Roles are moved for one gateway's few long prompts: the others' demand is not seen.
-def test_demand_of_all_gateways_counts() -> None:
+# Without the demand of other gateways, roles would follow the requests of a single one.
+def test_needs_include_the_demand_of_all_gateways() -> None:
     demand, other = DemandTracker(), DemandTracker()
     learn_pace(demand)
-    for each in (demand, other):
-        bring(each, 50_000, 4_000, 10.0)
-    alone = demand.measure(RATE, SLOTS, 10.0)
+    for tracker in (demand, other):
+        record_traffic(tracker, 50_000, 4_000, 10.0)
+    single = demand.measure(RATE, SLOTS, 10.0)
     demand.record_report("peer", other.collect(10.0), 10.0)
     both = demand.measure(RATE, SLOTS, 10.0)
-    assert both.reading == pytest.approx(2 * alone.reading)
-    assert both.answering == pytest.approx(2 * alone.answering)
+    assert both.reading == pytest.approx(2 * single.reading)
+    assert both.answering == pytest.approx(2 * single.answering)
     later = 10.0 + const.STALE_SECONDS
     assert demand.collect(later, "third") == demand.collect(later)
 
 
-# Engines are taken from answers in the first seconds: those answers that have ended are
-# the short ones, and few events are told from many expected tokens.
-def test_nothing_is_told_from_the_first_short_answers() -> None:
+# In the first seconds only short answers have ended, with few events for their expected
+# tokens. If they were used, engines would be taken away from decode.
+def test_first_short_answers_are_not_representative() -> None:
     demand = DemandTracker()
     learn_pace(demand)
     for number in range(200):
--- a/tests/stages/test_role_controller.py
+++ b/tests/stages/test_role_controller.py
@@ -1,4 +1,4 @@
-"""Tests of giving engines their roles."""
+"""Tests of the control loop for the engines' roles."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 
 class Clock:
-    """Stand still until it is moved."""
+    """Return a time that the test sets."""
 
     now = 0.0
 
@@ -41,7 +41,7 @@
 
 
 class FakeLease:
-    """Be held under a number, or not."""
+    """Simulate a lease by a sequence of fencing tokens; None if it is not held."""
 
     def __init__(self, *numbers: int | None) -> None:
         self.numbers = list(numbers)
@@ -56,20 +56,20 @@
 
 
 class FakeOrders:
-    """Answer orders as told, and keep them."""
+    """Record orders and answer them with a fixed outcome."""
 
     def __init__(self, outcome: OrderOutcome, report: Result | None = None) -> None:
         self.outcome = outcome
         self.while_ordered: Callable[[], None] = lambda: None
-        """What happens while an order is under way."""
+        """Called while an order is in flight."""
         self.report = report or Ok(EngineReport(DECODE, 7, False))
         self.given: list[tuple] = []
         self.silent: set[str] = set()
-        """Engines that don't say what they do."""
-        self.asked: list[str] = []
+        """Engines that do not answer reads."""
+        self.reads: list[str] = []
 
     async def read_report(self, instance: Instance) -> Result[EngineReport, str]:
-        self.asked.append(instance.host)
+        self.reads.append(instance.host)
         return Error("no answer") if instance.host in self.silent else self.report
 
     async def order_role(self, instance: Instance, *order: object) -> OrderOutcome:
@@ -79,7 +79,7 @@
 
 
 class FencedOrders(FakeOrders):
-    """Take orders, but at one engine none under a number lower than it has seen."""
+    """Take orders, but refuse stale fencing tokens at one engine."""
 
     def __init__(self, host: str, seen: int) -> None:
         super().__init__(OrderOutcome.TAKEN)
@@ -94,66 +94,68 @@
         return OrderOutcome.STALE if is_stale else OrderOutcome.TAKEN
 
 
-def give_rate(host: str) -> float:
+def get_prefill_rate(host: str) -> float:
     return INITIAL_PREFILL_RATE
 
 
-def make_keeper(orders: FakeOrders, lease: FakeLease) -> RoleController:
-    return RoleController("gateway-1", orders, lambda: [ENGINE], lease, give_rate)
+def make_controller(orders: FakeOrders, lease: FakeLease) -> RoleController:
+    return RoleController(
+        "gateway-1", orders, lambda: [ENGINE], lease, get_prefill_rate
+    )
 
 
-def test_order_carries_fencing_number_and_count() -> None:
+def test_order_carries_fencing_token_and_sequence() -> None:
     orders = FakeOrders(OrderOutcome.TAKEN)
-    keeper = make_keeper(orders, FakeLease(4))
-    run(keeper._carry_out(ENGINE, CHANGE))
+    controller = make_controller(orders, FakeLease(4))
+    run(controller._carry_out(ENGINE, CHANGE))
     assert orders.given == [("e1", PREFILL, "gateway-1", 4, 7)]
 
 
-# Two gateways order one engine: the first one's lease lapsed while it asked the engine
-# what it does, and it gave its order all the same.
-def test_lease_is_asked_again_right_before_the_order() -> None:
+# If the lease expires while the engine's report is read, another gateway may order the
+# same engine, so no order may follow.
+def test_lease_is_checked_right_before_the_order() -> None:
     orders = FakeOrders(OrderOutcome.TAKEN)
-    keeper = make_keeper(orders, FakeLease(None))
-    run(keeper._carry_out(ENGINE, CHANGE))
+    controller = make_controller(orders, FakeLease(None))
+    run(controller._carry_out(ENGINE, CHANGE))
     assert orders.given == []
 
 
-def test_number_that_is_out_of_date_is_used_no_more() -> None:
+def test_stale_fencing_token_is_not_used_again() -> None:
     orders = FakeOrders(OrderOutcome.STALE)
-    keeper = make_keeper(orders, FakeLease(4))
-    run(keeper._carry_out(ENGINE, CHANGE))
-    run(keeper._carry_out(ENGINE, CHANGE))
+    controller = make_controller(orders, FakeLease(4))
+    run(controller._carry_out(ENGINE, CHANGE))
+    run(controller._carry_out(ENGINE, CHANGE))
     assert len(orders.given) == 1
-    keeper._lease = FakeLease(5)
-    run(keeper._carry_out(ENGINE, CHANGE))
+    controller._lease = FakeLease(5)
+    run(controller._carry_out(ENGINE, CHANGE))
     assert len(orders.given) == 2
 
 
-# One engine more than wanted changes its role: an order had no answer, was given again
-# to another engine, and both were carried out.
+# If an order without an answer were repeated at another engine, both could be carried
+# out, and one engine too many would change its role.
 @pytest.mark.parametrize("outcome", [OrderOutcome.TAKEN, OrderOutcome.UNCLEAR])
-def test_order_that_may_be_carried_out_counts_as_done(outcome: OrderOutcome) -> None:
-    keeper = make_keeper(FakeOrders(outcome), FakeLease(4))
-    run(keeper._carry_out(ENGINE, CHANGE))
-    pending, until = keeper._pending[ENGINE.host]
+def test_order_that_may_be_carried_out_counts_as_pending(outcome: OrderOutcome) -> None:
+    controller = make_controller(FakeOrders(outcome), FakeLease(4))
+    run(controller._carry_out(ENGINE, CHANGE))
+    pending, until = controller._pending[ENGINE.host]
     assert pending == PREFILL
-    assert keeper._describe(ENGINE, until - 0.1).role == PREFILL
-    assert keeper._describe(ENGINE, until).role == DECODE
+    assert controller._describe(ENGINE, until - 0.1).role == PREFILL
+    assert controller._describe(ENGINE, until).role == DECODE
 
 
-# Answers come seconds late: one of two engines that make them is leaving, and the other
-# one gets help only once it is gone from the list.
-def test_engine_that_leaves_is_replaced_at_once() -> None:
+# When one of two decode engines is draining, the other one must get help before it is
+# gone from the list, or answers are seconds late.
+def test_draining_engine_is_replaced() -> None:
     engines = [make_instance(n, PREFILL) for n in range(3)]
     engines += [make_instance(n, DECODE) for n in range(3, 5)]
     orders = FakeOrders(OrderOutcome.TAKEN)
-    keeper = RoleController(
-        "gateway-1", orders, lambda: engines, FakeLease(4), give_rate
+    controller = RoleController(
+        "gateway-1", orders, lambda: engines, FakeLease(4), get_prefill_rate
     )
-    assert keeper._decide(0.0) == []
+    assert controller._decide(0.0) == []
     engines[4] = engines[4]._replace(is_draining=True)
-    keeper._decide(10.0)
-    ((_, change),) = keeper._decide(10.0 + COUNT_CHANGE_SECONDS)
+    controller._decide(10.0)
+    ((_, change),) = controller._decide(10.0 + COUNT_CHANGE_SECONDS)
     assert change.role == DECODE
 
 
@@ -165,80 +167,79 @@
         Ok(EngineReport(PREFILL, 7, False)),
     ],
 )
-def test_engine_that_is_busy_changed_or_silent_gets_no_order(report: Result) -> None:
+def test_busy_changed_or_silent_engine_gets_no_order(report: Result) -> None:
     orders = FakeOrders(OrderOutcome.TAKEN, report)
-    run(make_keeper(orders, FakeLease(4))._carry_out(ENGINE, CHANGE))
+    run(make_controller(orders, FakeLease(4))._carry_out(ENGINE, CHANGE))
     assert orders.given == []
 
 
-def play(keeper: RoleController, clock: Clock, seconds: float) -> None:
-    """Let the keeper look as often as it does within a time."""
+def run_ticks(controller: RoleController, clock: Clock, seconds: float) -> None:
+    """Run the ticks of the control loop within a time."""
     for _ in range(round(seconds / TICK_SECONDS)):
         clock.now += TICK_SECONDS
-        run(keeper._set_roles())
+        run(controller._set_roles())
 
 
-# Prompts wait for the one engine that reads them: the engine that is chosen to help it
-# can't be asked what it does, for as long as it is listed. It is chosen again at each
-# look, since nothing tells it from the others.
-def test_another_engine_is_ordered_where_one_is_silent() -> None:
+# The engine chosen for a change does not answer. If it were chosen again at each tick,
+# prompts would wait for the only prefill engine for as long as it is listed.
+def test_another_engine_is_ordered_if_one_is_silent() -> None:
     engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
     orders, clock = FakeOrders(OrderOutcome.TAKEN), Clock()
-    keeper = RoleController(
-        "g", orders, lambda: engines, FakeLease(4), give_rate, clock
+    controller = RoleController(
+        "g", orders, lambda: engines, FakeLease(4), get_prefill_rate, clock
     )
     orders.silent = {"e3"}
-    play(keeper, clock, COUNT_CHANGE_SECONDS + 2 * TICK_SECONDS)
-    assert orders.asked[0] == "e3"
+    run_ticks(controller, clock, COUNT_CHANGE_SECONDS + 2 * TICK_SECONDS)
+    assert orders.reads[0] == "e3"
     assert [host for host, *_ in orders.given] == ["e2"]
 
 
-# Each question to an engine has its price: one that can't be reached was asked at each
-# look, twice as often as meant, since its wait ended as soon as it had begun.
-def test_silent_engine_is_left_alone_for_a_while() -> None:
+# Reads have a cost, so an unreachable engine must be read at the retry interval, and
+# not at each tick, which is twice as often.
+def test_silent_engine_is_read_at_the_retry_interval() -> None:
     engines = [make_instance(number) for number in range(3)]
     orders, clock = FakeOrders(OrderOutcome.TAKEN), Clock()
-    keeper = RoleController(
-        "g", orders, lambda: engines, FakeLease(4), give_rate, clock
+    controller = RoleController(
+        "g", orders, lambda: engines, FakeLease(4), get_prefill_rate, clock
     )
     orders.silent = {engine.host for engine in engines}
-    play(keeper, clock, SETTLE_SECONDS + 10 * RETRY_SECONDS)
-    assert 1 <= orders.asked.count("e2") <= 11
+    run_ticks(controller, clock, SETTLE_SECONDS + 10 * RETRY_SECONDS)
+    assert 1 <= orders.reads.count("e2") <= 11
 
 
-# One engine more than wanted changes its role: the one that was chosen is changing by
-# an order that came before, and another one is chosen in its place.
+# If the chosen engine is already changing by an earlier order and another one were
+# ordered instead, one engine too many would change its role.
 @pytest.mark.parametrize("outcome", [OrderOutcome.HOLDS, OrderOutcome.BUSY])
-def test_engine_that_changes_by_another_order_is_not_replaced(
+def test_engine_changing_by_another_order_is_not_replaced(
     outcome: OrderOutcome,
 ) -> None:
     engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
     orders, clock = FakeOrders(outcome), Clock()
-    keeper = RoleController(
-        "g", orders, lambda: engines, FakeLease(4), give_rate, clock
+    controller = RoleController(
+        "g", orders, lambda: engines, FakeLease(4), get_prefill_rate, clock
     )
-    play(keeper, clock, COUNT_CHANGE_SECONDS + RETRY_SECONDS + TICK_SECONDS)
+    run_ticks(controller, clock, COUNT_CHANGE_SECONDS + RETRY_SECONDS + TICK_SECONDS)
     assert {host for host, *_ in orders.given} == {"e3"}
 
 
 @pytest.mark.parametrize("outcome", [OrderOutcome.REFUSED, OrderOutcome.UNREACHED])
-def test_engine_that_does_not_take_its_order_is_replaced(
+def test_engine_that_rejects_its_order_is_replaced(
     outcome: OrderOutcome,
 ) -> None:
     engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
     orders, clock = FakeOrders(outcome), Clock()
-    keeper = RoleController(
-        "g", orders, lambda: engines, FakeLease(4), give_rate, clock
+    controller = RoleController(
+        "g", orders, lambda: engines, FakeLease(4), get_prefill_rate, clock
     )
-    play(keeper, clock, SETTLE_SECONDS + 2 * TICK_SECONDS)
+    run_ticks(controller, clock, SETTLE_SECONDS + 2 * TICK_SECONDS)
     assert [host for host, *_ in orders.given] == ["e3", "e2"]
 
 
-# Roles stay wrong for good, at all engines: one of them has seen a higher number than
-# the lease's, and refuses an order. The holder gives no more orders under its number
-# and goes on renewing it, so no other number is ever taken, by it or by another one.
-def test_number_that_one_engine_refuses_blocks_orders_only_for_a_while() -> None:
-    async def play_on() -> list[tuple]:
+# One engine has seen a higher fencing token than the lease's and refuses an order. If
+# the holder stopped ordering but kept renewing the lease, no new token would ever be
+# issued and the roles of all engines would stay wrong forever.
+def test_token_refused_by_one_engine_is_replaced() -> None:
+    async def run_controller() -> list[tuple]:
         engines = [make_instance(0, PREFILL), *map(make_instance, range(1, 4))]
         orders, clock = FencedOrders("e3", seen=9), Clock()
         lease = LeaseDriver(
@@ -250,25 +251,27 @@
             on_lost=print,
         )
         lease.start()
-        keeper = RoleController("g", orders, lambda: engines, lease, give_rate, clock)
+        controller = RoleController(
+            "g", orders, lambda: engines, lease, get_prefill_rate, clock
+        )
         for _ in range(
             round((COUNT_CHANGE_SECONDS + RETRY_SECONDS) / TICK_SECONDS) + 1
         ):
             while lease.fencing is None:
                 await asyncio.sleep(0)
             clock.now += TICK_SECONDS
-            await keeper._set_roles()
+            await controller._set_roles()
         await lease.stop()
         return [(host, fencing) for host, _, _, fencing, _ in orders.given]
 
-    assert run(play_on()) == [("e3", 1), ("e2", 2)]
+    assert run(run_controller()) == [("e3", 1), ("e2", 2)]
 
 
-# Two gateways order one engine: the store is restored from an older copy, which lacks
-# the lease's row, and the holder goes on ordering under a number that another one may
-# be given. It must stop at once, and go on only under a number of the new era.
+# The store is restored from an older copy without the lease's row, so another gateway
+# may get the holder's token. The holder must stop immediately and continue only with a
+# token of the new era, or two gateways order the same engine.
 def test_no_order_is_given_between_a_restore_and_the_new_lease() -> None:
-    async def play_on() -> list[int]:
+    async def run_controller() -> list[int]:
         orders, clock, table = FakeOrders(OrderOutcome.TAKEN), Clock(), MemoryTable()
         lease = LeaseDriver(
             table,
@@ -279,15 +282,17 @@
             on_lost=print,
             clock=clock,
         )
-        keeper = RoleController("g", orders, lambda: [ENGINE], lease, give_rate, clock)
+        controller = RoleController(
+            "g", orders, lambda: [ENGINE], lease, get_prefill_rate, clock
+        )
         lease.start()
         while lease.fencing is None:
             await asyncio.sleep(0)
-        await keeper._carry_out(ENGINE, CHANGE)
+        await controller._carry_out(ENGINE, CHANGE)
         table.rows.rows.clear()
         lease.enter_era(1)
         for _ in range(8):
-            await keeper._carry_out(ENGINE, CHANGE)
+            await controller._carry_out(ENGINE, CHANGE)
             assert len(orders.given) == 1
             clock.now += 1.0
             lease.contend(True)
@@ -296,21 +301,21 @@
             clock.now += 0.5
             lease.contend(True)
             await asyncio.sleep(0)
-        await keeper._carry_out(ENGINE, CHANGE)
+        await controller._carry_out(ENGINE, CHANGE)
         await lease.stop()
         return [fencing for _, _, _, fencing, _ in orders.given]
 
-    assert run(play_on()) == [1, (1 << ERA_SHIFT) + 1]
+    assert run(run_controller()) == [1, (1 << ERA_SHIFT) + 1]
 
 
 EARLY, LATE = 5_000, 4_000
-"""Two starts in their order: the clock has stepped back between them."""
+"""Two consecutive starts; the clock was set back between them."""
 
 
-# An engine changes its role though nobody wants it to: it started again, and the order
-# that its earlier start was to get carries a count that fits, as counts begin anew.
+# A restarted engine resets its order sequence. If it got the order for its earlier
+# start, the sequence could match and the engine would take a role that nobody wants.
 @pytest.mark.parametrize(
-    ("known", "asked", "said", "is_given"),
+    ("known", "read", "reported", "is_given"),
     [
         (EARLY, EARLY, EARLY, True),
         (0, 0, 0, True),
@@ -320,56 +325,58 @@
         (LATE, EARLY, LATE, False),
     ],
 )
-def test_order_is_given_to_the_start_that_was_asked(
-    known: int, asked: int, said: int, is_given: bool
+def test_order_goes_only_to_the_start_that_was_read(
+    known: int, read: int, reported: int, is_given: bool
 ) -> None:
-    orders = FakeOrders(OrderOutcome.TAKEN, Ok(EngineReport(DECODE, 0, False, said)))
-    keeper = RoleController(
+    orders = FakeOrders(
+        OrderOutcome.TAKEN, Ok(EngineReport(DECODE, 0, False, reported))
+    )
+    controller = RoleController(
         "gateway-1",
         orders,
         lambda: [ENGINE._replace(started_ms=known)],
         FakeLease(4),
-        give_rate,
+        get_prefill_rate,
     )
-    run(keeper._carry_out(ENGINE._replace(started_ms=asked), CHANGE))
+    run(controller._carry_out(ENGINE._replace(started_ms=read), CHANGE))
     assert len(orders.given) == is_given
-    assert (ENGINE.host in keeper._pending) == is_given
+    assert (ENGINE.host in controller._pending) == is_given
 
 
-# A new start is counted for seconds as an engine of the role that its earlier start was
-# ordered to take, and no other engine is moved in its place.
+# If the pending order of an earlier start counted for the new one, it would count for
+# seconds with the ordered role, and no other engine would be moved.
 @pytest.mark.parametrize("outcome", list(OrderOutcome))
-def test_order_of_an_earlier_start_says_nothing_of_the_new_one(
+def test_order_of_an_earlier_start_does_not_count_for_the_new_one(
     outcome: OrderOutcome,
 ) -> None:
     engines = [ENGINE._replace(started_ms=EARLY)]
-    said = Ok(EngineReport(DECODE, 7, False, EARLY))
-    orders = FakeOrders(outcome, said)
-    keeper = RoleController(
-        "gateway-1", orders, lambda: engines, FakeLease(4), give_rate
+    report = Ok(EngineReport(DECODE, 7, False, EARLY))
+    orders = FakeOrders(outcome, report)
+    controller = RoleController(
+        "gateway-1", orders, lambda: engines, FakeLease(4), get_prefill_rate
     )
 
     def restart() -> None:
         engines[0] = ENGINE._replace(started_ms=LATE)
-        keeper.reset_engine(ENGINE.host)
+        controller.reset_engine(ENGINE.host)
 
     orders.while_ordered = restart
-    run(keeper._carry_out(engines[0], CHANGE))
+    run(controller._carry_out(engines[0], CHANGE))
     assert len(orders.given) == 1
-    assert keeper._pending == {}
-    assert keeper._skipped_until == {}
+    assert controller._pending == {}
+    assert controller._skipped_until == {}
 
 
-def test_pending_role_is_forgotten_with_its_start() -> None:
-    keeper = make_keeper(FakeOrders(OrderOutcome.TAKEN), FakeLease(4))
-    run(keeper._carry_out(ENGINE, CHANGE))
-    keeper.reset_engine(ENGINE.host)
-    assert keeper._describe(ENGINE, 0.0).role == DECODE
+def test_pending_role_is_dropped_on_restart() -> None:
+    controller = make_controller(FakeOrders(OrderOutcome.TAKEN), FakeLease(4))
+    run(controller._carry_out(ENGINE, CHANGE))
+    controller.reset_engine(ENGINE.host)
+    assert controller._describe(ENGINE, 0.0).role == DECODE
 
 
-# The log fills with one line each half second of each gateway: those without the lease
-# go on to want what they can't order.
-def test_what_is_wanted_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
+# Gateways without the lease keep wanting changes that they cannot order. Logging them
+# at each tick would write a line every half second at each gateway.
+def test_wanted_changes_are_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[str] = []
     monkeypatch.setattr(
         "radishtally.stages.role_controller.log_message",
@@ -379,9 +386,11 @@
     clock = Clock()
     orders = FakeOrders(OrderOutcome.TAKEN)
     lease = FakeLease(None)
-    keeper = RoleController("g", orders, lambda: engines, lease, give_rate, clock)
-    play(keeper, clock, SETTLE_SECONDS + 20 * TICK_SECONDS)
+    controller = RoleController(
+        "g", orders, lambda: engines, lease, get_prefill_rate, clock
+    )
+    run_ticks(controller, clock, SETTLE_SECONDS + 20 * TICK_SECONDS)
     assert lines == ["stage:wanted"]
     engines[1] = make_instance(1, PREFILL)
-    play(keeper, clock, 20 * TICK_SECONDS)
+    run_ticks(controller, clock, 20 * TICK_SECONDS)
     assert lines == ["stage:wanted"] * 2
