--- a/tests/gateway/common.py
+++ b/tests/gateway/common.py
@@ -137,13 +137,13 @@
 @asynccontextmanager
 async def deployment(rows: Rows | None = None) -> AsyncIterator[Deployment]:
     """Run a store and a gateway that has a configuration."""
-    made = Deployment(rows or Rows())
-    made.store = await serve(made.rows.build_app())
-    made.configure()
-    async with run_gateway(made.store) as gateway:
-        made.gateway = gateway
-        made.url = f"http://{gateway.settings.address}"
-        yield made
+    env = Deployment(rows or Rows())
+    env.store = await serve(env.rows.build_app())
+    env.configure()
+    async with run_gateway(env.store) as gateway:
+        env.gateway = gateway
+        env.url = f"http://{gateway.settings.address}"
+        yield env
 
 
 @asynccontextmanager
--- a/tests/gateway/ending.py
+++ b/tests/gateway/crashing.py
@@ -22,14 +22,14 @@
 POISON = b"poison"
 
 
-class Ending:
+class CrashingServer:
     """Listen, and end at once with all connections."""
 
     _runner: web.AppRunner | None = None
     _port = 0
 
     @property
-    def has_ended(self) -> bool:
+    def has_crashed(self) -> bool:
         """Tell whether nothing listens here."""
         return self._runner is None
 
@@ -42,7 +42,7 @@
         self._port = self._runner.addresses[0][1]
         return f"{LOOPBACK}:{self._port}"
 
-    def break_off(self) -> None:
+    def abort_all(self) -> None:
         """End without a word to anybody."""
         runner, self._runner = self._runner, None
         if runner is None:
@@ -53,12 +53,12 @@
             connection.transport.abort()
 
 
-class EndingDesk(Ending):
+class CrashingDesk(CrashingServer):
     """Be a host of the plain service that ends under calls of one path."""
 
-    def __init__(self, name: str, made: Deployment) -> None:
+    def __init__(self, name: str, env: Deployment) -> None:
         self._name = name
-        self._made = made
+        self._made = env
 
     async def start(self) -> None:
         """Listen, and wait until the gateway knows it."""
@@ -69,38 +69,38 @@
 
     async def _answer(self, request: web.Request) -> web.Response:
         if request.path.endswith("poison"):
-            self.break_off()
+            self.abort_all()
         return await answer_whole(request)
 
 
-class EndingEngine(Ending, StagedEngine):
+class CrashingEngine(CrashingServer, StagedEngine):
     """End at once, with all its connections, as a poison prompt begins to run."""
 
-    def __init__(self, name: str, phase: str, made: Deployment) -> None:
+    def __init__(self, name: str, phase: str, env: Deployment) -> None:
         super().__init__(name, phase)
-        self.ends = 0
+        self.crashes = 0
         self.arrivals = 0
         """Poison prompts that have come to be answered."""
-        self.is_safe = False
+        self.survives_poison = False
         """Whether it bears the prompt, as a mended release does."""
-        self._made = made
+        self._made = env
         self._name = name
 
     async def start(self) -> None:
         """Listen where it did before, under a new id, and write its entry."""
-        self.instance = f"{self._name}-{self.ends}"
-        await self.start_again()
+        self.instance = f"{self._name}-{self.crashes}"
+        await self.relisten()
 
-    async def start_again(self) -> None:
+    async def relisten(self) -> None:
         """Listen where it did before, as if it had never ended."""
         address = await self.listen(self.build_app())
         self._made.addresses[self.instance] = address
         self._made.announce_engine(self)
 
-    async def end(self) -> None:
+    async def crash(self) -> None:
         """End without a word to anybody."""
-        self.ends += not self.has_ended
-        self.break_off()
+        self.crashes += not self.has_crashed
+        self.abort_all()
 
     async def _stream(
         self, request: web.Request, name: str, signature: str, fault: RunFault
@@ -108,39 +108,41 @@
         if await request.read() != POISON:
             return await super()._stream(request, name, signature, fault)
         self.arrivals += 1
-        if self.is_safe:
+        if self.survives_poison:
             return await super()._stream(request, name, signature, fault)
         response = web.StreamResponse(headers={"X-Server-Signature": signature})
         await response.prepare(request)
-        await self.end()
+        await self.crash()
         return response
 
 
 class Fleet:
     """Hold engines that may end, and the gateways before them."""
 
-    def __init__(self, made: Deployment, urls: list[str], answering: int) -> None:
-        self.made = made
+    def __init__(self, env: Deployment, urls: list[str], answering: int) -> None:
+        self.env = env
         self.urls = urls
-        self.gateways = [made.gateway]
-        self.prompts = EndingEngine("p", "prefill", made)
-        self.answers = [EndingEngine(f"d{n}", "decode", made) for n in range(answering)]
+        self.gateways = [env.gateway]
+        self.prefill_engine = CrashingEngine("p", "prefill", env)
+        self.decode_engines = [
+            CrashingEngine(f"d{n}", "decode", env) for n in range(answering)
+        ]
 
     @property
-    def ends(self) -> int:
+    def crashes(self) -> int:
         """Count the ends of all engines."""
-        return sum(engine.ends for engine in self.answers)
+        return sum(engine.crashes for engine in self.decode_engines)
 
     @property
     def arrivals(self) -> int:
         """Count the poison prompts that have come to be answered."""
-        return sum(engine.arrivals for engine in self.answers)
+        return sum(engine.arrivals for engine in self.decode_engines)
 
-    async def start_ended(self) -> None:
+    async def restart_crashed(self) -> None:
         """Start the engines anew that have ended."""
-        for engine in self.answers:
-            if engine.has_ended:
-                self.made.withdraw(engine.instance)
+        for engine in self.decode_engines:
+            if engine.has_crashed:
+                self.env.withdraw(engine.instance)
                 await engine.start()
 
     async def send(
@@ -171,13 +173,13 @@
     async def wait_for_runs(self, count: int) -> None:
         """Wait until so many requests are answered at once."""
         await wait_until(
-            lambda: sum(len(engine.runs) for engine in self.answers) >= count
+            lambda: sum(len(engine.runs) for engine in self.decode_engines) >= count
         )
 
     @asynccontextmanager
     async def run_another(self, host: str) -> AsyncIterator[Gateway]:
         """Run one more gateway, linked to the others."""
-        async with run_gateway(self.made.store, host) as gateway:
+        async with run_gateway(self.env.store, host) as gateway:
             self.gateways.append(gateway)
             self.urls.append(f"http://{gateway.settings.address}")
             await wait_for_engines(self)
@@ -189,9 +191,9 @@
 async def run_fleet(answering: int, gateways: int = 1) -> AsyncIterator[Fleet]:
     """Run engines behind linked gateways."""
     async with AsyncExitStack() as stack:
-        made = await stack.enter_async_context(deployment())
-        fleet = Fleet(made, [made.url], answering)
-        for engine in (fleet.prompts, *fleet.answers):
+        env = await stack.enter_async_context(deployment())
+        fleet = Fleet(env, [env.url], answering)
+        for engine in (fleet.prefill_engine, *fleet.decode_engines):
             await engine.start()
         for number in range(2, gateways + 1):
             await stack.enter_async_context(fleet.run_another(f"gateway-{number}"))
@@ -201,7 +203,9 @@
 
 async def wait_for_engines(fleet: Fleet) -> None:
     """Wait until each gateway lists the engines as they are, and no other."""
-    names = {engine.instance for engine in (fleet.prompts, *fleet.answers)}
+    names = {
+        engine.instance for engine in (fleet.prefill_engine, *fleet.decode_engines)
+    }
     for gateway in fleet.gateways:
         await wait_until(lambda g=gateway: g.core.links.keys() == names)
 
--- a/tests/gateway/test_cache_discovery.py
+++ b/tests/gateway/test_cache_discovery.py
@@ -20,7 +20,7 @@
 PARTS = (PromptPart("a", 500), PromptPart("b", 5_000), PromptPart("own", 900))
 
 
-class Engines:
+class FakeEngines:
     """Say what engines keep, and count how often each is asked."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
 # at once, and start again with nothing of what engines keep.
 def test_each_engine_is_asked_once_by_all_gateways_together() -> None:
     instances = make_instances(12)
-    engines = Engines()
+    engines = FakeEngines()
     for name in NAMES:
         placement = make_placement(instances)
         recall = CacheDiscovery(name, engines, placement, lambda: instances)
@@ -72,7 +72,7 @@
 
 def test_engine_that_does_not_answer_is_taken_for_empty() -> None:
     instances = make_instances(1)
-    engines = Engines()
+    engines = FakeEngines()
     engines.silent = {"e-0"}
     placement = make_placement(instances)
     run(CacheDiscovery("g-0", engines, placement, lambda: instances).run(["g-0"]))
@@ -81,14 +81,14 @@
 
 def test_engines_are_asked_only_by_a_gateway_that_was_there_before() -> None:
     async def check() -> None:
-        async with deployment() as made:
-            engines = await start_engines(made)
+        async with deployment() as env:
+            engines = await start_engines(env)
             engines[0].kept = [["", "aa", 500, "m"]]
             row = Key(GATEWAYS_PARTITION, "gateway-1")
-            while not (await made.gateway.table.get(row)).ok:
+            while not (await env.gateway.table.get(row)).ok:
                 await asyncio.sleep(0.005)
             assert [engine.lists for engine in engines] == [0, 0]
-            async with run_gateway(made.store, "gateway-1") as again:
+            async with run_gateway(env.store, "gateway-1") as again:
                 await wait_until(lambda: all(engine.lists == 1 for engine in engines))
                 cache = again.placement._engines["p-1"].cache
                 await wait_until(lambda: cache.count("m", PROMPT) == 500)
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -23,13 +23,13 @@
 
 
 async def ask(
-    made: Deployment, path: str, name: str, method: str = "GET", body: bytes = b""
+    env: Deployment, path: str, name: str, method: str = "GET", body: bytes = b""
 ) -> tuple[int, dict[str, str], bytes]:
     """Send one request over a connection of its own."""
     async with (
         aiohttp.ClientSession() as session,
         session.request(
-            method, made.url + path, headers=make_headers(name), data=body or None
+            method, env.url + path, headers=make_headers(name), data=body or None
         ) as response,
     ):
         return response.status, dict(response.headers), await response.read()
@@ -104,13 +104,11 @@
 
 
 def test_answer_passes_unchanged() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             desk = Desk(answer_whole)
-            await made.serve_desk("d-1", desk)
-            status, headers, body = await ask(
-                made, "/book/a?b=%20c", "r1", "POST", b"x"
-            )
+            await env.serve_desk("d-1", desk)
+            status, headers, body = await ask(env, "/book/a?b=%20c", "r1", "POST", b"x")
             assert (status, body) == (200, b"whole")
             assert headers["X-Server-Signature"] == "by-desk"
             (seen,) = desk.seen
@@ -120,31 +118,31 @@
             assert 0 < int(seen.headers["X-Deadline-Ms"]) <= 4000
             assert desk.bodies == [b"x"]
 
-    run(play())
+    run(scenario())
 
 
 # The caller sees 200 with a part of the body: the host sends an answer without a
 # length, which ends with its connection, and the connection is reset on the way. The
 # HTTP library takes any end of the connection for the end of the answer.
 def test_reset_does_not_end_answer_without_length() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(reset_unframed))
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(reset_unframed))
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert status == 502
             assert b"only a part" not in body
 
-    run(play())
+    run(scenario())
 
 
 def test_close_ends_answer_without_length() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(close_unframed))
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(close_unframed))
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert (status, body) == (200, b"all of it")
 
-    run(play())
+    run(scenario())
 
 
 # The caller is told "not run" and sends its call again, so it runs twice: the host ran
@@ -155,95 +153,95 @@
 def test_call_that_may_have_run_is_neither_repeated_nor_said_not_to_have_run(
     answer: object,
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             first, second = Desk(answer), Desk(answer)
-            await made.serve_desk("d-1", first)
-            await made.serve_desk("d-2", second)
-            status, headers, body = await ask(made, "/book/a", "r1", "POST")
+            await env.serve_desk("d-1", first)
+            await env.serve_desk("d-2", second)
+            status, headers, body = await ask(env, "/book/a", "r1", "POST")
             assert status == 502
             assert headers["X-Ran"] == "unknown"
             assert b"caller's" not in body
             assert len(first.seen) + len(second.seen) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_call_that_was_refused_goes_to_another_host() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             refusing, taking = Desk(answer_not_run), Desk(answer_whole)
-            await made.serve_desk("d-1", refusing)
-            await made.serve_desk("d-2", taking)
-            made.gateway.core.budgets = RetryBudgets(1.0, 1.0)
+            await env.serve_desk("d-1", refusing)
+            await env.serve_desk("d-2", taking)
+            env.gateway.core.budgets = RetryBudgets(1.0, 1.0)
             for number in range(4):
-                status, _, _ = await ask(made, "/book/a", f"r{number}", "POST")
+                status, _, _ = await ask(env, "/book/a", f"r{number}", "POST")
                 assert status == 200
             assert len(taking.seen) == 4
             # A host that refuses again and again is left out for a while.
             assert len(refusing.seen) <= REFUSALS_TO_TRIP_BREAKER
 
-    run(play())
+    run(scenario())
 
 
 def test_call_refused_everywhere_is_said_not_to_have_run() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_not_run))
-            status, headers, _ = await ask(made, "/book/a", "r1", "POST")
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_not_run))
+            status, headers, _ = await ask(env, "/book/a", "r1", "POST")
             assert status in (429, 503)
             assert headers["X-Ran"] == "no"
             assert float(headers["Retry-After"]) > 0
 
-    run(play())
+    run(scenario())
 
 
 def test_failed_safe_call_is_tried_again() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             first, second = (Desk(answer_failure, answer_whole) for _ in range(2))
-            await made.serve_desk("d-1", first)
-            await made.serve_desk("d-2", second)
-            status, _, body = await ask(made, "/read/a", "r1")
+            await env.serve_desk("d-1", first)
+            await env.serve_desk("d-2", second)
+            status, _, body = await ask(env, "/read/a", "r1")
             assert (status, body) in [(200, b"whole"), (500, b"broken")]
             assert len(first.seen) + len(second.seen) == 2
 
-    run(play())
+    run(scenario())
 
 
 # The caller sees 502 where the host had said 500: the call failed there and was tried
 # at another host, and that one failed too. What a host says of its failure is the
 # answer, and nobody replaces it.
 def test_failure_everywhere_is_the_hosts_own_answer() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_failure))
-            await made.serve_desk("d-2", Desk(answer_failure))
-            status, headers, body = await ask(made, "/read/a", "r1")
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_failure))
+            await env.serve_desk("d-2", Desk(answer_failure))
+            status, headers, body = await ask(env, "/read/a", "r1")
             assert (status, body) == (500, b"broken")
             assert headers["X-Server-Signature"] == "by-desk"
 
-    run(play())
+    run(scenario())
 
 
 def test_failed_unsafe_call_is_not_tried_again() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             first, second = Desk(answer_failure), Desk(answer_failure)
-            await made.serve_desk("d-1", first)
-            await made.serve_desk("d-2", second)
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+            await env.serve_desk("d-1", first)
+            await env.serve_desk("d-2", second)
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert (status, body) == (500, b"broken")
             assert len(first.seen) + len(second.seen) == 1
 
-    run(play())
+    run(scenario())
 
 
 # A caller waits for ever: while its request is open, another one of the same name comes
 # to the gateway, takes its place, and whatever a host answers goes to that one.
 def test_second_open_request_of_a_name_is_refused_and_the_first_answered() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             go_on = asyncio.Event()
 
             async def answer_later(request: web.Request) -> web.Response:
@@ -251,10 +249,10 @@
                 return await answer_whole(request)
 
             desk = Desk(answer_later)
-            await made.serve_desk("d-1", desk)
-            first = asyncio.create_task(ask(made, "/read/a", "r1"))
+            await env.serve_desk("d-1", desk)
+            first = asyncio.create_task(ask(env, "/read/a", "r1"))
             await wait_until(lambda: len(desk.seen) == 1)
-            second = asyncio.create_task(ask(made, "/read/a", "r1"))
+            second = asyncio.create_task(ask(env, "/read/a", "r1"))
             async with asyncio.timeout(5):
                 await asyncio.wait({second}, timeout=1)
                 go_on.set()
@@ -263,4 +261,4 @@
             assert (status, headers.get("X-Ran")) == (409, "no")
             assert len(desk.seen) == 1
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -19,20 +19,20 @@
 CUT = RunFault(cut_after=2)
 
 
-async def begin(made: Deployment, faults: Iterator[RunFault]) -> StagedEngine:
+async def begin(env: Deployment, faults: Iterator[RunFault]) -> StagedEngine:
     """Start an engine for prompts and one for answers; give the latter."""
     answering = StagedEngine("d-1", "decode")
     answering.faults = faults
     for engine in (StagedEngine("p-1", "prefill"), answering):
-        await made.serve_engine(engine)
+        await env.serve_engine(engine)
     return answering
 
 
-async def ask(made: Deployment) -> None:
+async def ask(env: Deployment) -> None:
     """Ask for an answer, and take what comes of it."""
     async with (
         aiohttp.ClientSession() as session,
-        session.post(f"{made.url}/sheet/a", headers=make_prompt("r1")) as response,
+        session.post(f"{env.url}/sheet/a", headers=make_prompt("r1")) as response,
     ):
         try:
             await response.read()
@@ -53,68 +53,68 @@
 def test_log_tells_how_an_answer_ended(
     faults: Sequence[RunFault], ending: Ending, status: int, events: int
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await begin(made, iter(faults))
+    async def scenario() -> None:
+        async with deployment() as env:
+            await begin(env, iter(faults))
             given: list[Delivery] = []
-            close = made.gateway.close
+            close = env.gateway.close
 
             def note(request: str, one: Delivery) -> None:
                 given.append(one)
                 close(request, one)
 
-            made.gateway.close = note
-            await ask(made)
+            env.gateway.close = note
+            await ask(env)
             await wait_until(lambda: bool(given))
             sent = len(FAILED.body)
             if status == 200:
                 sent = sum(len(make_event("r1", n + 1)) for n in range(events))
             assert given == [Delivery(ending, status, sent, events)]
-            text = made.gateway.render_metrics().decode()
+            text = env.gateway.render_metrics().decode()
             assert f'ending="{ending}",kind="stream"' in text
 
-    run(play())
+    run(scenario())
 
 
 def test_caller_that_leaves_is_told_apart() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            answering = await begin(made, iter(()))
+    async def scenario() -> None:
+        async with deployment() as env:
+            answering = await begin(env, iter(()))
             answering.seconds = 5.0
-            task = asyncio.create_task(ask(made))
+            task = asyncio.create_task(ask(env))
             await wait_until(lambda: answering.runs["r1"] == 1)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            await wait_until(lambda: not made.gateway.replies)
-            text = made.gateway.render_metrics().decode()
+            await wait_until(lambda: not env.gateway.replies)
+            text = env.gateway.render_metrics().decode()
             assert f'ending="{Ending.CALLER_LEFT}",kind="stream"' in text
 
-    run(play())
+    run(scenario())
 
 
 # A stream ends as complete after a part: what is no end of it reaches its connection,
 # or its gateway stops.
 @pytest.mark.parametrize("how", ["finish", "refuse", "leave"])
 def test_nothing_but_its_end_ends_a_stream_as_complete(how: str) -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            answering = await begin(made, iter(()))
+    async def scenario() -> None:
+        async with deployment() as env:
+            answering = await begin(env, iter(()))
             answering.seconds = 0.2
             async with (
                 aiohttp.ClientSession() as session,
                 session.post(
-                    f"{made.url}/sheet/a", headers=make_prompt("r1")
+                    f"{env.url}/sheet/a", headers=make_prompt("r1")
                 ) as response,
             ):
                 assert response.status == 200
                 if how == "leave":
-                    made.gateway.handle(Shutdown())
+                    env.gateway.handle(Shutdown())
                 elif how == "finish":
                     end = Finished("r1", 1, 0, 0, 500, "", 0, 0)
-                    made.gateway.replies.put(Finish("r1", end, b""))
+                    env.gateway.replies.put(Finish("r1", end, b""))
                 else:
-                    made.gateway.replies.put(Refuse("r1", NOT_READY))
+                    env.gateway.replies.put(Refuse("r1", NOT_READY))
                 with pytest.raises(aiohttp.ClientPayloadError):
                     await response.read()
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_foreign_entries.py
+++ b/tests/gateway/test_foreign_entries.py
@@ -8,17 +8,17 @@
 # Orders go to whoever listens at an address that nobody here has named: an entry for a
 # service that the configuration doesn't know was taken for an engine of an upstream.
 def test_engine_of_an_unknown_upstream_gets_no_order() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             engines = [StagedEngine(f"e-{number}", "decode") for number in range(3)]
             for engine in engines:
                 address = await serve(engine.build_app())
-                made.announce(engine.instance, address, "ghost", phase="decode")
-                await made.wait_for(engine.instance)
-            list_engines = made.gateway.stages._list_instances
+                env.announce(engine.instance, address, "ghost", phase="decode")
+                await env.wait_for(engine.instance)
+            list_engines = env.gateway.stages._list_instances
             assert list_engines() == []
             known = StagedEngine("e-9", "decode")
-            await made.serve_engine(known)
+            await env.serve_engine(known)
             assert [engine.host for engine in list_engines()] == ["e-9"]
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_kept_answers.py
+++ b/tests/gateway/test_kept_answers.py
@@ -33,29 +33,29 @@
         rest = second[30:] if host.connections == 1 else b""
         writer.write(rest + make_answer(("r2",), "r2"))
 
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             host.answer.update(r1=answer_and_half, r2=answer_behind)
-            await host.serve(made)
-            assert (await ask(made, "/read/a", "r1"))[2] == b"r1"
-            status, _, body = await ask(made, "/read/a", "r2")
+            await host.serve(env)
+            assert (await ask(env, "/read/a", "r1"))[2] == b"r1"
+            status, _, body = await ask(env, "/read/a", "r2")
             assert (status, body) == (200, b"r2")
 
-    run(play())
+    run(scenario())
 
 
 # Prompts are read twice if an answer about a prompt is not taken for its own one: an
 # engine names the request in these too, and connections to engines are kept.
 def test_each_prompt_is_read_once_on_a_kept_connection() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            prefill, decode = await start_engines(made)
+    async def scenario() -> None:
+        async with deployment() as env:
+            prefill, decode = await start_engines(env)
             for name in ("r1", "r2", "r3"):
-                assert await stream(made, "/sheet/a", name) == make_whole(name)
+                assert await stream(env, "/sheet/a", name) == make_whole(name)
             assert len(decode.fetched) == 3
             assert len(prefill.handles) == 3
 
-    run(play())
+    run(scenario())
 
 
 # An engine that is at work is taken for one of another role that took no order: any
@@ -73,7 +73,7 @@
         await reader.readuntil(b"\r\n\r\n")
         writer.write(answer)
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = await asyncio.start_server(serve, LOOPBACK, 0)
         port = server.sockets[0].getsockname()[1]
         hosts = DirectHosts(PlatformUpstreams(), lambda *_: None)
@@ -83,13 +83,13 @@
         await hosts.stop()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 # A request goes out on a connection on which an answer waits in the kernel: the loop
 # has not looked since the answer came.
 def test_connection_with_something_unread_is_not_used() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         writers: list[asyncio.StreamWriter] = []
 
         async def serve(
@@ -113,7 +113,7 @@
         await session.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 # A caller gets 502 though its call ran and was answered, whole: behind the answer the
@@ -130,12 +130,12 @@
     async def answer_and_more(writer: asyncio.StreamWriter) -> None:
         writer.write(answer + more)
 
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             host.answer["r1"] = answer_and_more
-            await host.serve(made)
+            await host.serve(env)
             for method, path in (("POST", "/book/a"), ("GET", "/read/a")):
-                status, _, body = await ask(made, path, "r1", method)
+                status, _, body = await ask(env, path, "r1", method)
                 assert (status, body) == (200, b"r1")
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -34,12 +34,12 @@
         self.late = b""
         """What comes before a report on a connection that carried a request."""
 
-    async def serve(self, made: Deployment) -> None:
+    async def serve(self, env: Deployment) -> None:
         """Start, and wait until the gateway knows the host."""
         server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         port = server.sockets[0].getsockname()[1]
-        made.announce("d-1", f"{LOOPBACK}:{port}", "desk")
-        await made.wait_for("d-1")
+        env.announce("d-1", f"{LOOPBACK}:{port}", "desk")
+        await env.wait_for("d-1")
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -98,16 +98,16 @@
         await asyncio.sleep(PAUSE_SECONDS)
         writer.write(first[cut:] + second)
 
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             host.answer["r1"] = answer_twice
-            await host.serve(made)
-            assert (await ask(made, "/read/a", "r1"))[2] == b"r1"
+            await host.serve(env)
+            assert (await ask(env, "/read/a", "r1"))[2] == b"r1"
             await asyncio.sleep(3 * PAUSE_SECONDS)
-            status, _, body = await ask(made, "/read/a", "r2")
+            status, _, body = await ask(env, "/read/a", "r2")
             assert (status, body) == (200, b"r2")
 
-    run(play())
+    run(scenario())
 
 
 # As above, but the second answer comes when the next request is out: there is nothing
@@ -116,17 +116,17 @@
     async def answer_late(writer: asyncio.StreamWriter) -> None:
         writer.write(make_answer((), "r1 again") + make_answer(("r2",), "r2"))
 
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             host.answer["r2"] = answer_late
-            await host.serve(made)
-            assert (await ask(made, "/read/a", "r1"))[2] == b"r1"
-            status, _, body = await ask(made, "/read/a", "r2")
+            await host.serve(env)
+            assert (await ask(env, "/read/a", "r1"))[2] == b"r1"
+            status, _, body = await ask(env, "/read/a", "r2")
             assert (status, b"r1" in body) == (502, False)
-            status, _, body = await ask(made, "/read/a", "r3")
+            status, _, body = await ask(env, "/read/a", "r3")
             assert (status, body) == (200, b"r3")
 
-    run(play())
+    run(scenario())
 
 
 # Callers get 502 from then on, request by request: a second answer, which names r1, is
@@ -139,29 +139,29 @@
         await asyncio.sleep(PAUSE_SECONDS)
         writer.write(make_answer(("r2",), "r2"))
 
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             host.answer["r2"] = answer_late
-            await host.serve(made)
-            assert (await ask(made, "/read/a", "r1"))[2] == b"r1"
-            assert (await ask(made, "/read/a", "r2"))[0] == 502
+            await host.serve(env)
+            assert (await ask(env, "/read/a", "r1"))[2] == b"r1"
+            assert (await ask(env, "/read/a", "r2"))[0] == 502
             for number in range(3, 7):
-                status, _, body = await ask(made, "/read/a", f"r{number}")
+                status, _, body = await ask(env, "/read/a", f"r{number}")
                 assert (status, body) == (200, f"r{number}".encode())
 
-    run(play())
+    run(scenario())
 
 
 def test_sound_connection_is_used_again(host: Host) -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await host.serve(made)
+    async def scenario() -> None:
+        async with deployment() as env:
+            await host.serve(env)
             for number in range(5):
-                status, _, _ = await ask(made, "/read/a", f"r{number}")
+                status, _, _ = await ask(env, "/read/a", f"r{number}")
                 assert status == 200
             assert host.connections == 1
 
-    run(play())
+    run(scenario())
 
 
 # A gateway believes what no engine said: questions to an engine went out on the
@@ -170,16 +170,16 @@
 # a report, the handle of a KV cache says that the engine has no role and took no order
 # since its start.
 def test_second_answer_to_a_prompt_is_not_taken_for_a_report(host: Host) -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             host.late = make_answer(("r1",), '{"kvHandle": "h"}')
-            await host.serve(made)
-            await ask(made, "/read/a", "r1")
-            (instance,) = made.gateway.members
-            read = await made.gateway.hosts.read_report(instance)
+            await host.serve(env)
+            await ask(env, "/read/a", "r1")
+            (instance,) = env.gateway.members
+            read = await env.gateway.hosts.read_report(instance)
             assert read.ok.role == DECODE
 
-    run(play())
+    run(scenario())
 
 
 def test_report_without_a_role_is_no_report() -> None:
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -43,7 +43,7 @@
     return engine.count_answers() if engine else 0
 
 
-class Net:
+class Network:
     """Pass messages between gateways at once, and count them."""
 
     def __init__(self, count: int, data_centres: int = 1) -> None:
@@ -59,9 +59,9 @@
         data_centre = f"z-{len(self.sites) % self.data_centres}"
         self.sites[name] = Site(data_centre, 1.0)
         self.gateways[name] = Gateway(name, self)
-        self.relist()
+        self.publish_sites()
 
-    def relist(self) -> None:
+    def publish_sites(self) -> None:
         """Have all gateways learn which ones there are."""
         self.linked.clear()
         for gateway in self.gateways.values():
@@ -89,9 +89,9 @@
         """Let a gateway go for good."""
         self.remove(name)
         del self.sites[name]
-        self.relist()
+        self.publish_sites()
 
-    def play(self, now: float) -> None:
+    def run_rounds(self, now: float) -> None:
         """Let each gateway have three rounds, and three once all is told again."""
         later = now + FULL_REFRESH_SECONDS
         for at in (now, now, now, later, later, later):
@@ -105,7 +105,7 @@
 class Gateway:
     """Hold one gateway's side, and stand for its hub."""
 
-    def __init__(self, name: str, net: Net) -> None:
+    def __init__(self, name: str, net: Network) -> None:
         self.name = name
         self.net = net
         self.placement = EnginePlacement(lambda: 0.0)
@@ -154,10 +154,10 @@
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
 @pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
 def test_each_gateway_counts_all_work_once(count: int, data_centres: int) -> None:
-    net = Net(count, data_centres)
+    net = Network(count, data_centres)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
-    net.play(0.0)
+    net.run_rounds(0.0)
     assert {gateway.count() for gateway in net.gateways.values()} == {count}
 
 
@@ -165,12 +165,12 @@
 def test_messages_of_a_round_grow_with_the_gateways(data_centres: int) -> None:
     sent = {}
     for count in (MANY, 10 * MANY):
-        net = Net(count, data_centres)
-        net.play(0.0)
+        net = Network(count, data_centres)
+        net.run_rounds(0.0)
         net.sent = 0
         for gateway in net.gateways.values():
             gateway.begin(1)
-        net.play(0.1)
+        net.run_rounds(0.1)
         sent[count] = net.sent / count
     assert sent[10 * MANY] <= 1.1 * sent[MANY]
 
@@ -179,25 +179,25 @@
 # that collected is killed, and another one takes over.
 @pytest.mark.parametrize("data_centres", [1, 3])
 def test_another_gateway_collects_when_the_first_is_gone(data_centres: int) -> None:
-    net = Net(MANY, data_centres)
-    net.play(0.0)
+    net = Network(MANY, data_centres)
+    net.run_rounds(0.0)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
-    net.play(2.0)
+    net.run_rounds(2.0)
     net.remove(next(iter(net.gateways.values())).loads._group.collector)
-    net.play(4.0)
+    net.run_rounds(4.0)
     assert {gateway.count() for gateway in net.gateways.values()} == {MANY - 1}
 
 
 # All work counts twice: gateways come one by one until they are too many to tell each
 # other directly, and what they have told is told by the one that collects as well.
 def test_work_counts_once_when_one_begins_to_collect() -> None:
-    net = Net(MAX_MESH_GATEWAYS)
+    net = Network(MAX_MESH_GATEWAYS)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
-    net.play(0.0)
+    net.run_rounds(0.0)
     net.add("late")
-    net.play(2.0)
+    net.run_rounds(2.0)
     counts = {gateway.count() for gateway in net.gateways.values()}
     assert counts == {MAX_MESH_GATEWAYS}
 
@@ -206,12 +206,12 @@
 # Each forgets what the collecting one told, and takes no word of those that have not
 # changed over yet; of what had been open before, nothing is told again.
 def test_all_work_counts_when_none_collects_any_more() -> None:
-    net = Net(MAX_MESH_GATEWAYS + 1)
+    net = Network(MAX_MESH_GATEWAYS + 1)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
-    net.play(0.0)
+    net.run_rounds(0.0)
     net.unlist(next(reversed(net.gateways)))
-    net.play(4.0)
+    net.run_rounds(4.0)
     assert [gateway.count() for gateway in net.gateways.values()] == (
         [MAX_MESH_GATEWAYS] * MAX_MESH_GATEWAYS
     )
@@ -221,24 +221,24 @@
 # the others, and what they have open there is told to it before it knows the engine.
 @pytest.mark.parametrize("count", [2, MANY])
 def test_work_at_an_engine_that_is_not_listed_yet_is_counted_later(count: int) -> None:
-    net = Net(count)
+    net = Network(count)
     last = net.gateways[f"g-{count - 1}"]
     last.placement.forget(ENGINE.host)
     net.gateways["g-0"].begin(0)
-    net.play(0.0)
+    net.run_rounds(0.0)
     assert last.count() == 0
     last.placement.set_instance(ENGINE)
-    net.play(4.0)
+    net.run_rounds(4.0)
     assert last.count() == 1
 
 
 @pytest.mark.parametrize("data_centres", [1, 5])
 def test_demand_of_all_counts_where_one_collects(data_centres: int) -> None:
-    net = Net(MANY, data_centres)
-    net.play(0.0)
+    net = Network(MANY, data_centres)
+    net.run_rounds(0.0)
     for gateway in net.gateways.values():
         gateway.stages.record_request("llm", 750_000, 0, 0.0)
-    net.play(2.0)
+    net.run_rounds(2.0)
     totals = [
         gateway.stages._demands["llm"].collect(4.0, ("nobody",))
         for gateway in net.gateways.values()
@@ -253,35 +253,35 @@
 # knows of counts for nothing, and counts in full once the start is known.
 @pytest.mark.parametrize("count", [3, MANY])
 def test_work_counts_where_its_start_is_known(count: int) -> None:
-    net = Net(count)
+    net = Network(count)
     gateways = list(net.gateways.values())
     for gateway in gateways:
         gateway.restart_engine(5_000)
         gateway.begin(1)
-    net.play(0.0)
+    net.run_rounds(0.0)
     assert {gateway.count() for gateway in gateways} == {count}
     first, *others = gateways
     first.restart_engine(4_000)
     first.begin(2)
-    net.play(2.0)
+    net.run_rounds(2.0)
     assert first.count() == 1
     for gateway in others:
         assert gateway.count() < count
         gateway.restart_engine(4_000)
-        net.play(4.0)
-    net.play(6.0)
+        net.run_rounds(4.0)
+    net.run_rounds(6.0)
     assert {gateway.count() for gateway in gateways} == {1}
 
 
 # The work of a gateway that is gone counts at the engine's next start: what it told of
 # that before the others knew the start is kept for them.
 def test_work_of_a_lost_gateway_does_not_count_at_a_later_start() -> None:
-    net = Net(2)
+    net = Network(2)
     first, second = net.gateways.values()
     first.restart_engine(4_000)
     first.begin(1)
     second.restart_engine(5_000)
-    net.play(0.0)
+    net.run_rounds(0.0)
     net.remove(first.name)
     second.restart_engine(4_000)
     assert second.count() == 0
@@ -290,7 +290,7 @@
 # Nobody gives engines their roles any more: all that contended for the lease are gone.
 @pytest.mark.parametrize("data_centres", [1, 3])
 def test_few_contend_for_the_lease_and_others_follow(data_centres: int) -> None:
-    net = Net(2 * MANY, data_centres)
+    net = Network(2 * MANY, data_centres)
 
     def follow(now: float) -> set[str]:
         for at in (now, now + MIN_CANDIDATE_SECONDS):
@@ -309,7 +309,7 @@
 
 
 def test_all_of_few_gateways_contend_for_the_lease() -> None:
-    net = Net(3)
+    net = Network(3)
     for at in (0.0, MIN_CANDIDATE_SECONDS):
         for gateway in net.gateways.values():
             gateway.loads._update_contention(at)
@@ -321,8 +321,8 @@
 # next round, and told nothing, or passed over what it was told.
 @pytest.mark.parametrize("count", [1, MANY])
 def test_gateway_that_starts_is_told_at_once_what_engines_keep(count: int) -> None:
-    net = Net(count)
-    net.play(0.0)
+    net = Network(count)
+    net.run_rounds(0.0)
     part = HashedPart(7, 5_000)
     for gateway in net.gateways.values():
         gateway.placement.record_parts(PartsRead(ENGINE.host, 0, (part,)))
@@ -343,16 +343,16 @@
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
 @pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
 def test_each_gateway_hears_of_denied_requests(count: int, data_centres: int) -> None:
-    net = Net(count, data_centres)
-    net.play(0.0)
+    net = Network(count, data_centres)
+    net.run_rounds(0.0)
     now = time.monotonic()
     deny(net.gateways[f"g-{count - 1}"], "a", now)
-    net.play(now)
+    net.run_rounds(now)
     assert all(
         each.suspects.find_denial_seconds("a", now) for each in net.gateways.values()
     )
     net.gateways["g-0"].suspects.clear("a")
-    net.play(now)
+    net.run_rounds(now)
     assert not any(
         each.suspects.find_denial_seconds("a", now) for each in net.gateways.values()
     )
@@ -361,13 +361,13 @@
 # The link between two gateways is cut, and the one goes on ending hosts with a request
 # that the other has long denied.
 def test_denial_goes_round_a_cut_link() -> None:
-    net = Net(4)
-    net.play(0.0)
+    net = Network(4)
+    net.run_rounds(0.0)
     net.linked["g-0"] = ["g-2", "g-3"]
     net.linked["g-1"] = ["g-2", "g-3"]
     now = time.monotonic()
     deny(net.gateways["g-0"], "a", now)
-    net.play(now)
+    net.run_rounds(now)
     assert net.gateways["g-1"].suspects.find_denial_seconds("a", now)
 
 
@@ -375,13 +375,13 @@
 def test_messages_about_ended_hosts_grow_with_the_gateways() -> None:
     sent = {}
     for count in (MANY, 10 * MANY):
-        net = Net(count, 5)
-        net.play(0.0)
+        net = Network(count, 5)
+        net.run_rounds(0.0)
         net.sent = 0
         for gateway in net.gateways.values():
             gateway.suspects.record_host_end(
                 f"of-{gateway.name}", HostEnd(0, 0.05), 0.0
             )
-        net.play(0.0)
+        net.run_rounds(0.0)
         sent[count] = net.sent / count
     assert sent[10 * MANY] <= 1.1 * sent[MANY]
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -54,9 +54,9 @@
     return web.Response(status=500, body=b"broken", headers=headers)
 
 
-async def ask_often(made: Deployment, count: int = REQUESTS) -> list[int]:
+async def ask_often(env: Deployment, count: int = REQUESTS) -> list[int]:
     """Send some requests at once; give their statuses."""
-    asked = (ask(made, "/read/a", f"r-{time.monotonic()}-{n}") for n in range(count))
+    asked = (ask(env, "/read/a", f"r-{time.monotonic()}-{n}") for n in range(count))
     return [status for status, _, _ in await asyncio.gather(*asked)]
 
 
@@ -64,81 +64,81 @@
 # the store that would say so is away.
 @pytest.mark.parametrize("answer", [answer_whole, refuse, fail])
 def test_host_whose_answer_says_that_it_leaves_is_left_alone(answer: Answer) -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             leaving = Desk(answer_with(answer, Server_Leaving="1"))
-            await made.serve_desk("leaving", leaving)
-            await made.serve_desk("staying", Desk(answer_whole))
-            await ask_often(made)
+            await env.serve_desk("leaving", leaving)
+            await env.serve_desk("staying", Desk(answer_whole))
+            await ask_often(env)
             assert leaving.seen
             await asyncio.sleep(DRAIN_SECONDS)
             leaving.seen.clear()
-            assert await ask_often(made) == [200] * REQUESTS
+            assert await ask_often(env) == [200] * REQUESTS
             assert not leaving.seen
 
-    run(play())
+    run(scenario())
 
 
 # The same at an engine, whose answer is a stream that has only begun.
 def test_engine_whose_answer_says_that_it_leaves_is_left_alone() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             engines = [StagedEngine("p-1", "prefill")]
             engines += [StagedEngine(f"d-{n}", "decode") for n in (1, 2)]
             for engine in engines:
-                await made.serve_engine(engine)
+                await env.serve_engine(engine)
             leaving = engines[1]
             leaving.notice = LEAVING
             while not leaving.runs:
-                await stream(made, "/sheet/a", f"first-{time.monotonic()}")
+                await stream(env, "/sheet/a", f"first-{time.monotonic()}")
             await asyncio.sleep(DRAIN_SECONDS)
             leaving.runs.clear()
             for number in range(REQUESTS):
                 name = f"r{number}"
-                assert await stream(made, "/sheet/a", name) == make_whole(name)
+                assert await stream(env, "/sheet/a", name) == make_whole(name)
             assert not leaving.runs
 
-    run(play())
+    run(scenario())
 
 
 # A host that asks for a pause is kept busy by refusing all the while.
 def test_host_that_asks_for_a_pause_is_left_alone() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             pausing = Desk(answer_with(refuse, Retry_After="1.5"), answer_whole)
-            await made.serve_desk("pausing", pausing)
-            await made.serve_desk("other", Desk(answer_whole))
+            await env.serve_desk("pausing", pausing)
+            await env.serve_desk("other", Desk(answer_whole))
             while not pausing.seen:
-                await ask(made, "/read/a", f"first-{time.monotonic()}")
+                await ask(env, "/read/a", f"first-{time.monotonic()}")
             paused_at = time.monotonic()
             await asyncio.sleep(SETTLE_SECONDS)
             pausing.seen.clear()
             while time.monotonic() < paused_at + 1.3:
-                assert (await ask(made, "/read/a", f"r-{time.monotonic()}"))[0] == 200
+                assert (await ask(env, "/read/a", f"r-{time.monotonic()}"))[0] == 200
             assert len(pausing.seen) <= ALLOWED_IN_PAUSE
 
-    run(play())
+    run(scenario())
 
 
-async def find_instance(made: Deployment, host: str) -> Instance:
-    return next(item for item in made.gateway.members if item.host == host)
+async def find_instance(env: Deployment, host: str) -> Instance:
+    return next(item for item in env.gateway.members if item.host == host)
 
 
-async def ask_report(made: Deployment, instance: Instance) -> None:
-    await made.gateway.hosts.read_report(instance)
+async def ask_report(env: Deployment, instance: Instance) -> None:
+    await env.gateway.hosts.read_report(instance)
 
 
-async def ask_kept(made: Deployment, instance: Instance) -> None:
-    await made.gateway.hosts.read_cached_parts(instance)
+async def ask_kept(env: Deployment, instance: Instance) -> None:
+    await env.gateway.hosts.read_cached_parts(instance)
 
 
-async def give_order(made: Deployment, instance: Instance) -> None:
-    await made.gateway.hosts.order_role(instance, DECODE, "gateway-1", 1, 0)
+async def give_order(env: Deployment, instance: Instance) -> None:
+    await env.gateway.hosts.order_role(instance, DECODE, "gateway-1", 1, 0)
 
 
-async def free_kv(made: Deployment, instance: Instance) -> None:
-    made.gateway.hosts.drop(KvRef(instance.host, instance.address, "h", 1))
-    await asyncio.gather(*made.gateway.hosts._tasks._kept)
+async def free_kv(env: Deployment, instance: Instance) -> None:
+    env.gateway.hosts.drop(KvRef(instance.host, instance.address, "h", 1))
+    await asyncio.gather(*env.gateway.hosts._tasks._kept)
 
 
 # Whatever a gateway asks a host, the answer says that it leaves: heard there alone, it
@@ -147,117 +147,117 @@
 def test_answer_to_any_question_says_that_a_host_leaves(
     question: Callable[[Deployment, Instance], Awaitable[None]],
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             engine = StagedEngine("d-1", "decode")
-            await made.serve_engine(engine)
+            await env.serve_engine(engine)
             engine.notice = LEAVING
-            await question(made, await find_instance(made, "d-1"))
-            assert (await find_instance(made, "d-1")).is_draining
-            assert not made.gateway.core.hosts["d-1"].live
+            await question(env, await find_instance(env, "d-1"))
+            assert (await find_instance(env, "d-1")).is_draining
+            assert not env.gateway.core.hosts["d-1"].live
 
-    run(play())
+    run(scenario())
 
 
 # A host that stays is left alone for what the next one at its former address says.
 def test_word_of_another_host_at_the_address_is_not_taken() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             engine = StagedEngine("d-1", "decode")
-            await made.serve_engine(engine)
+            await env.serve_engine(engine)
             engine.notice = LEAVING
             engine.instance = "d-2"
             for question in (ask_report, give_order):
-                await question(made, await find_instance(made, "d-1"))
-            assert not (await find_instance(made, "d-1")).is_draining
+                await question(env, await find_instance(env, "d-1"))
+            assert not (await find_instance(env, "d-1")).is_draining
 
-    run(play())
+    run(scenario())
 
 
 def test_only_host_that_leaves_is_not_waited_for() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk(
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk(
                 "leaving", Desk(answer_with(answer_whole, Server_Leaving="1"))
             )
-            assert (await ask(made, "/read/a", "first"))[0] == 200
+            assert (await ask(env, "/read/a", "first"))[0] == 200
             begun = time.monotonic()
-            status, headers, _ = await ask(made, "/read/a", "second")
+            status, headers, _ = await ask(env, "/read/a", "second")
             assert status == 503
             assert headers["X-Ran"] == "no"
             assert time.monotonic() < begun + DRAIN_SECONDS
 
-    run(play())
+    run(scenario())
 
 
 # All callers come back at the same moment, or wait for hosts that take nothing.
 def test_callers_are_told_when_all_hosts_pause() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             pausing = Desk(
                 answer_with(refuse, Retry_After=str(PAUSE_SECONDS)), answer_whole
             )
-            await made.serve_desk("only", pausing)
-            await ask(made, "/read/a", "first")
+            await env.serve_desk("only", pausing)
+            await ask(env, "/read/a", "first")
             pausing.seen.clear()
             waits = set()
             for number in range(REQUESTS):
-                status, headers, _ = await ask(made, "/read/a", f"r{number}")
+                status, headers, _ = await ask(env, "/read/a", f"r{number}")
                 assert status == 503
                 assert headers["X-Ran"] == "no"
                 waits.add(float(headers["Retry-After"]))
             assert not pausing.seen
             assert all(2.0 < wait < LONGEST_WAIT for wait in waits)
 
-    run(play())
+    run(scenario())
 
 
 # A host that was full for a moment is left out for longer and longer, as if it failed.
 def test_pause_is_no_fault_of_its_host() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             refusal = answer_with(refuse, Retry_After="0.3")
-            await made.serve_desk("only", Desk(*[refusal] * 4, answer_whole))
+            await env.serve_desk("only", Desk(*[refusal] * 4, answer_whole))
             for number in range(4):
-                assert (await ask(made, "/read/a", f"full-{number}"))[0] in (429, 503)
+                assert (await ask(env, "/read/a", f"full-{number}"))[0] in (429, 503)
                 await asyncio.sleep(0.4)
-            assert made.gateway.core.hosts["only"].refusals == 0
-            assert (await ask(made, "/read/a", "served"))[0] == 200
+            assert env.gateway.core.hosts["only"].refusals == 0
+            assert (await ask(env, "/read/a", "served"))[0] == 200
 
-    run(play())
+    run(scenario())
 
 
 def test_engine_that_pauses_is_used_again_after_its_restart() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             engine = StagedEngine("d-1", "decode")
             engine.born = 1_000
-            await made.serve_engine(engine)
-            instance = await find_instance(made, "d-1")
-            made.gateway.handle_notice(instance, Notice(pause=60.0))
+            await env.serve_engine(engine)
+            instance = await find_instance(env, "d-1")
+            env.gateway.handle_notice(instance, Notice(pause=60.0))
             engine.restart(2_000)
-            made.announce_engine(engine)
-            await wait_until(lambda: made.gateway.members.starts.get("d-1") == 2_000)
-            assert await stream(made, "/sheet/a", "r1") == make_whole("r1")
+            env.announce_engine(engine)
+            await wait_until(lambda: env.gateway.members.starts.get("d-1") == 2_000)
+            assert await stream(env, "/sheet/a", "r1") == make_whole("r1")
 
-    run(play())
+    run(scenario())
 
 
 # The engines that make answers pause: a prompt would be read, and its caller kept
 # waiting for an engine that takes it.
 def test_callers_are_told_when_all_engines_for_answers_pause() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             engines = [StagedEngine("p-1", "prefill"), StagedEngine("d-1", "decode")]
             for engine in engines:
-                await made.serve_engine(engine)
-            instance = await find_instance(made, "d-1")
-            made.gateway.handle_notice(instance, Notice(pause=PAUSE_SECONDS))
+                await env.serve_engine(engine)
+            instance = await find_instance(env, "d-1")
+            env.gateway.handle_notice(instance, Notice(pause=PAUSE_SECONDS))
             begun = time.monotonic()
             async with (
                 aiohttp.ClientSession() as session,
                 session.post(
-                    f"{made.url}/sheet/a", headers=make_prompt("r1"), data=b"prompt"
+                    f"{env.url}/sheet/a", headers=make_prompt("r1"), data=b"prompt"
                 ) as response,
             ):
                 assert response.status == 503
@@ -265,4 +265,4 @@
             assert time.monotonic() < begun + 2.0
             assert not engines[0].handles
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -20,7 +20,7 @@
     return engine.count_answers() if engine else 0
 
 
-async def begin_stream(made: Deployment, gateway: Gateway) -> asyncio.Task:
+async def begin_stream(env: Deployment, gateway: Gateway) -> asyncio.Task:
     """Send a request to another gateway than the deployment's first."""
     other = Deployment(url=f"http://{gateway.settings.address}")
     return asyncio.create_task(stream(other, "/draft/a", "r1"))
@@ -29,54 +29,54 @@
 # An engine is given more than it can do in time: each gateway counts only what it has
 # sent there itself. What a gateway had open must not count for ever once it is gone.
 def test_gateways_count_each_others_open_work() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            engines = await start_engines(made)
+    async def scenario() -> None:
+        async with deployment() as env:
+            engines = await start_engines(env)
             answering = next(e for e in engines if e.phase == "decode")
             host = answering.instance
-            async with run_gateway(made.store, "gateway-2") as second:
+            async with run_gateway(env.store, "gateway-2") as second:
                 await wait_until(lambda: host in second.core.links)
                 await wait_until(lambda: second.peers._hub and second.peers._hub.hosts)
                 answering.seconds = 30.0
-                work = await begin_stream(made, second)
+                work = await begin_stream(env, second)
                 await wait_until(lambda: count_answers(second, host) == 1)
-                await wait_until(lambda: count_answers(made.gateway, host) == 1)
+                await wait_until(lambda: count_answers(env.gateway, host) == 1)
                 work.cancel()
-            await wait_until(lambda: count_answers(made.gateway, host) == 0)
+            await wait_until(lambda: count_answers(env.gateway, host) == 0)
 
-    run(play())
+    run(scenario())
 
 
 # Hosts that fail are asked far more often than agreed: each of many gateways makes as
 # many retries as the whole deployment may.
 def test_gateways_share_the_retries_that_are_always_allowed() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            first = made.gateway
+    async def scenario() -> None:
+        async with deployment() as env:
+            first = env.gateway
             bounds = first.settings.bounds
-            async with run_gateway(made.store, "gateway-2") as second:
+            async with run_gateway(env.store, "gateway-2") as second:
                 shared = find_min_retry_rate(bounds, 2)
                 for gateway in (first, second):
                     await wait_until(lambda g=gateway: g.core.budgets.floor == shared)
                 allowed = bounds.retry_slack / bounds.retry_window_seconds
                 assert first.core.budgets.floor + second.core.budgets.floor <= allowed
 
-    run(play())
+    run(scenario())
 
 
 # Nobody is served after all processes were lost at once: what the configuration said
 # and which hosts there are was known to them alone.
 def test_new_gateway_serves_by_what_the_store_holds() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_whole))
-            assert (await ask(made, "/read/a", "r1"))[0] == 200
-        async with run_gateway(made.store) as gateway:
-            made.url = f"http://{gateway.settings.address}"
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_whole))
+            assert (await ask(env, "/read/a", "r1"))[0] == 200
+        async with run_gateway(env.store) as gateway:
+            env.url = f"http://{gateway.settings.address}"
             await wait_until(lambda: "d-1" in gateway.core.links)
-            assert (await ask(made, "/read/a", "r2"))[0] == 200
+            assert (await ask(env, "/read/a", "r2"))[0] == 200
 
-    run(play())
+    run(scenario())
 
 
 # Gateways share their retries with machines that were replaced long ago, and dial them
@@ -87,9 +87,9 @@
             row.key.sk for row in (await gateway.table.query(GATEWAYS_PARTITION)).ok
         }
 
-    async def play() -> None:
-        async with deployment() as made, run_gateway(made.store, "gateway-2") as second:
-            both = (made.gateway, second)
+    async def scenario() -> None:
+        async with deployment() as env, run_gateway(env.store, "gateway-2") as second:
+            both = (env.gateway, second)
             for gateway in both:
                 await wait_until(lambda g=gateway: g.peers._hub and g.peers._hub.hosts)
             gone = Put(
@@ -104,18 +104,18 @@
                 await gateway.peers._sync_peers()
             assert await read_names(second) == {"gateway-1", "gateway-2"}
 
-    run(play())
+    run(scenario())
 
 
 def test_gateway_whose_row_was_removed_writes_it_again() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            table = made.gateway.table
+    async def scenario() -> None:
+        async with deployment() as env:
+            table = env.gateway.table
             key = Key(GATEWAYS_PARTITION, "gateway-1")
             while (row := (await table.get(key)).ok) is None:
                 await asyncio.sleep(0.01)
             assert (await table.transact([Delete(key, row.rev)], "w")).is_ok()
-            await made.gateway.peers._sync_peers()
+            await env.gateway.peers._sync_peers()
             assert (await table.get(key)).ok.value == row.value
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_peers_restore.py
+++ b/tests/gateway/test_peers_restore.py
@@ -44,9 +44,9 @@
     monkeypatch.setattr(peers, "ERA_READ_SPREAD_SECONDS", 0.0)
 
 
-def read_value(made: Deployment, part: str, key: str) -> str | None:
+def read_value(env: Deployment, part: str, key: str) -> str | None:
     """Read what the store holds as a row."""
-    _, value = made.rows._rows.get(Name(TABLE, part, key), (0, None))
+    _, value = env.rows._rows.get(Name(TABLE, part, key), (0, None))
     return value
 
 
@@ -61,10 +61,10 @@
     return msgspec.json.decode(base64.b64decode(held))["value"]
 
 
-async def wait_for_row(made: Deployment, part: str, key: str) -> str:
+async def wait_for_row(env: Deployment, part: str, key: str) -> str:
     """Wait until a row stands; give what the store holds as such."""
-    await wait_until(lambda: read_value(made, part, key) is not None)
-    return read_value(made, part, key)
+    await wait_until(lambda: read_value(env, part, key) is not None)
+    return read_value(env, part, key)
 
 
 # The others drop their links to a living gateway, and load its engines without knowing
@@ -74,19 +74,19 @@
 @pytest.mark.parametrize("copied", [None, {"address": "127.0.0.1:9"}])
 @pytest.mark.usefixtures("seldom_reads")
 def test_own_row_is_written_again_at_once_in_a_new_era(copied: dict | None) -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             name = Name(TABLE, GATEWAYS_PARTITION, "gateway-1")
-            value = await wait_for_row(made, GATEWAYS_PARTITION, "gateway-1")
+            value = await wait_for_row(env, GATEWAYS_PARTITION, "gateway-1")
             data = encode_value(copied) if copied else None
-            made.rows.write(name, data)
-            made.gateway.peers.enter_era()
+            env.rows.write(name, data)
+            env.gateway.peers.enter_era()
             await wait_until(
-                lambda: read_value(made, *name[1:]) not in {None, data},
+                lambda: read_value(env, *name[1:]) not in {None, data},
             )
-            assert decode_value(read_value(made, *name[1:])) == decode_value(value)
+            assert decode_value(read_value(env, *name[1:])) == decode_value(value)
 
-    run(play())
+    run(scenario())
 
 
 # A gateway that has just started gets no links from the others for ten seconds. It is
@@ -94,30 +94,30 @@
 # that much may be otherwise than they know.
 @pytest.mark.usefixtures("seldom_reads")
 def test_others_are_read_at_once_in_a_new_era() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            gateway = made.gateway
+    async def scenario() -> None:
+        async with deployment() as env:
+            gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
-            async with run_gateway(made.store, "gateway-2"):
-                await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+            async with run_gateway(env.store, "gateway-2"):
+                await wait_for_row(env, GATEWAYS_PARTITION, "gateway-2")
                 gateway.peers.enter_era()
                 await wait_until(lambda: gateway.peers._hub.hosts == ["gateway-2"])
                 assert gateway._gateway_count == 2
 
-    run(play())
+    run(scenario())
 
 
 # Hosts' entries are read late just after a restore: all gateways see the new era at
 # once, and their looks at each other's rows take all calls that the store carries out.
 # A gateway's look begins some time after the rise, another one's at another time.
 def test_looks_at_a_new_era_are_spread(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(peers, "STARTUP_PEER_READS", 1)
         monkeypatch.setattr(peers, "PEER_READ_SECONDS", 1000.0)
-        async with deployment() as made:
-            gateway = made.gateway
+        async with deployment() as env:
+            gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
-            made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
+            env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
             drawn = []
             draw = SimpleNamespace(uniform=lambda *a: drawn.append(a) or 1000.0)
             monkeypatch.setattr(peers, "random", draw)
@@ -125,9 +125,9 @@
             await wait_until(lambda: (0.0, peers.ERA_READ_SPREAD_SECONDS) in drawn)
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert read_value(made, GATEWAYS_PARTITION, "gateway-1") is None
+            assert read_value(env, GATEWAYS_PARTITION, "gateway-1") is None
 
-    run(play())
+    run(scenario())
     reads = MOST_GATEWAYS * LOOK_READS / peers.ERA_READ_SPREAD_SECONDS
     assert reads <= STORE_READS / 2
 
@@ -139,13 +139,13 @@
 def test_store_that_is_away_in_a_new_era_is_asked_until_it_is_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with AsyncExitStack() as stack:
-            made = await stack.enter_async_context(deployment())
-            gateway = made.gateway
+            env = await stack.enter_async_context(deployment())
+            gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
-            await stack.enter_async_context(run_gateway(made.store, "gateway-2"))
-            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+            await stack.enter_async_context(run_gateway(env.store, "gateway-2"))
+            await wait_for_row(env, GATEWAYS_PARTITION, "gateway-2")
             read_rows = gateway.peers._registry.read_rows
             failures = [Error(AWAY)] * 3
 
@@ -155,23 +155,23 @@
             monkeypatch.setattr(gateway.peers._registry, "read_rows", read)
             for module in (peers, registry):
                 monkeypatch.setattr(module, "JOIN_POLL_SECONDS", 0.01)
-            made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
-            made.rows.gate._fault = {"mode": "down", "count": 10}
+            env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
+            env.rows.gate._fault = {"mode": "down", "count": 10}
             gateway.peers.enter_era()
-            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-1")
+            await wait_for_row(env, GATEWAYS_PARTITION, "gateway-1")
             await wait_until(lambda: gateway.peers._hub.hosts == ["gateway-2"])
             assert not failures
 
-    run(play())
+    run(scenario())
 
 
-def read_secret(made: Deployment) -> str:
-    return decode_value(read_value(made, *PEER_SECRET_KEY))["secret"]
+def read_secret(env: Deployment) -> str:
+    return decode_value(read_value(env, *PEER_SECRET_KEY))["secret"]
 
 
-def write_secret(made: Deployment, secret: str) -> None:
+def write_secret(env: Deployment, secret: str) -> None:
     """Write a secret as another gateway does that was the first one."""
-    made.rows.write(Name(TABLE, *PEER_SECRET_KEY), encode_value({"secret": secret}))
+    env.rows.write(Name(TABLE, *PEER_SECRET_KEY), encode_value({"secret": secret}))
 
 
 # Gateways that start after a restore never link to those from before it, until these
@@ -179,22 +179,22 @@
 # The secret was lost with the newest writes, and whoever starts next draws another.
 @pytest.mark.usefixtures("seldom_reads")
 def test_gateways_from_before_a_restore_link_to_those_that_start_after_it() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            gateway = made.gateway
+    async def scenario() -> None:
+        async with deployment() as env:
+            gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
-            secret = read_secret(made)
-            made.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
+            secret = read_secret(env)
+            env.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
             gateway.peers.enter_era()
-            await wait_for_row(made, *PEER_SECRET_KEY)
-            assert read_secret(made) == secret
-            async with run_gateway(made.store, "gateway-2") as second:
-                await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+            await wait_for_row(env, *PEER_SECRET_KEY)
+            assert read_secret(env) == secret
+            async with run_gateway(env.store, "gateway-2") as second:
+                await wait_for_row(env, GATEWAYS_PARTITION, "gateway-2")
                 gateway.peers.enter_era()
                 await wait_until(lambda: gateway.peers._hub.hosts == ["gateway-2"])
                 await wait_until(lambda: second.peers._hub.hosts == ["gateway-1"])
 
-    run(play())
+    run(scenario())
 
 
 # As above, but one that starts after the restore was sooner, and its secret stands.
@@ -202,18 +202,18 @@
 # meanwhile has its whole answer, and no gateway ends.
 @pytest.mark.usefixtures("seldom_reads")
 def test_gateways_take_the_secret_of_one_that_was_sooner() -> None:
-    async def play() -> None:
-        async with deployment() as made, run_gateway(made.store, "gateway-2") as second:
-            first = made.gateway
-            engines = await start_engines(made)
+    async def scenario() -> None:
+        async with deployment() as env, run_gateway(env.store, "gateway-2") as second:
+            first = env.gateway
+            engines = await start_engines(env)
             for engine in engines:
                 engine.seconds = 0.5
-            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+            await wait_for_row(env, GATEWAYS_PARTITION, "gateway-2")
             await wait_until(lambda: first.peers._hub is not None)
             await first.peers._sync_peers()
             await wait_until(lambda: second.peers._hub.hosts == ["gateway-1"])
-            write_secret(made, "another")
-            work = asyncio.create_task(stream(made, "/draft/a", "r1"))
+            write_secret(env, "another")
+            work = asyncio.create_task(stream(env, "/draft/a", "r1"))
             for gateway in (first, second):
                 links = gateway.peers._hub._links.copy()
                 gateway.peers.enter_era()
@@ -221,18 +221,18 @@
                 await wait_until(
                     lambda g=gateway, old=links: g.peers._hub._links != old
                 )
-            async with run_gateway(made.store, "gateway-3") as third:
-                await wait_for_row(made, GATEWAYS_PARTITION, "gateway-3")
+            async with run_gateway(env.store, "gateway-3") as third:
+                await wait_for_row(env, GATEWAYS_PARTITION, "gateway-3")
                 for gateway in (first, second):
                     gateway.peers.enter_era()
                 await wait_until(lambda: len(third.peers._hub.hosts) == 2)
                 await wait_until(lambda: len(first.peers._hub.hosts) == 2)
-            assert read_secret(made) == "another"
+            assert read_secret(env) == "another"
             assert await work == make_whole("r1")
             assert not first.runtime.stopping.is_set()
             assert not second.runtime.stopping.is_set()
 
-    run(play())
+    run(scenario())
 
 
 # Hosts that fail are asked more often than agreed, and gateways don't know what others
@@ -242,16 +242,16 @@
 def test_gateways_that_a_new_era_lacks_are_kept_until_they_may_have_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made, run_gateway(made.store, "gateway-2") as second:
-            first = made.gateway
-            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+    async def scenario() -> None:
+        async with deployment() as env, run_gateway(env.store, "gateway-2") as second:
+            first = env.gateway
+            await wait_for_row(env, GATEWAYS_PARTITION, "gateway-2")
             await wait_until(lambda: first.peers._hub is not None)
             await first.peers._sync_peers()
             await wait_until(lambda: first.peers._hub.hosts == ["gateway-2"])
             shared = find_min_retry_rate(first.settings.bounds, 2)
             link = first.peers._hub._links["gateway-2"]
-            made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-2"), None)
+            env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-2"), None)
             first.peers.enter_era()
             await wait_until(lambda: not first.peers._roster.is_read_pending)
             assert first.peers._hub._links == {"gateway-2": link}
@@ -262,12 +262,12 @@
             await wait_until(lambda: not first.peers._hub.hosts)
             assert first.core.budgets.floor > shared
             second.peers.enter_era()
-            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+            await wait_for_row(env, GATEWAYS_PARTITION, "gateway-2")
             await first.peers._sync_peers()
             await wait_until(lambda: first.peers._hub.hosts == ["gateway-2"])
             assert first.core.budgets.floor == shared
 
-    run(play())
+    run(scenario())
 
 
 # Gateways share their retries with a machine that was replaced, and dial it for good:
@@ -277,24 +277,24 @@
 def test_removed_gateway_that_came_back_with_the_copy_is_removed_anew(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            gateway = made.gateway
+    async def scenario() -> None:
+        async with deployment() as env:
+            gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
             data = encode_value({"address": "127.0.0.1:9"})
-            made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-0"), data)
+            env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-0"), data)
             gateway.peers.enter_era()
             await wait_until(lambda: not gateway.peers._roster.is_read_pending)
-            assert read_value(made, GATEWAYS_PARTITION, "gateway-0") == data
+            assert read_value(env, GATEWAYS_PARTITION, "gateway-0") == data
             assert gateway._gateway_count == 2
             monkeypatch.setattr(peers, "PEER_REMOVAL_SECONDS", -1.0)
             await gateway.peers._sync_peers()
-            assert read_value(made, GATEWAYS_PARTITION, "gateway-0") is None
+            assert read_value(env, GATEWAYS_PARTITION, "gateway-0") is None
             monkeypatch.setattr(roster, "ERA_SETTLE_SECONDS", 0.0)
             await gateway.peers._sync_peers()
             assert gateway._gateway_count == 1
 
-    run(play())
+    run(scenario())
 
 
 # The process ends, or the row stays for good. The removal of a gateway's row is turned
@@ -305,9 +305,9 @@
 def test_removal_that_a_new_era_turns_away_is_tried_again(
     error: TableError, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            gateway = made.gateway
+    async def scenario() -> None:
+        async with deployment() as env:
+            gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
             gone = Put(
                 Key(GATEWAYS_PARTITION, "gateway-0"), {"address": "127.0.0.1:9"}, ABSENT
@@ -333,10 +333,10 @@
             assert [line["outcome"] for line in lines] == [str(error)]
             monkeypatch.setattr(gateway.table, "transact", transact)
             await gateway.peers._sync_peers()
-            assert read_value(made, GATEWAYS_PARTITION, "gateway-0") is None
+            assert read_value(env, GATEWAYS_PARTITION, "gateway-0") is None
             assert not gateway.runtime.stopping.is_set()
 
-    run(play())
+    run(scenario())
 
 
 # What is written in a look is gone for good: the store is restored a second time while
@@ -345,27 +345,27 @@
 def test_second_restore_within_a_look_leads_to_another(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            gateway = made.gateway
+    async def scenario() -> None:
+        async with deployment() as env:
+            gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
             write_own_row, looks = gateway.peers._registry.write_own_row, []
 
             async def write() -> bool:
                 looks.append(await write_own_row())
                 if len(looks) == 1:
-                    made.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
-                    made.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
+                    env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
+                    env.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
                     gateway.peers.enter_era()
                 return looks[-1]
 
             monkeypatch.setattr(gateway.peers._registry, "write_own_row", write)
             gateway.peers.enter_era()
             await wait_until(lambda: len(looks) > 1)
-            await wait_for_row(made, GATEWAYS_PARTITION, "gateway-1")
-            await wait_for_row(made, *PEER_SECRET_KEY)
+            await wait_for_row(env, GATEWAYS_PARTITION, "gateway-1")
+            await wait_for_row(env, *PEER_SECRET_KEY)
 
-    run(play())
+    run(scenario())
 
 
 # As above, but the store is restored while the gateway starts, when what it has
@@ -374,9 +374,9 @@
 def test_restore_within_the_start_is_looked_at_once_started(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await wait_until(lambda: made.gateway._gateway_count == 1)
+    async def scenario() -> None:
+        async with deployment() as env:
+            await wait_until(lambda: env.gateway._gateway_count == 1)
             read_or_create_secret = registry.GatewayRegistry.read_or_create_secret
             found, restored = [], asyncio.Event()
 
@@ -386,13 +386,13 @@
                 return found[-1]
 
             monkeypatch.setattr(registry.GatewayRegistry, "read_or_create_secret", find)
-            async with run_gateway(made.store, "gateway-2") as second:
+            async with run_gateway(env.store, "gateway-2") as second:
                 await wait_until(lambda: len(found) == 1)
-                made.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
+                env.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
                 second.peers.enter_era()
                 restored.set()
-                await wait_for_row(made, *PEER_SECRET_KEY)
-                assert read_secret(made) == found[0]
-                await wait_for_row(made, GATEWAYS_PARTITION, "gateway-2")
+                await wait_for_row(env, *PEER_SECRET_KEY)
+                assert read_secret(env) == found[0]
+                await wait_for_row(env, GATEWAYS_PARTITION, "gateway-2")
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_registry.py
+++ b/tests/gateway/test_registry.py
@@ -24,7 +24,7 @@
 OTHERS = {"secret": "others"}
 
 
-def make_register(table: MemoryTable, host: str = "gateway-1") -> GatewayRegistry:
+def make_registry(table: MemoryTable, host: str = "gateway-1") -> GatewayRegistry:
     return GatewayRegistry(table, host, Site("howrah", 0.8), "127.0.0.1:8104")
 
 
@@ -41,40 +41,40 @@
             await asyncio.sleep(0)
             return Error(Unavailable("too many calls"))
 
-    async def play() -> None:
+    async def scenario() -> None:
         table = Busy()
         monkeypatch.setattr(registry, "JOIN_POLL_SECONDS", 1000.0)
-        finding = asyncio.create_task(make_register(table).read_or_create_secret())
+        finding = asyncio.create_task(make_registry(table).read_or_create_secret())
         for _ in range(50):
             await asyncio.sleep(0)
         finding.cancel()
         assert table.calls == 1
 
-    run(play())
+    run(scenario())
 
 
 # Gateways that start after a restore never link to those from before it. The secret
 # was lost with the store's newest writes, and the next one to start draws another.
 def test_secret_in_use_is_written_again_where_none_stands() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         table = MemoryTable()
-        assert await make_register(table).read_or_create_secret("ours") == "ours"
+        assert await make_registry(table).read_or_create_secret("ours") == "ours"
         assert (await table.get(PEER_SECRET_KEY)).ok.value == OURS
-        assert await make_register(table, "gateway-2").read_or_create_secret() == "ours"
+        assert await make_registry(table, "gateway-2").read_or_create_secret() == "ours"
 
-    run(play())
+    run(scenario())
 
 
 # Two groups of gateways go on under a secret each. A gateway that started after the
 # restore has drawn another one first: all must take that one, as it never goes away.
 def test_secret_that_stands_is_taken_by_those_that_know_another() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         table = MemoryTable()
         table.rows.apply([Put(PEER_SECRET_KEY, OTHERS, ABSENT)], "w")
-        assert await make_register(table).read_or_create_secret("ours") == "others"
+        assert await make_registry(table).read_or_create_secret("ours") == "others"
         assert (await table.get(PEER_SECRET_KEY)).ok.value == OTHERS
 
-    run(play())
+    run(scenario())
 
 
 # As above, but the other one is written between this gateway's read, which finds none,
@@ -85,12 +85,12 @@
             self.rows.apply([Put(PEER_SECRET_KEY, OTHERS, ABSENT)], "w")
             return await super().transact(*args)
 
-    async def play() -> None:
+    async def scenario() -> None:
         table = Raced()
-        assert await make_register(table).read_or_create_secret("ours") == "others"
+        assert await make_registry(table).read_or_create_secret("ours") == "others"
         assert (await table.get(PEER_SECRET_KEY)).ok.value == OTHERS
 
-    run(play())
+    run(scenario())
 
 
 # Writes of before the restore end unclear, and so may those behind it. The secret is
@@ -99,13 +99,13 @@
 def test_secret_whose_write_is_unclear_is_asked_for_until_it_stands(
     fault: str,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         table = MemoryTable()
         setattr(table, fault, 1)
-        assert await make_register(table).read_or_create_secret("ours") == "ours"
+        assert await make_registry(table).read_or_create_secret("ours") == "ours"
         assert (await table.get(PEER_SECRET_KEY)).ok.value == OURS
 
-    run(play())
+    run(scenario())
 
 
 # The process ends, or the others never find this gateway. Its row was read before the
@@ -123,34 +123,34 @@
                 return Error(self.errors.pop())
             return await super().transact(*args)
 
-    async def play() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(registry, "JOIN_POLL_SECONDS", 0.0)
         table, logged = Restored(), []
         add_destinations(logged.append)
         logged.clear()
-        assert not await make_register(table).write_own_row()
+        assert not await make_registry(table).write_own_row()
         remove_destination(logged.append)
-        assert await make_register(table).write_own_row()
+        assert await make_registry(table).write_own_row()
         assert not table.errors
         lines = [line for line in logged if line["message_type"] == "peers:not_joined"]
         settled = [] if isinstance(error, Unclear) else [str(error)]
         assert [line["reason"] for line in lines] == settled
 
-    run(play())
+    run(scenario())
 
 
 # As above: a write that is left open until its time is over is not taken for done.
 def test_own_row_whose_write_stays_unclear_is_read_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(registry, "JOIN_POLL_SECONDS", 0.0)
         monkeypatch.setattr(registry, "WRITE_SECONDS", 0.01)
         table, logged = MemoryTable(), []
         table.drop_writes = 1_000_000
         add_destinations(logged.append)
         logged.clear()
-        writing = asyncio.create_task(make_register(table).write_own_row())
+        writing = asyncio.create_task(make_registry(table).write_own_row())
         async with asyncio.timeout(10.0):
             while not any("Unclear" in str(line.get("reason")) for line in logged):
                 await asyncio.sleep(0.005)
@@ -158,6 +158,6 @@
         assert not writing.done()
         table.drop_writes = 0
         assert not await writing
-        assert await make_register(table).write_own_row()
+        assert await make_registry(table).write_own_row()
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_request_ends_hosts.py
+++ b/tests/gateway/test_request_ends_hosts.py
@@ -4,9 +4,9 @@
 
 from tests.common import run
 from tests.gateway.common import deployment, make_route, wait_until
-from tests.gateway.ending import (
+from tests.gateway.crashing import (
     POISON,
-    EndingDesk,
+    CrashingDesk,
     Fleet,
     run_fleet,
     wait_for_engines,
@@ -33,7 +33,7 @@
     for number in range(times):
         status, _ = await fleet.send(number, f"poison-{number}")
         statuses.append(status)
-        await fleet.start_ended()
+        await fleet.restart_crashed()
         await wait_for_engines(fleet)
     return statuses
 
@@ -41,44 +41,44 @@
 # A caller repeats a request that ends each engine which runs it: all end in turn, again
 # and again, with all that others have open there.
 def test_request_that_ends_hosts_is_not_sent_on_for_good() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
             assert fleet.arrivals <= ENDS_ALLOWED + RETRIES_ALLOWED
 
-    run(play())
+    run(scenario())
 
 
 # The same through several gateways, none of which has seen three ends by itself.
 def test_gateways_know_a_request_that_ended_hosts_of_others() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3, gateways=3) as fleet:
             await repeat_poison(fleet)
             assert fleet.arrivals <= ENDS_ALLOWED + RETRIES_ALLOWED
 
-    run(play())
+    run(scenario())
 
 
 def test_denied_request_is_refused_at_once_as_not_run() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
-            read = len(fleet.prompts.handles)
+            read = len(fleet.prefill_engine.handles)
             answer = await fleet.ask("last")
             assert answer.status == 503
             assert answer.headers["X-Ran"] == "no"
             assert float(answer.headers["Retry-After"]) > 0
-            assert len(fleet.prompts.handles) == read
+            assert len(fleet.prefill_engine.handles) == read
 
-    run(play())
+    run(scenario())
 
 
 # Callers whose answers are made beside the request that ends hosts are denied like it,
 # since hosts have ended under theirs as well.
 def test_those_beside_the_request_are_served() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
-            for engine in fleet.answers:
+            for engine in fleet.decode_engines:
                 engine.seconds = 0.02
                 engine.events = 20
             beside = [
@@ -90,23 +90,23 @@
             await fleet.wait_for_runs(BESIDE)
             await fleet.send(0, "poison-0")
             outcomes = await asyncio.gather(*beside)
-            assert fleet.ends == 1
+            assert fleet.crashes == 1
             assert all(status == 200 for status, _ in outcomes)
             assert all(body.count(b"id: ") == 20 for _, body in outcomes)
-            await fleet.start_ended()
+            await fleet.restart_crashed()
             await wait_for_engines(fleet)
             # They come again, as any request may.
             again = [fleet.send(0, f"again-{n}", b"prompt %d" % n) for n in range(5)]
             assert [status for status, _ in await asyncio.gather(*again)] == [200] * 5
 
-    run(play())
+    run(scenario())
 
 
 # Three racks are lost in a row with the same requests open: nobody has ended them.
 def test_requests_open_at_hosts_lost_together_are_served() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=4) as fleet:
-            for engine in fleet.answers:
+            for engine in fleet.decode_engines:
                 engine.seconds = 30.0
             for rack in range(ENDS_ALLOWED):
                 open_ones = [
@@ -114,11 +114,13 @@
                     for n in range(BESIDE)
                 ]
                 await fleet.wait_for_runs(BESIDE)
-                await asyncio.gather(*(engine.end() for engine in fleet.answers))
+                await asyncio.gather(
+                    *(engine.crash() for engine in fleet.decode_engines)
+                )
                 await asyncio.gather(*open_ones)
-                await fleet.start_ended()
+                await fleet.restart_crashed()
                 await wait_for_engines(fleet)
-                for engine in fleet.answers:
+                for engine in fleet.decode_engines:
                     engine.seconds = 0.0
                     engine.runs.clear()
                 served = [
@@ -127,84 +129,84 @@
                 ]
                 outcomes = await asyncio.gather(*served)
                 assert [status for status, _ in outcomes] == [200] * BESIDE
-                for engine in fleet.answers:
+                for engine in fleet.decode_engines:
                     engine.seconds = 30.0
                     engine.runs.clear()
 
-    run(play())
+    run(scenario())
 
 
 # Hosts that live and break answers off would have their callers denied.
 def test_answers_that_break_off_at_living_hosts_deny_nobody() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=2) as fleet:
-            for engine in fleet.answers:
+            for engine in fleet.decode_engines:
                 engine.cut_after = 1
             for number in range(2 * ENDS_ALLOWED):
                 status, _ = await fleet.send(number, f"cut-{number}", b"prompt")
                 assert status == 0
-            for engine in fleet.answers:
+            for engine in fleet.decode_engines:
                 engine.cut_after = None
             assert (await fleet.send(0, "whole", b"prompt"))[0] == 200
 
-    run(play())
+    run(scenario())
 
 
 # A rolling release ends each host in turn with work open: who meets it again and again
 # would be denied.
 def test_ends_of_hosts_that_said_they_leave_deny_nobody() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             for step in range(2 * ENDS_ALLOWED):
-                for engine in fleet.answers:
+                for engine in fleet.decode_engines:
                     engine.seconds = 30.0
                 task = asyncio.create_task(fleet.send(0, f"r-{step}", b"prompt"))
                 await fleet.wait_for_runs(1)
-                leaving = next(e for e in fleet.answers if e.runs)
-                fleet.made.announce_engine(leaving, state="draining")
+                leaving = next(e for e in fleet.decode_engines if e.runs)
+                fleet.env.announce_engine(leaving, state="draining")
                 core = fleet.gateways[0].core
                 await wait_until(lambda c=core, e=leaving: not c.hosts[e.instance].live)
-                await leaving.end()
+                await leaving.crash()
                 await task
                 leaving.runs.clear()
-                await fleet.start_ended()
+                await fleet.restart_crashed()
                 await wait_for_engines(fleet)
-            for engine in fleet.answers:
+            for engine in fleet.decode_engines:
                 engine.seconds = 0.0
             assert (await fleet.send(0, "served", b"prompt"))[0] == 200
 
-    run(play())
+    run(scenario())
 
 
 # A stream that may be resumed is taken from engine to engine by its gateway itself.
 def test_retries_within_one_request_are_bounded_too() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=6) as fleet:
             route = make_route("draft", "streaming", "llm", resumable=True)
-            fleet.made.configure(route | {"maxAttempts": 8})
+            fleet.env.configure(route | {"maxAttempts": 8})
             router = fleet.gateways[0].router
             await wait_until(lambda: router.configuration.routes[0].max_attempts == 8)
             status, _ = await fleet.send(0, "poison-0", POISON, "/draft/a")
             assert status in (0, 502)
             assert fleet.arrivals <= ENDS_ALLOWED
 
-    run(play())
+    run(scenario())
 
 
 # The service is gone for all: its last host ends under a request that has ended two.
 def test_last_host_is_not_risked() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             for number in range(REPEATS):
                 await fleet.send(number, f"poison-{number}")
-            assert fleet.ends == 2
+            assert fleet.crashes == 2
             assert (await fleet.send(0, "served", b"prompt"))[0] == 200
 
-    run(play())
+    run(scenario())
 
 
 def test_gateway_that_starts_is_told_of_denied_requests() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
             arrivals = fleet.arrivals
@@ -213,143 +215,143 @@
                 await fleet.send(len(fleet.urls) - 1, "poison-late")
             assert fleet.arrivals == arrivals
 
-    run(play())
+    run(scenario())
 
 
 def test_request_is_denied_while_the_store_is_away() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=9, gateways=2) as fleet:
-            fleet.made.rows.gate._fault = {"mode": "down"}
+            fleet.env.rows.gate._fault = {"mode": "down"}
             for number in range(REPEATS):
                 await fleet.send(number, f"poison-{number}")
             assert fleet.arrivals <= ENDS_ALLOWED + RETRIES_ALLOWED
 
-    run(play())
+    run(scenario())
 
 
 # A release that bears the request would never be given it again.
 def test_mended_release_is_given_the_request_again() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
-            for engine in fleet.answers:
-                engine.is_safe = True
+            for engine in fleet.decode_engines:
+                engine.survives_poison = True
             assert (await fleet.send(0, "denied"))[0] == 503
             expire_denials(fleet)
             assert (await fleet.send(0, "tried"))[0] == 200
             assert (await fleet.send(0, "free"))[0] == 200
 
-    run(play())
+    run(scenario())
 
 
 # All repeats that came meanwhile would go to hosts at once when a denial is over.
 def test_denial_that_is_over_lets_one_repeat_through() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
             expire_denials(fleet)
             repeats = [fleet.send(0, f"repeat-{n}") for n in range(REPEATS)]
             await asyncio.gather(*repeats)
-            assert fleet.ends == ENDS_ALLOWED + 1
+            assert fleet.crashes == ENDS_ALLOWED + 1
 
-    run(play())
+    run(scenario())
 
 
 # A host that starts again under its own name would free the request that has ended it,
 # with the first other request that it takes.
 def test_hosts_that_keep_their_names_do_not_free_the_request() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
-            for engine in fleet.answers:
+            for engine in fleet.decode_engines:
                 engine.born = 1_000
-                fleet.made.announce_engine(engine)
+                fleet.env.announce_engine(engine)
             core = fleet.gateways[0].core
             for number in range(REPEATS):
                 await fleet.send(number, f"poison-{number}")
-                for engine in fleet.answers:
-                    if engine.has_ended:
-                        await engine.start_again()
+                for engine in fleet.decode_engines:
+                    if engine.has_crashed:
+                        await engine.relisten()
                         core.hosts[engine.instance].breaker.record_success()
                 assert (await fleet.send(0, f"o-{number}", b"other"))[0] == 200
-            assert fleet.ends <= ENDS_ALLOWED + RETRIES_ALLOWED
+            assert fleet.crashes <= ENDS_ALLOWED + RETRIES_ALLOWED
 
-    run(play())
+    run(scenario())
 
 
 # A call of a plain service ends hosts as well: no answer has begun by then.
 def test_call_that_ends_hosts_of_a_plain_service_is_denied() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            hosts = [EndingDesk(f"desk-{n}", made) for n in range(8)]
+    async def scenario() -> None:
+        async with deployment() as env:
+            hosts = [CrashingDesk(f"desk-{n}", env) for n in range(8)]
             for host in hosts:
                 await host.start()
             for number in range(REPEATS):
-                await ask(made, "/read/poison", f"poison-{number}")
-                assert (await ask(made, "/read/a", f"other-{number}"))[0] == 200
-            assert sum(host.has_ended for host in hosts) <= ENDS_ALLOWED
-            status, headers, _ = await ask(made, "/read/poison", "last")
+                await ask(env, "/read/poison", f"poison-{number}")
+                assert (await ask(env, "/read/a", f"other-{number}"))[0] == 200
+            assert sum(host.has_crashed for host in hosts) <= ENDS_ALLOWED
+            status, headers, _ = await ask(env, "/read/poison", "last")
             assert (status, headers["X-Ran"]) == (503, "no")
 
-    run(play())
+    run(scenario())
 
 
 def test_metrics_count_denied_requests() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
             rendered = fleet.gateways[0].render_metrics()
             assert b"radishtally_denied_requests 1.0" in rendered
 
-    run(play())
+    run(scenario())
 
 
 # A prompt that is read apart runs nothing: who meets three engines that end while they
 # read would be denied.
 def test_ends_of_engines_that_read_prompts_deny_nobody() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=2) as fleet:
-            for engine in fleet.answers:
+            for engine in fleet.decode_engines:
                 engine.seconds = 30.0
             for number in range(ENDS_ALLOWED + 1):
-                fleet.prompts.seconds = 30.0
+                fleet.prefill_engine.seconds = 30.0
                 task = asyncio.create_task(fleet.send(0, f"r-{number}", b"prompt"))
                 core = fleet.gateways[0].core
-                reading = fleet.prompts.instance
+                reading = fleet.prefill_engine.instance
                 await wait_until(lambda c=core, h=reading: c.hosts[h].in_flight)
-                await fleet.prompts.end()
+                await fleet.prefill_engine.crash()
                 # Its answer would clear the request of what its prompt has met.
                 await wait_until(lambda c=core, h=reading: not c.hosts[h].in_flight)
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
-                fleet.prompts.seconds = 0.0
-                fleet.made.withdraw(reading)
-                await fleet.prompts.start()
+                fleet.prefill_engine.seconds = 0.0
+                fleet.env.withdraw(reading)
+                await fleet.prefill_engine.start()
                 await wait_for_engines(fleet)
-            for engine in fleet.answers:
+            for engine in fleet.decode_engines:
                 engine.seconds = 0.0
             assert (await fleet.send(0, "served", b"prompt"))[0] == 200
 
-    run(play())
+    run(scenario())
 
 
 # A link that refuses connections while it is cut looks like the end of the host behind
 # it; who was cut off there three times would be denied.
 def test_hosts_behind_cut_links_deny_nobody() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with run_fleet(answering=1) as fleet:
-            engine = fleet.answers[0]
+            engine = fleet.decode_engines[0]
             for number in range(ENDS_ALLOWED):
                 engine.seconds = 30.0
                 engine.runs.clear()
                 task = asyncio.create_task(fleet.send(0, f"cut-{number}", b"prompt"))
                 await fleet.wait_for_runs(1)
-                await engine.end()
+                await engine.crash()
                 await task
-                await engine.start_again()
+                await engine.relisten()
                 engine.seconds = 0.0
                 core = fleet.gateways[0].core
                 core.hosts[engine.instance].breaker.record_success()
                 assert (await fleet.send(0, f"other-{number}", b"other"))[0] == 200
             assert (await fleet.send(0, "served", b"prompt"))[0] == 200
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -21,20 +21,20 @@
 
 
 async def start_engine(
-    made: Deployment, name: str, phase: str, seconds: float = 0.0
+    env: Deployment, name: str, phase: str, seconds: float = 0.0
 ) -> StagedEngine:
     """Start an engine that tells its start."""
     engine = StagedEngine(name, phase, seconds)
     engine.born = EARLY
-    await made.serve_engine(engine)
+    await env.serve_engine(engine)
     return engine
 
 
-async def restart(made: Deployment, engine: StagedEngine) -> None:
+async def restart(env: Deployment, engine: StagedEngine) -> None:
     """Have an engine start again and write its entry."""
     engine.restart(LATE)
-    made.announce_engine(engine)
-    await wait_for_start(made.gateway, engine.instance, LATE)
+    env.announce_engine(engine)
+    await wait_for_start(env.gateway, engine.instance, LATE)
 
 
 async def wait_for_start(gateway: Gateway, host: str, started_ms: int) -> None:
@@ -55,141 +55,141 @@
 # The caller waits in vain until its deadline: the machine of the engine that makes its
 # answer is reset. Nobody closes the connection, but the entry tells the new start.
 def test_stream_of_an_earlier_start_goes_on_elsewhere_at_once() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await start_engine(made, "p-1", "prefill")
-            first = await start_engine(made, "d-1", "decode", 0.2)
-            task = asyncio.create_task(stream(made, "/draft/a", "r1"))
+    async def scenario() -> None:
+        async with deployment() as env:
+            await start_engine(env, "p-1", "prefill")
+            first = await start_engine(env, "d-1", "decode", 0.2)
+            task = asyncio.create_task(stream(env, "/draft/a", "r1"))
             await wait_until(lambda: first.runs["r1"] == 1)
-            await restart(made, first)
+            await restart(env, first)
             assert await task == make_whole("r1")
             assert first.runs["r1"] == 2
             await wait_until(lambda: first.dropped == ["r1"])
 
-    run(play())
+    run(scenario())
 
 
 # The caller is told that its stream failed though nothing of it ran: the engine that
 # was reading its prompt started again, and that counted as its one attempt.
 def test_prompt_at_an_earlier_start_is_read_again() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            prefill = await start_engine(made, "p-1", "prefill", 0.3)
-            decode = await start_engine(made, "d-1", "decode")
-            task = asyncio.create_task(stream(made, "/sheet/a", "r1"))
-            await wait_until(lambda: made.gateway.core.is_busy("p-1"))
-            await restart(made, prefill)
+    async def scenario() -> None:
+        async with deployment() as env:
+            prefill = await start_engine(env, "p-1", "prefill", 0.3)
+            decode = await start_engine(env, "d-1", "decode")
+            task = asyncio.create_task(stream(env, "/sheet/a", "r1"))
+            await wait_until(lambda: env.gateway.core.is_busy("p-1"))
+            await restart(env, prefill)
             assert await task == make_whole("r1")
             assert decode.runs == {"r1": 1}
 
-    run(play())
+    run(scenario())
 
 
 # The same with a call: it goes to the new start at once, which is the only host.
 def test_idempotent_call_of_an_earlier_start_is_sent_to_the_new_one() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             desk = Desk(hang, answer_whole)
-            await made.serve_desk("d-1", desk, born=EARLY)
-            task = asyncio.create_task(ask(made, "/read/a", "r1"))
+            await env.serve_desk("d-1", desk, born=EARLY)
+            task = asyncio.create_task(ask(env, "/read/a", "r1"))
             await wait_until(lambda: len(desk.seen) == 1)
-            made.announce("d-1", made.addresses["d-1"], "desk", born=LATE)
+            env.announce("d-1", env.addresses["d-1"], "desk", born=LATE)
             status, _, body = await task
             assert (status, body) == (200, b"whole")
 
-    run(play())
+    run(scenario())
 
 
 # The caller learns only at its deadline that nobody knows whether its call ran, or the
 # call runs twice: the host that had it has started again.
 def test_call_of_an_earlier_start_that_may_have_run_ends_at_once() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             desk = Desk(hang, answer_whole)
-            await made.serve_desk("d-1", desk, born=EARLY)
+            await env.serve_desk("d-1", desk, born=EARLY)
             begun = time.monotonic()
-            task = asyncio.create_task(ask(made, "/book/a", "r1", "POST", b"x"))
+            task = asyncio.create_task(ask(env, "/book/a", "r1", "POST", b"x"))
             await wait_until(lambda: len(desk.seen) == 1)
-            made.announce("d-1", made.addresses["d-1"], "desk", born=LATE)
+            env.announce("d-1", env.addresses["d-1"], "desk", born=LATE)
             status, _, _ = await task
             assert status == 502
             assert time.monotonic() < begun + 3.5
             assert len(desk.seen) == 1
 
-    run(play())
+    run(scenario())
 
 
 # As above, but the entry was missing meanwhile, and the id is back at another address.
 def test_start_at_another_address_after_a_gap_ends_what_was_open() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             desk, other = Desk(hang), Desk(answer_whole)
-            await made.serve_desk("d-1", desk, born=EARLY)
-            task = asyncio.create_task(ask(made, "/read/a", "r1"))
+            await env.serve_desk("d-1", desk, born=EARLY)
+            task = asyncio.create_task(ask(env, "/read/a", "r1"))
             await wait_until(lambda: len(desk.seen) == 1)
-            made.withdraw("d-1")
-            await wait_until(lambda: "d-1" not in made.gateway.core.links)
-            await made.serve_desk("d-1", other, born=LATE)
+            env.withdraw("d-1")
+            await wait_until(lambda: "d-1" not in env.gateway.core.links)
+            await env.serve_desk("d-1", other, born=LATE)
             assert (await task)[0] == 200
             assert len(other.seen) == 1
 
-    run(play())
+    run(scenario())
 
 
 # A host is spared for half a minute though it is new: what its earlier start failed and
 # refused is held against it.
 def test_new_start_is_not_spared_for_failures_of_the_earlier_one() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_whole), born=EARLY)
-            known = made.gateway.core.hosts["d-1"]
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_whole), born=EARLY)
+            known = env.gateway.core.hosts["d-1"]
             known.refusals = REFUSALS_TO_TRIP_BREAKER
             known.live = False
             for _ in range(4):
                 known.breaker.record_failure(time.monotonic())
-            made.announce("d-1", made.addresses["d-1"], "desk", born=LATE)
-            await wait_for_start(made.gateway, "d-1", LATE)
-            known = made.gateway.core.hosts["d-1"]
+            env.announce("d-1", env.addresses["d-1"], "desk", born=LATE)
+            await wait_for_start(env.gateway, "d-1", LATE)
+            known = env.gateway.core.hosts["d-1"]
             assert known.is_usable(time.monotonic())
             assert known.refusals == 0
 
-    run(play())
+    run(scenario())
 
 
 # Prompts go where nothing of them is kept, and in the wrong numbers: cache, rate and
 # open work of the earlier start are believed of the new one.
 def test_new_start_is_placed_by_nothing_of_the_earlier_one() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            engine = await start_engine(made, "p-1", "prefill")
-            state = made.gateway.placement._engines["p-1"]
+    async def scenario() -> None:
+        async with deployment() as env:
+            engine = await start_engine(env, "p-1", "prefill")
+            state = env.gateway.placement._engines["p-1"]
             parts = (PromptPart("aa", 500),)
             state.cache.note("m", parts)
             state.timed_tokens, state.timed_seconds = 200_000.0, 2.0
             state.begin_prefill("r0", 5_000, 1, time.monotonic())
-            await restart(made, engine)
-            new = made.gateway.placement._engines["p-1"]
+            await restart(env, engine)
+            new = env.gateway.placement._engines["p-1"]
             assert new.cache.count("m", parts) == 0
             assert new.rate != state.rate
             assert new.count_tokens() == 0
 
-    run(play())
+    run(scenario())
 
 
 # A caller gets the answer to another one's prompt: it waits for an engine with the
 # handle of a KV cache, its holder starts again, and the new start gives the same handle
 # for another prompt. Nor may the new start be told to free what is not its own.
 def test_handle_of_an_earlier_start_is_never_used() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            prefill = await start_engine(made, "p-1", "prefill")
-            decode = await start_engine(made, "d-1", "decode")
+    async def scenario() -> None:
+        async with deployment() as env:
+            prefill = await start_engine(env, "p-1", "prefill")
+            decode = await start_engine(env, "d-1", "decode")
             decode.refuses = True
-            task = asyncio.create_task(stream(made, "/draft/a", "r1"))
-            requests = made.gateway.core.requests
+            task = asyncio.create_task(stream(env, "/draft/a", "r1"))
+            requests = env.gateway.core.requests
             await wait_until(lambda: any(r.kv is not None for r in requests.values()))
             (request,) = requests.values()
-            await restart(made, prefill)
+            await restart(env, prefill)
             assert request.kv is None
             # An offer that was on its way then has named the handle, and is refused.
             await wait_until(lambda: request.host is None)
@@ -198,50 +198,50 @@
             assert decode.fetched == []
             assert prefill.freed == []
 
-    run(play())
+    run(scenario())
 
 
 # An engine gets an order by a count of its earlier start: it was asked what it does,
 # said so as a new start, and the list still shows the earlier one, draining.
 def test_report_shows_a_restart_before_the_list_and_no_order_is_given() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            engine = await start_engine(made, "d-1", "decode")
-            other = await start_engine(made, "d-2", "decode")
-            made.announce_engine(engine, state="draining")
-            core, stages = made.gateway.core, made.gateway.stages
+    async def scenario() -> None:
+        async with deployment() as env:
+            engine = await start_engine(env, "d-1", "decode")
+            other = await start_engine(env, "d-2", "decode")
+            env.announce_engine(engine, state="draining")
+            core, stages = env.gateway.core, env.gateway.stages
             await wait_until(lambda: not core.hosts["d-1"].live)
-            (asked,) = [i for i in made.gateway.members if i.host == "d-1"]
+            (asked,) = [i for i in env.gateway.members if i.host == "d-1"]
             engine.restart(LATE)
             await stages._carry_out(asked, RoleChange("d-1", "prefill"))
             assert engine.orders == []
             assert core.hosts["d-1"].live
             # An entry that comes behind the earlier start's has been read, so has that.
-            made.announce_engine(engine, born=EARLY, state="draining")
-            made.withdraw(other.instance)
+            env.announce_engine(engine, born=EARLY, state="draining")
+            env.withdraw(other.instance)
             await wait_until(lambda: "d-2" not in core.links)
             assert core.hosts["d-1"].live
-            made.announce_engine(engine, state="draining")
+            env.announce_engine(engine, state="draining")
             await wait_until(lambda: not core.hosts["d-1"].live)
 
-    run(play())
+    run(scenario())
 
 
 # A host stops taking requests, or gets them while it leaves: that a start drains holds
 # for that start alone, and the list may still show the other one.
 @pytest.mark.parametrize("drained", [EARLY, LATE])
 def test_drain_holds_for_the_start_that_said_it(drained: int) -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             desk = Desk(answer_whole)
-            await made.serve_desk("d-1", desk, born=EARLY)
-            address = made.addresses["d-1"]
+            await env.serve_desk("d-1", desk, born=EARLY)
+            address = env.addresses["d-1"]
             for born, present in ((EARLY, EARLY), (LATE, LATE), (EARLY, LATE)):
                 state = "draining" if born == drained else "ready"
-                made.announce("d-1", address, "desk", born=born, state=state)
-                await wait_for_start(made.gateway, "d-1", present)
-            made.announce("d-2", address, "desk", born=1)
-            await made.wait_for("d-2")
-            assert made.gateway.core.hosts["d-1"].live == (drained == EARLY)
+                env.announce("d-1", address, "desk", born=born, state=state)
+                await wait_for_start(env.gateway, "d-1", present)
+            env.announce("d-2", address, "desk", born=1)
+            await env.wait_for("d-2")
+            assert env.gateway.core.hosts["d-1"].live == (drained == EARLY)
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_restore.py
+++ b/tests/gateway/test_restore.py
@@ -20,18 +20,18 @@
 # and two gateways order engines: all that was written since the copy is gone, and each
 # gateway would take what the store shows for the newest state.
 def test_restore_undoes_nothing_that_a_gateway_knows() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         rows = Rows(era=1)
-        async with deployment(rows) as made:
-            gateway = made.gateway
+        async with deployment(rows) as env:
+            gateway = env.gateway
             staying, leaving = Desk(answer_whole), Desk(answer_whole)
-            await made.serve_desk("desk-1", staying)
-            await made.serve_desk("desk-2", leaving)
-            await start_engines(made)
+            await env.serve_desk("desk-1", staying)
+            await env.serve_desk("desk-2", leaving)
+            await start_engines(env)
             copy = rows.take_copy()
-            made.announce("desk-2", made.addresses["desk-2"], "desk", state="draining")
-            made.configure()
-            version = made.version
+            env.announce("desk-2", env.addresses["desk-2"], "desk", state="draining")
+            env.configure()
+            version = env.version
             await wait_until(lambda: gateway.router.configuration.version == version)
             await wait_until(lambda: not gateway.core.hosts["desk-2"].live)
 
@@ -39,56 +39,56 @@
             restores = "radishtally_store_restores_total 1.0"
             await wait_until(lambda: restores in gateway.render_metrics().decode())
             for number in range(6):
-                status, _, body = await ask(made, "/read/a", f"r{number}")
+                status, _, body = await ask(env, "/read/a", f"r{number}")
                 assert status == 200, body
-            assert await stream(made, "/sheet/a", "s1") == make_whole("s1")
+            assert await stream(env, "/sheet/a", "s1") == make_whole("s1")
             assert gateway.router.configuration.version == version
             assert leaving.seen == []
             rows.rewrite([Name("op", "", "config"), Name("servers", "", "desk-2")])
             assert not gateway.core.hosts["desk-2"].live
 
-    run(play())
+    run(scenario())
 
 
 # Engines get no order any more, or from two gateways under one number: the row of who
 # held the lease is gone, and the numbers begin anew.
 def test_lease_is_held_again_under_a_higher_number() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         rows = Rows(era=1)
-        async with deployment(rows) as made:
-            lease = made.gateway.lease
+        async with deployment(rows) as env:
+            lease = env.gateway.lease
             lease.set_terms(SHORT_TERMS)
             copy = rows.take_copy()
             await wait_until(lambda: lease.fencing is not None)
             before = lease.fencing
             rows.restore(copy)
             await wait_until(lambda: (lease.fencing or 0) > before)
-            row = (await made.gateway.table.get(Key(LEASE, STAGES_LEASE))).ok
+            row = (await env.gateway.table.get(Key(LEASE, STAGES_LEASE))).ok
             assert row.value["fencing"] == lease.fencing
             assert row.era == 2
 
-    run(play())
+    run(scenario())
 
 
 # Gateways decide by their own work alone, and share retries among too few: the rows by
 # which they find each other are gone, and so is the secret of their links.
 def test_gateways_of_a_restored_store_find_each_other_again() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         rows = Rows(era=1)
         copy = rows.take_copy()
         async with (
-            deployment(rows) as made,
-            run_gateway(made.store, "gateway-2") as two,
+            deployment(rows) as env,
+            run_gateway(env.store, "gateway-2") as two,
         ):
-            both = made.gateway, two
+            both = env.gateway, two
             await wait_until(lambda: all(one.peers._hub for one in both))
             await wait_until(lambda: all(one.peers._hub.hosts for one in both))
             rows.restore(copy)
-            made.configure()
+            env.configure()
             while len(
                 (await two.table.query(GATEWAYS_PARTITION)).default_value([])
             ) < len(both):
                 assert all(one.peers._hub.hosts for one in both)
             assert all(one.peers._hub.hosts for one in both)
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -15,30 +15,30 @@
 
 def make_roster() -> Roster:
     """Make the roster of a gateway that knows three."""
-    made = Roster()
-    made.update(make_rows(*THREE), 0.0)
-    return made
+    known = Roster()
+    known.update(make_rows(*THREE), 0.0)
+    return known
 
 
 def test_without_a_new_era_the_gateways_are_those_that_the_store_lists() -> None:
-    made = make_roster()
-    assert set(made.update(make_rows("gateway-1"), 0.0)) == {"gateway-1"}
-    assert set(made.update(make_rows(*THREE), 1.0)) == set(THREE)
-    made.record_read_failure()
-    assert not made.is_read_pending
-    assert set(made.update(make_rows("gateway-1"), 2.0)) == {"gateway-1"}
+    known = make_roster()
+    assert set(known.update(make_rows("gateway-1"), 0.0)) == {"gateway-1"}
+    assert set(known.update(make_rows(*THREE), 1.0)) == set(THREE)
+    known.record_read_failure()
+    assert not known.is_read_pending
+    assert set(known.update(make_rows("gateway-1"), 2.0)) == {"gateway-1"}
 
 
 # Hosts that fail are asked far more often than agreed. Gateways that write their rows
 # again one by one find few others at first, and each takes a large part of the retries.
 def test_gateways_that_may_write_again_are_kept() -> None:
-    made = make_roster()
-    made.enter_era()
-    assert set(made.update(make_rows("gateway-1"), 100.0)) == set(THREE)
-    added = made.update(make_rows("gateway-1", "gateway-4"), 101.0)
+    known = make_roster()
+    known.enter_era()
+    assert set(known.update(make_rows("gateway-1"), 100.0)) == set(THREE)
+    added = known.update(make_rows("gateway-1", "gateway-4"), 101.0)
     assert set(added) == {*THREE, "gateway-4"}
     late = 99.9 + ERA_SETTLE_SECONDS
-    assert set(made.update(make_rows("gateway-1"), late)) == {*THREE, "gateway-4"}
+    assert set(known.update(make_rows("gateway-1"), late)) == {*THREE, "gateway-4"}
     others = PEER_READ_SECONDS + ERA_READ_SPREAD_SECONDS + WRITE_SECONDS
     assert 2 * others <= ERA_SETTLE_SECONDS
 
@@ -46,49 +46,49 @@
 # A gateway that left while the store was away is dialled for good, and retries are
 # shared with it: its row does not come back, and nothing else would end its keeping.
 def test_gateways_that_did_not_write_again_are_dropped() -> None:
-    made = make_roster()
-    made.enter_era()
-    made.update(make_rows("gateway-1"), 100.0)
+    known = make_roster()
+    known.enter_era()
+    known.update(make_rows("gateway-1"), 100.0)
     rows = make_rows("gateway-1", "gateway-2")
-    assert made.update(rows, 100.0 + ERA_SETTLE_SECONDS) == rows
-    assert made.update(make_rows("gateway-1"), 200.0) == make_rows("gateway-1")
+    assert known.update(rows, 100.0 + ERA_SETTLE_SECONDS) == rows
+    assert known.update(make_rows("gateway-1"), 200.0) == make_rows("gateway-1")
 
 
 # Links to all others end though all live. The store is away again soon after the rise
 # and comes back half a minute later: nobody could write meanwhile, and a time that ran
 # on would be over at the first read.
 def test_time_to_write_again_is_one_in_which_the_store_answers() -> None:
-    made = make_roster()
-    made.enter_era()
-    assert made.is_read_pending
-    made.update(make_rows("gateway-1"), 100.0)
-    assert not made.is_read_pending
-    made.record_read_failure()
-    assert made.is_read_pending
-    assert set(made.update(make_rows("gateway-1"), 200.0)) == set(THREE)
+    known = make_roster()
+    known.enter_era()
+    assert known.is_read_pending
+    known.update(make_rows("gateway-1"), 100.0)
+    assert not known.is_read_pending
+    known.record_read_failure()
+    assert known.is_read_pending
+    assert set(known.update(make_rows("gateway-1"), 200.0)) == set(THREE)
     late = 199.9 + ERA_SETTLE_SECONDS
-    assert set(made.update(make_rows("gateway-1"), late)) == set(THREE)
+    assert set(known.update(make_rows("gateway-1"), late)) == set(THREE)
 
 
 # As above, but the store is restored a second time while the first is not settled.
 def test_second_restore_begins_the_time_anew() -> None:
-    made = make_roster()
-    made.enter_era()
-    made.update(make_rows("gateway-1"), 100.0)
-    made.enter_era()
-    assert made.is_read_pending
+    known = make_roster()
+    known.enter_era()
+    known.update(make_rows("gateway-1"), 100.0)
+    known.enter_era()
+    assert known.is_read_pending
     late = 100.0 + roster.ERA_SETTLE_SECONDS
-    assert set(made.update(make_rows("gateway-1"), late)) == set(THREE)
+    assert set(known.update(make_rows("gateway-1"), late)) == set(THREE)
 
 
 # A row that is written again counts as it stands, not as it was known: its gateway may
 # have started at another place since.
 def test_rows_that_stand_replace_those_that_are_kept() -> None:
-    made = make_roster()
-    made.enter_era()
+    known = make_roster()
+    known.enter_era()
     moved = Row(
         Key(GATEWAYS_PARTITION, "gateway-2"), 1, "w", {"address": "127.0.0.1:9"}
     )
-    rows = made.update({"gateway-2": moved}, 100.0)
+    rows = known.update({"gateway-2": moved}, 100.0)
     assert rows["gateway-2"] == moved
     assert set(rows) == set(THREE)
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -36,9 +36,9 @@
 # Operators change a bound and are told that no restart is needed, and the gateway goes
 # by the old one until its end: bounds were taken over as it started.
 def test_bounds_that_are_read_again_come_into_force() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            gateway = made.gateway
+    async def scenario() -> None:
+        async with deployment() as env:
+            gateway = env.gateway
             before = count_retries(gateway)
             bounds = msgspec.structs.replace(
                 gateway.settings.bounds, retry_ratio=1.0, lease_ms=60_000.0
@@ -48,7 +48,7 @@
             assert before < RETRY_SHARE * REQUESTS <= count_retries(gateway)
             assert gateway.lease._core.terms.granted >= 60.0
 
-    run(play())
+    run(scenario())
 
 
 def read_marks(gateway: Gateway) -> list[str]:
@@ -61,9 +61,9 @@
 # nobody can tell by which settings a gateway goes, nor by which configuration: logs and
 # metrics said neither. Gateways of one version of the settings bear one mark.
 def test_metrics_tell_which_settings_are_in_force() -> None:
-    async def play() -> None:
-        async with deployment() as made, run_gateway(made.store, "gateway-2") as other:
-            gateway = made.gateway
+    async def scenario() -> None:
+        async with deployment() as env, run_gateway(env.store, "gateway-2") as other:
+            gateway = env.gateway
             (first,) = read_marks(gateway)
             assert read_marks(other) == [first]
             bounds = msgspec.structs.replace(gateway.settings.bounds, retry_ratio=1.0)
@@ -74,17 +74,17 @@
             assert second != first
             assert read_marks(other) == [first]
 
-    run(play())
+    run(scenario())
 
 
 def test_metrics_tell_which_configuration_is_in_force() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            version = made.gateway.router.configuration.version
-            text = made.gateway.render_metrics().decode()
+    async def scenario() -> None:
+        async with deployment() as env:
+            version = env.gateway.router.configuration.version
+            text = env.gateway.render_metrics().decode()
             assert f"radishtally_configuration_version {float(version)}" in text
 
-    run(play())
+    run(scenario())
 
 
 def change_settings(gateway: Gateway, ratio: float) -> None:
@@ -100,8 +100,8 @@
 def test_call_that_is_open_while_settings_change_runs_once(
     method: str, path: str
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made, run_gateway(made.store, "gateway-2") as other:
+    async def scenario() -> None:
+        async with deployment() as env, run_gateway(env.store, "gateway-2") as other:
             seen: list[str] = []
             go_on = asyncio.Event()
 
@@ -110,9 +110,9 @@
                 await go_on.wait()
                 return await answer_whole(request)
 
-            await made.serve_desk("d-1", answer_later)
+            await env.serve_desk("d-1", answer_later)
             await wait_until(lambda: "d-1" in other.core.links)
-            gateways = made.gateway, other
+            gateways = env.gateway, other
             names = ["r1", "r2", "r3", "r4"]
 
             async def ask(name: str, gateway: Gateway) -> int:
@@ -129,39 +129,39 @@
                     for index, name in enumerate(names)
                 ]
                 await wait_until(lambda: len(seen) == len(names))
-                change_settings(made.gateway, 0.5)
-                made.configure()
+                change_settings(env.gateway, 0.5)
+                env.configure()
                 change_settings(other, 0.7)
-                change_settings(made.gateway, 0.9)
+                change_settings(env.gateway, 0.9)
                 go_on.set()
                 assert await asyncio.gather(*asked) == [200] * len(names)
             assert sorted(seen) == names
 
-    run(play())
+    run(scenario())
 
 
 # A sheet never comes: the settings and the configuration change while it is being made.
 # Its caller must get it whole, over the connection and from the run that began it.
 def test_stream_that_is_open_while_settings_change_comes_whole() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            _, decode = await start_engines(made)
+    async def scenario() -> None:
+        async with deployment() as env:
+            _, decode = await start_engines(env)
             decode.seconds = 0.05
-            url = made.url + "/sheet/a"
+            url = env.url + "/sheet/a"
             async with (
                 aiohttp.ClientSession() as session,
                 session.post(url, headers=make_prompt("r1"), data=b"p") as response,
             ):
                 body = await response.content.readany()
-                change_settings(made.gateway, 0.5)
-                made.configure()
-                version = made.version
-                router = made.gateway.router
+                change_settings(env.gateway, 0.5)
+                env.configure()
+                version = env.version
+                router = env.gateway.router
                 await wait_until(lambda: router.configuration.version == version)
-                change_settings(made.gateway, 0.7)
+                change_settings(env.gateway, 0.7)
                 body += await response.read()
             assert body == make_whole("r1")
             assert body.count(b"id: ") == EVENTS
             assert decode.runs == {"r1": 1}
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_spoiled_streams.py
+++ b/tests/gateway/test_spoiled_streams.py
@@ -28,7 +28,7 @@
 CLOSED_HEAD = RunFault(cut_after=0, is_unframed=True, end=CLOSE, half=False)
 
 
-class Taken(NamedTuple):
+class Received(NamedTuple):
     """Hold what a caller got."""
 
     status: int
@@ -37,36 +37,38 @@
     signature: str
 
 
-async def take(made: Deployment, path: str, **more: str) -> Taken:
+async def receive(env: Deployment, path: str, **more: str) -> Received:
     """Send a request and take what comes of its answer."""
     body = b""
     headers = make_prompt("r1", **more)
     async with (
         aiohttp.ClientSession() as session,
-        session.post(made.url + path, headers=headers) as response,
+        session.post(env.url + path, headers=headers) as response,
     ):
         signature = response.headers.get("X-Server-Signature", "")
         try:
             async for data in response.content.iter_any():
                 body += data
         except aiohttp.ClientPayloadError:
-            return Taken(response.status, body, False, signature)
-        return Taken(response.status, body, True, signature)
+            return Received(response.status, body, False, signature)
+        return Received(response.status, body, True, signature)
 
 
-def play(faults: Sequence[RunFault], path: str = PATH, **more: str) -> Taken:
+def run_with_faults(
+    faults: Sequence[RunFault], path: str = PATH, **more: str
+) -> Received:
     """Give what a caller gets whose runs are spoiled in turn; later ones are sound."""
     taken = []
 
     async def ask() -> None:
         script = chain(faults, repeat(SOUND))
-        async with deployment() as made:
+        async with deployment() as env:
             engines = [StagedEngine("p-1", "prefill")]
             engines += [StagedEngine(f"d-{n}", "decode") for n in (1, 2, 3)]
             for engine in engines:
                 engine.faults = script
-                await made.serve_engine(engine)
-            taken.append(await take(made, path, **more))
+                await env.serve_engine(engine)
+            taken.append(await receive(env, path, **more))
 
     run(ask())
     return taken[0]
@@ -80,7 +82,7 @@
 # A stream ends as complete after a part: it has broken off, no attempt is left, and the
 # failure of an earlier run is taken for its end.
 def test_stream_that_breaks_off_after_a_failure_does_not_end_as_complete() -> None:
-    taken = play([FAILED, RESET])
+    taken = run_with_faults([FAILED, RESET])
     assert (taken.status, taken.body) == (200, make_events(2))
     assert not taken.is_whole
 
@@ -91,7 +93,7 @@
     "faults", [[FAILED, RESET_HEAD], [RESET_HEAD, FAILED]], ids=["before", "after"]
 )
 def test_failure_is_given_whole_where_no_event_was(faults: list[RunFault]) -> None:
-    taken = play(faults)
+    taken = run_with_faults(faults)
     assert taken == (500, LONG.encode(), True, taken.signature)
     assert taken.signature
 
@@ -104,7 +106,7 @@
     ids=lambda fault: str(fault.status),
 )
 def test_another_answer_is_not_added_to_a_stream(second: RunFault) -> None:
-    taken = play([RESET, second])
+    taken = run_with_faults([RESET, second])
     assert (taken.status, taken.body) == (200, make_events(2))
     assert not taken.is_whole
 
@@ -112,12 +114,12 @@
 # A part of an event is given, and the stream ends as complete: a close of an answer
 # without framing counts as its end wherever it comes.
 def test_stream_that_is_closed_within_an_event_goes_on_elsewhere() -> None:
-    taken = play([CLOSED])
+    taken = run_with_faults([CLOSED])
     assert (taken.body, taken.is_whole) == (make_events(EVENTS), True)
 
 
 def test_once_stream_that_is_closed_within_an_event_is_broken_off() -> None:
-    taken = play([CLOSED], ONCE_PATH)
+    taken = run_with_faults([CLOSED], ONCE_PATH)
     assert (taken.status, taken.body) == (200, make_events(2))
     assert not taken.is_whole
 
@@ -125,13 +127,13 @@
 # An empty stream is given as a whole answer: an engine has closed one without framing
 # behind its head.
 def test_closed_head_is_no_answer() -> None:
-    assert play([CLOSED_HEAD]).body == make_events(EVENTS)
+    assert run_with_faults([CLOSED_HEAD]).body == make_events(EVENTS)
 
 
 # Events come twice, or some are missing: a run does not begin where it was asked to.
 @pytest.mark.parametrize("first", [1, 2, 4])
 def test_run_that_goes_on_elsewhere_than_asked_is_not_joined(first: int) -> None:
-    taken = play([RESET, RunFault(first_event=first)])
+    taken = run_with_faults([RESET, RunFault(first_event=first)])
     assert (taken.status, taken.body) == (200, make_events(2))
     assert not taken.is_whole
 
@@ -139,7 +141,7 @@
 # Events come twice: a caller goes on behind the events that it has, and the engine
 # begins anew.
 def test_run_that_ignores_where_its_caller_goes_on_is_not_given() -> None:
-    taken = play([RunFault(first_event=1)], **{"Last-Event-Id": "2"})
+    taken = run_with_faults([RunFault(first_event=1)], **{"Last-Event-Id": "2"})
     assert taken.is_whole
     assert make_events(2) + taken.body == make_events(EVENTS)
 
@@ -148,7 +150,7 @@
 def test_stream_without_framing_that_is_closed_behind_its_last_event_is_whole(
     path: str,
 ) -> None:
-    taken = play([UNFRAMED], path)
+    taken = run_with_faults([UNFRAMED], path)
     assert (taken.body, taken.is_whole) == (make_events(EVENTS), True)
 
 
@@ -156,7 +158,7 @@
     "fault", [RESET, FAILED, RESET_HEAD], ids=["reset", "failed", "reset_head"]
 )
 def test_stream_is_whole_where_a_second_run_is(fault: RunFault) -> None:
-    taken = play([fault])
+    taken = run_with_faults([fault])
     assert (taken.status, taken.body, taken.is_whole) == (
         200,
         make_events(EVENTS),
@@ -166,6 +168,6 @@
 
 @pytest.mark.parametrize("fault", [RESET, RESET_HEAD], ids=["reset", "reset_head"])
 def test_stream_that_may_not_be_resumed_is_broken_off(fault: RunFault) -> None:
-    taken = play([fault], ONCE_PATH)
+    taken = run_with_faults([fault], ONCE_PATH)
     assert taken.status in (200, 502)
     assert not (taken.status == 200 and taken.is_whole)
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -24,9 +24,9 @@
 SMALL_BUFFER = 4096
 
 
-def connect(made: Deployment, receive_buffer: int | None = None) -> socket.socket:
+def connect(env: Deployment, receive_buffer: int | None = None) -> socket.socket:
     """Open a connection as a caller does."""
-    ip, port = made.url.removeprefix("http://").split(":")
+    ip, port = env.url.removeprefix("http://").split(":")
     caller = socket.socket()
     if receive_buffer is not None:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -62,14 +62,14 @@
 # HTTP library whole, so its connection no longer counted as one that carries a request,
 # and the process ended while the rest still waited in its memory for the caller.
 def test_answer_that_is_still_being_sent_is_waited_for_in_a_stop() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_large))
-            front = made.gateway.frontend
-            with connect(made, SMALL_BUFFER) as caller:
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_large))
+            front = env.gateway.frontend
+            with connect(env, SMALL_BUFFER) as caller:
                 caller.sendall(b"GET /read/a HTTP/1.1\r\n" + KEPT % 1)
-                await wait_until(lambda: len(made.gateway.replies) == 1)
-                await wait_until(lambda: len(made.gateway.replies) == 0)
+                await wait_until(lambda: len(env.gateway.replies) == 1)
+                await wait_until(lambda: len(env.gateway.replies) == 0)
                 assert await front.close_idle() == 1
 
                 reader, writer = await asyncio.open_connection(sock=caller)
@@ -80,7 +80,7 @@
                 await wait_until_idle(front)
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
 # A caller gets neither answer nor refusal: its request is with a host that says nothing
@@ -92,39 +92,39 @@
 ) -> None:
     monkeypatch.setattr(daemon, "MIN_LEAVE_SECONDS", 0.0)
 
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             desk = Desk(answer_never)
-            await made.serve_desk("d-1", desk)
-            set_grace(made.gateway, 1.5)
-            asking = asyncio.create_task(ask(made, path, "r1"))
+            await env.serve_desk("d-1", desk)
+            set_grace(env.gateway, 1.5)
+            asking = asyncio.create_task(ask(env, path, "r1"))
             await wait_until(lambda: len(desk.seen) == 1)
-            made.gateway.runtime.stopping.set()
+            env.gateway.runtime.stopping.set()
             async with asyncio.timeout(5):
                 status, headers, _ = await asking
             assert (status, headers.get("X-Ran")) == (502, "unknown")
 
-    run(play())
+    run(scenario())
 
 
 # A caller is cut off without an answer: its request came late in a stop and was taken,
 # since settings that were read meanwhile name more time than the platform has given
 # with its signal.
 def test_settings_read_in_a_stop_give_it_no_more_time() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_whole))
-            made.gateway.runtime.stopping.set()
-            await wait_until(lambda: made.gateway._stopping_since is not None)
-            made.gateway._stopping_since = time.monotonic() - 5.0
-            set_grace(made.gateway, 60.0)
-            status, headers, _ = await ask(made, "/read/a", "r1")
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_whole))
+            env.gateway.runtime.stopping.set()
+            await wait_until(lambda: env.gateway._stopping_since is not None)
+            env.gateway._stopping_since = time.monotonic() - 5.0
+            set_grace(env.gateway, 60.0)
+            status, headers, _ = await ask(env, "/read/a", "r1")
             assert (status, headers.get("X-Ran")) == (503, "no")
 
-    run(play())
+    run(scenario())
 
 
-class Turns:
+class LoopIterations:
     """Count the loop's turns from the read of a request to its handler."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -166,14 +166,14 @@
 def test_request_comes_to_its_handler_within_the_turns_that_are_waited(
     is_pipelined: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    turns = Turns(monkeypatch)
+    turns = LoopIterations(monkeypatch)
     data = [b"GET /read/a HTTP/1.1\r\n" + KEPT % number for number in range(3)]
 
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_whole))
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_whole))
             turns.start()
-            with connect(made) as caller:
+            with connect(env) as caller:
                 reader, writer = await asyncio.open_connection(sock=caller)
                 if is_pipelined:
                     writer.write(b"".join(data))
@@ -184,7 +184,7 @@
                         assert await reader.readuntil(b"whole")
                 writer.close()
 
-    run(play())
+    run(scenario())
     assert len(turns.waited) == len(data)
     # One is to spare.
     assert max(turns.waited) < HANDLER_LOOP_ITERATIONS
--- a/tests/gateway/test_unframed_ends.py
+++ b/tests/gateway/test_unframed_ends.py
@@ -9,7 +9,7 @@
 
 from tests.common import run
 from tests.gateway.common import LOOPBACK, deployment, wait_until
-from tests.gateway.ending import Ending
+from tests.gateway.crashing import CrashingServer
 from tests.gateway.test_calls import answer_whole, ask
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Server-Signature: by-desk\r\nX-Request-Id: "
@@ -18,7 +18,7 @@
 PIECE_BYTES = 65_536
 
 
-class EndingDesk(Ending):
+class CrashingDesk(CrashingServer):
     """Answer without framing, and end."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         name = request.headers["X-Request-Id"].encode()
         request.transport.write(HEAD + name + b"\r\n\r\n" + PART)
         await asyncio.sleep(DELIVERY_SECONDS)
-        self.break_off()
+        self.abort_all()
         return web.Response()
 
     def build_app(self) -> web.Application:
@@ -47,57 +47,57 @@
 # The caller gets a part of an answer as complete: its host is killed, and the kernel
 # closes the connections of a killed process as regularly as those of one that is done.
 def test_part_of_an_answer_is_not_given_where_its_host_has_ended() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            desk = EndingDesk()
-            made.announce("d-1", await desk.listen(desk.build_app()), "desk")
-            await made.wait_for("d-1")
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+    async def scenario() -> None:
+        async with deployment() as env:
+            desk = CrashingDesk()
+            env.announce("d-1", await desk.listen(desk.build_app()), "desk")
+            await env.wait_for("d-1")
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert (status, desk.answers) == (502, 1)
             assert PART not in body
 
-    run(play())
+    run(scenario())
 
 
 def test_answer_goes_on_elsewhere_where_its_host_has_ended() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            desk = EndingDesk()
-            made.announce("d-1", await desk.listen(desk.build_app()), "desk")
-            await made.wait_for("d-1")
-            await made.serve_desk("d-2", answer_whole)
-            answers = [await ask(made, "/read/a", f"r{number}") for number in range(8)]
+    async def scenario() -> None:
+        async with deployment() as env:
+            desk = CrashingDesk()
+            env.announce("d-1", await desk.listen(desk.build_app()), "desk")
+            await env.wait_for("d-1")
+            await env.serve_desk("d-2", answer_whole)
+            answers = [await ask(env, "/read/a", f"r{number}") for number in range(8)]
             assert desk.answers == 1
             assert [(status, body) for status, _, body in answers] == [
                 (200, b"whole")
             ] * 8
 
-    run(play())
+    run(scenario())
 
 
 # A whole answer is thrown away: its host leaves as planned, and ends with it.
 @pytest.mark.parametrize("is_gone", [False, True], ids=["draining", "gone"])
 def test_last_answer_of_a_host_that_leaves_is_given(is_gone: bool) -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            desk = EndingDesk()
+    async def scenario() -> None:
+        async with deployment() as env:
+            desk = CrashingDesk()
             address = await desk.listen(desk.build_app())
 
             async def leave() -> None:
-                hosts = made.gateway.core.hosts
+                hosts = env.gateway.core.hosts
                 if is_gone:
-                    made.withdraw("d-1")
+                    env.withdraw("d-1")
                 else:
-                    made.announce("d-1", address, "desk", state="draining")
+                    env.announce("d-1", address, "desk", state="draining")
                 await wait_until(lambda: not hosts["d-1"].live)
 
             desk.prepare = leave
-            made.announce("d-1", address, "desk")
-            await made.wait_for("d-1")
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+            env.announce("d-1", address, "desk")
+            await env.wait_for("d-1")
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert (status, body) == (200, PART)
 
-    run(play())
+    run(scenario())
 
 
 class Relay:
@@ -134,14 +134,14 @@
 # The caller gets a part of an answer as complete: its host is killed behind a relay,
 # which goes on listening and closes each connection as soon as it has taken it.
 def test_part_of_an_answer_is_not_given_where_a_relay_listens_for_its_host() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            desk = EndingDesk()
+    async def scenario() -> None:
+        async with deployment() as env:
+            desk = CrashingDesk()
             relay = Relay(await desk.listen(desk.build_app()))
-            made.announce("d-1", await relay.listen(), "desk")
-            await made.wait_for("d-1")
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+            env.announce("d-1", await relay.listen(), "desk")
+            await env.wait_for("d-1")
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert (status, desk.answers) == (502, 1)
             assert PART not in body
 
-    run(play())
+    run(scenario())
