--- a/tests/gateway/common.py
+++ b/tests/gateway/common.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback: store, engines, a plain service, one gateway."""
+"""Test deployment on loopback: store, engines, a plain service and one gateway."""
 
 import asyncio
 import base64
@@ -47,11 +47,11 @@
     "coldRemainingMs": 0,
     "sequence": 1,
 }
-"""What a host's entry holds besides its service and address."""
+"""Fields of a host's entry besides its service and address."""
 
 
 def make_route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
-    """Make a route for the path of its name."""
+    """Make a route whose path prefix is its name."""
     return {
         "name": name,
         "host": AUTHORITY,
@@ -76,7 +76,7 @@
 
 @dataclass
 class Deployment:
-    """Hold what a test drives."""
+    """Hold the parts of a deployment under test."""
 
     rows: Rows = field(default_factory=Rows)
     store: str = ""
@@ -84,10 +84,10 @@
     url: str = ""
     version: int = 0
     addresses: dict[str, str] = field(default_factory=dict)
-    """Where engines listen."""
+    """Addresses of engines and service hosts."""
 
     def configure(self, *routes: dict[str, Any]) -> None:
-        """Write a configuration as the operator does."""
+        """Write a new configuration version as the operator does."""
         self.version += 3
         value = {
             "version": self.version,
@@ -98,7 +98,7 @@
         self.rows.write(Name("op", "", "config"), _encode(value))
 
     def announce(self, host: str, address: str, service: str, **more: Any) -> None:
-        """Write a host's entry as the host does."""
+        """Write a host's entry as the host itself does."""
         value = {**ENTRY, "service": service, "address": address, **more}
         self.rows.write(Name("servers", "", host), _encode(value))
 
@@ -107,19 +107,19 @@
         self.rows.write(Name("servers", "", host), None)
 
     async def serve_engine(self, engine: StagedEngine) -> None:
-        """Start an engine and wait until the gateway knows it."""
+        """Start an engine and wait until the gateway has discovered it."""
         self.addresses[engine.instance] = await serve(engine.build_app())
         self.announce_engine(engine)
         await self.wait_for(engine.instance)
 
     def announce_engine(self, engine: StagedEngine, **more: Any) -> None:
-        """Write an engine's entry as it is now."""
+        """Write an entry with an engine's current state."""
         more = {"phase": engine.phase, "slots": 64, **engine.describe_start(), **more}
         address = self.addresses[engine.instance]
         self.announce(engine.instance, address, "llm", **more)
 
     async def serve_desk(self, host: str, handler: "Handler", **more: Any) -> None:
-        """Start a host of the plain service and wait until the gateway knows it."""
+        """Start a host of the plain service and wait until it is discovered."""
         app = web.Application()
         app.router.add_route("*", "/{path:.*}", handler)
         self.addresses[host] = await serve(app)
@@ -127,7 +127,7 @@
         await self.wait_for(host)
 
     async def wait_for(self, host: str) -> None:
-        """Wait until the gateway knows a host."""
+        """Wait until the gateway has discovered a host."""
         await wait_until(lambda: host in self.gateway.core.links)
 
 
@@ -136,7 +136,7 @@
 
 @asynccontextmanager
 async def deployment(rows: Rows | None = None) -> AsyncIterator[Deployment]:
-    """Run a store and a gateway that has a configuration."""
+    """Run a store and a gateway that has loaded a configuration."""
     env = Deployment(rows or Rows())
     env.store = await serve(env.rows.build_app())
     env.configure()
@@ -148,7 +148,7 @@
 
 @asynccontextmanager
 async def run_gateway(store: str, host: str = "gateway-1") -> AsyncIterator[Gateway]:
-    """Run a gateway until it has a configuration, and end it without a word."""
+    """Run a gateway that has loaded a configuration; stop it without a drain."""
     client = StoreClient(store)
     await client.start()
     gateway = make_gateway(client, store, host)
@@ -170,7 +170,7 @@
 
 
 def make_gateway(client: StoreClient, store: str, host: str) -> Gateway:
-    """Make a gateway on addresses of its own."""
+    """Make a gateway on unused addresses."""
     ip = find_address()
     settings = GatewaySettings(
         host=host,
@@ -201,7 +201,7 @@
 
 
 async def serve(app: web.Application) -> str:
-    """Serve an application until the loop ends; give its address."""
+    """Serve an application until the event loop ends; return its address."""
     runner = web.AppRunner(app, handler_cancellation=True, shutdown_timeout=0)
     await runner.setup()
     site = web.TCPSite(runner, LOOPBACK, 0)
@@ -210,19 +210,19 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; fail if it never comes."""
+    """Wait for a condition, with a timeout."""
     async with asyncio.timeout(WAIT_SECONDS):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 def make_headers(name: str, **more: str) -> dict[str, str]:
-    """Make the head that callers of the deployment send."""
+    """Make the headers that callers of the deployment send."""
     return {"Host": AUTHORITY, "X-Request-Id": name, "X-Deadline-Ms": "4000", **more}
 
 
 def make_prompt(name: str, **more: str) -> dict[str, str]:
-    """Make the head of a request for an answer of the engines."""
+    """Make the headers of a request to the engines."""
     prompt = {
         "X-Model": "m",
         "X-Token-Count": "1200,40",
--- a/tests/gateway/crashing.py
+++ b/tests/gateway/crashing.py
@@ -1,4 +1,4 @@
-"""Hosts that end when they begin to run a certain request, and start again."""
+"""Stand-in hosts that crash when they start a poison request, and restart."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -23,18 +23,18 @@
 
 
 class CrashingServer:
-    """Listen, and end at once with all connections."""
+    """Serve until told to abort everything at once, like a killed process."""
 
     _runner: web.AppRunner | None = None
     _port = 0
 
     @property
     def has_crashed(self) -> bool:
-        """Tell whether nothing listens here."""
+        """Return whether the server is not listening."""
         return self._runner is None
 
     async def listen(self, app: web.Application) -> str:
-        """Listen where it did before; give the address."""
+        """Listen, on the same port as before if there was one; return the address."""
         self._runner = web.AppRunner(app, handler_cancellation=True, shutdown_timeout=0)
         await self._runner.setup()
         site = web.TCPSite(self._runner, LOOPBACK, self._port, reuse_address=True)
@@ -43,7 +43,7 @@
         return f"{LOOPBACK}:{self._port}"
 
     def abort_all(self) -> None:
-        """End without a word to anybody."""
+        """Stop listening and abort all connections."""
         runner, self._runner = self._runner, None
         if runner is None:
             return
@@ -54,14 +54,14 @@
 
 
 class CrashingDesk(CrashingServer):
-    """Be a host of the plain service that ends under calls of one path."""
+    """Serve the plain service as a host that crashes on calls to one path."""
 
     def __init__(self, name: str, env: Deployment) -> None:
         self._name = name
         self._made = env
 
     async def start(self) -> None:
-        """Listen, and wait until the gateway knows it."""
+        """Listen, and wait until the gateway has discovered the host."""
         app = web.Application()
         app.router.add_route("*", "/{path:.*}", self._answer)
         self._made.announce(self._name, await self.listen(app), "desk")
@@ -74,31 +74,31 @@
 
 
 class CrashingEngine(CrashingServer, StagedEngine):
-    """End at once, with all its connections, as a poison prompt begins to run."""
+    """Simulate an engine that crashes when it starts to decode a poison prompt."""
 
     def __init__(self, name: str, phase: str, env: Deployment) -> None:
         super().__init__(name, phase)
         self.crashes = 0
         self.arrivals = 0
-        """Poison prompts that have come to be answered."""
+        """Number of poison prompts that arrived for decoding."""
         self.survives_poison = False
-        """Whether it bears the prompt, as a mended release does."""
+        """Whether it serves the poison prompt, as a fixed release does."""
         self._made = env
         self._name = name
 
     async def start(self) -> None:
-        """Listen where it did before, under a new id, and write its entry."""
+        """Listen on the same address under a new id, and write its entry."""
         self.instance = f"{self._name}-{self.crashes}"
         await self.relisten()
 
     async def relisten(self) -> None:
-        """Listen where it did before, as if it had never ended."""
+        """Listen on the same address and under the same id as before."""
         address = await self.listen(self.build_app())
         self._made.addresses[self.instance] = address
         self._made.announce_engine(self)
 
     async def crash(self) -> None:
-        """End without a word to anybody."""
+        """Crash unless already crashed."""
         self.crashes += not self.has_crashed
         self.abort_all()
 
@@ -117,7 +117,7 @@
 
 
 class Fleet:
-    """Hold engines that may end, and the gateways before them."""
+    """Hold engines that may crash, and the gateways in front of them."""
 
     def __init__(self, env: Deployment, urls: list[str], answering: int) -> None:
         self.env = env
@@ -130,16 +130,16 @@
 
     @property
     def crashes(self) -> int:
-        """Count the ends of all engines."""
+        """Return the number of crashes of the decode engines."""
         return sum(engine.crashes for engine in self.decode_engines)
 
     @property
     def arrivals(self) -> int:
-        """Count the poison prompts that have come to be answered."""
+        """Return the number of poison prompts that arrived for decoding."""
         return sum(engine.arrivals for engine in self.decode_engines)
 
     async def restart_crashed(self) -> None:
-        """Start the engines anew that have ended."""
+        """Restart the engines that have crashed."""
         for engine in self.decode_engines:
             if engine.has_crashed:
                 self.env.withdraw(engine.instance)
@@ -148,7 +148,7 @@
     async def send(
         self, number: int, name: str, body: bytes = POISON, path: str = "/sheet/a"
     ) -> tuple[int, bytes]:
-        """Send a request to one of the gateways; status 0 if its answer breaks off."""
+        """Send a request to a gateway; return status 0 if its answer is aborted."""
         url = self.urls[number % len(self.urls)] + path
         async with aiohttp.ClientSession() as session:
             try:
@@ -160,7 +160,7 @@
                 return 0, b""
 
     async def ask(self, name: str) -> aiohttp.ClientResponse:
-        """Send the poison prompt to the first gateway and give the whole answer."""
+        """Send the poison prompt to the first gateway; return its complete answer."""
         async with (
             aiohttp.ClientSession() as session,
             session.post(
@@ -171,14 +171,14 @@
             return response
 
     async def wait_for_runs(self, count: int) -> None:
-        """Wait until so many requests are answered at once."""
+        """Wait until at least this many requests are running."""
         await wait_until(
             lambda: sum(len(engine.runs) for engine in self.decode_engines) >= count
         )
 
     @asynccontextmanager
     async def run_another(self, host: str) -> AsyncIterator[Gateway]:
-        """Run one more gateway, linked to the others."""
+        """Run another gateway that is linked to the others."""
         async with run_gateway(self.env.store, host) as gateway:
             self.gateways.append(gateway)
             self.urls.append(f"http://{gateway.settings.address}")
@@ -202,7 +202,7 @@
 
 
 async def wait_for_engines(fleet: Fleet) -> None:
-    """Wait until each gateway lists the engines as they are, and no other."""
+    """Wait until each gateway lists exactly the current engines."""
     names = {
         engine.instance for engine in (fleet.prefill_engine, *fleet.decode_engines)
     }
@@ -211,7 +211,7 @@
 
 
 async def wait_for_links(fleet: Fleet) -> None:
-    """Wait until each gateway has a link to each other one."""
+    """Wait until all gateways are linked to each other."""
     others = len(fleet.gateways) - 1
     for gateway in fleet.gateways if others else ():
         await wait_until(
--- a/tests/gateway/test_bounds.py
+++ b/tests/gateway/test_bounds.py
@@ -1,4 +1,4 @@
-"""Tests of what a deployment's bounds leave to one gateway."""
+"""Tests of a gateway's limits derived from the deployment's bounds."""
 
 import pytest
 
@@ -13,18 +13,19 @@
     return Bounds(8.0, drain_ms, 3_000.0, 0.2, 50.0, 10.0)
 
 
-# Twice as many gateways asked for changes twice as often, until the store turned their
-# calls away. Together they ask as often as few, for as long as the bounds allow.
-def test_gateways_gather_the_longer_the_more_they_are() -> None:
+# Guards against overload of the store: with a fixed interval, the query rate grows with
+# the number of gateways until the store rejects their calls. The interval must grow
+# with their number, as far as the bounds allow.
+def test_gather_time_grows_with_the_number_of_gateways() -> None:
     bounds = make_bounds(4_000.0)
     few, many = (find_gather_seconds(bounds, count) for count in (4, 68))
     assert many == pytest.approx(17 * few)
 
 
-# A host gets requests after the time that it is bound to serve on: the gateway read its
-# removal late, and kept it as one whose entry may have lapsed.
+# Guards against requests to a host after its drain time: the gateway reads the removal
+# of its entry late, and then keeps the host as missing.
 @pytest.mark.parametrize("drain_ms", [1_000.0, 2_000.0, 4_000.0])
-def test_host_that_left_is_known_in_time(drain_ms: float) -> None:
+def test_removed_host_is_dropped_within_its_drain_time(drain_ms: float) -> None:
     bounds = make_bounds(drain_ms)
     for gateways in (1, MANY, None):
         late = find_gather_seconds(bounds, gateways) + MISSING_GRACE_SECONDS
--- a/tests/gateway/test_cache_discovery.py
+++ b/tests/gateway/test_cache_discovery.py
@@ -1,4 +1,4 @@
-"""What gateways know of engines' caches after all of them have started again."""
+"""Tests of the discovery of engines' caches when gateways start."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 class FakeEngines:
-    """Say what engines keep, and count how often each is asked."""
+    """Return the same cached parts for each engine, and record the queries."""
 
     def __init__(self) -> None:
         self.asked: list[str] = []
@@ -49,20 +49,20 @@
     return placement
 
 
-# Each shared part is read again at another engine, for seconds: all gateways lose power
-# at once, and start again with nothing of what engines keep.
-def test_each_engine_is_asked_once_by_all_gateways_together() -> None:
+# Guards against shared parts that are prefilled again at other engines, after all
+# gateways lost power at once and with it the state of the engines' caches.
+def test_each_engine_is_queried_once_by_all_gateways_together() -> None:
     instances = make_instances(12)
     engines = FakeEngines()
     for name in NAMES:
         placement = make_placement(instances)
-        recall = CacheDiscovery(name, engines, placement, lambda: instances)
-        run(recall.run(NAMES))
-        told = placement.pop_parts_read()
-        assert {parts.host for parts in told} <= set(engines.asked)
-        # Who is told knows what the engine keeps, as does the one who asked.
+        discovery = CacheDiscovery(name, engines, placement, lambda: instances)
+        run(discovery.run(NAMES))
+        parts_read = placement.pop_parts_read()
+        assert {parts.host for parts in parts_read} <= set(engines.asked)
+        # Both the querying gateway and its peers know the parts then.
         other = make_placement(instances)
-        for parts in told:
+        for parts in parts_read:
             other.record_parts(parts)
             for each in (placement, other):
                 cache = each._engines[parts.host].cache
@@ -70,7 +70,7 @@
     assert sorted(engines.asked) == sorted(item.host for item in instances)
 
 
-def test_engine_that_does_not_answer_is_taken_for_empty() -> None:
+def test_engine_that_does_not_answer_counts_as_empty() -> None:
     instances = make_instances(1)
     engines = FakeEngines()
     engines.silent = {"e-0"}
@@ -79,7 +79,7 @@
     assert placement.pop_parts_read() == []
 
 
-def test_engines_are_asked_only_by_a_gateway_that_was_there_before() -> None:
+def test_engines_are_queried_only_by_a_gateway_whose_row_existed() -> None:
     async def check() -> None:
         async with deployment() as env:
             engines = await start_engines(env)
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services through a gateway, under failure."""
+"""Calls to plain services through a gateway, under failure."""
 
 import asyncio
 import socket
@@ -25,7 +25,7 @@
 async def ask(
     env: Deployment, path: str, name: str, method: str = "GET", body: bytes = b""
 ) -> tuple[int, dict[str, str], bytes]:
-    """Send one request over a connection of its own."""
+    """Send one request over a new connection; return status, headers and body."""
     async with (
         aiohttp.ClientSession() as session,
         session.request(
@@ -36,7 +36,7 @@
 
 
 class Desk:
-    """Answer as told, and keep what arrived."""
+    """Return scripted answers and record the requests."""
 
     def __init__(self, *answers: object) -> None:
         self.answers = list(answers)
@@ -44,7 +44,7 @@
         self.bodies: list[bytes] = []
 
     async def __call__(self, request: web.Request) -> web.StreamResponse:
-        """Give the next answer, the last one again and again."""
+        """Return the next answer; the last one is repeated."""
         self.bodies.append(await request.read())
         self.seen.append(request)
         answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
@@ -80,7 +80,7 @@
 
 
 def reset(request: web.Request) -> None:
-    """End the connection by a reset, not by a close."""
+    """Reset the connection instead of closing it."""
     peer = request.transport.get_extra_info("socket")
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     request.transport.abort()
@@ -121,9 +121,8 @@
     run(scenario())
 
 
-# The caller sees 200 with a part of the body: the host sends an answer without a
-# length, which ends with its connection, and the connection is reset on the way. The
-# HTTP library takes any end of the connection for the end of the answer.
+# Guards against 200 with a partial body: an answer without a length ends with its
+# connection, and the HTTP library takes a reset of the connection for its end.
 def test_reset_does_not_end_answer_without_length() -> None:
     async def scenario() -> None:
         async with deployment() as env:
@@ -145,12 +144,13 @@
     run(scenario())
 
 
-# The caller is told "not run" and sends its call again, so it runs twice: the host ran
-# the call and its answer was lost. Only a refusal of the host's own says "not run".
+# Guards against a call that runs twice: the host ran it and its answer was lost, but
+# the caller is told that it did not run, and retries. Only a refusal by the host itself
+# proves that a call did not run.
 @pytest.mark.parametrize(
     "answer", [reset_without_answer, answer_other, answer_unsigned]
 )
-def test_call_that_may_have_run_is_neither_repeated_nor_said_not_to_have_run(
+def test_call_that_may_have_run_is_neither_retried_nor_reported_as_not_run(
     answer: object,
 ) -> None:
     async def scenario() -> None:
@@ -167,7 +167,7 @@
     run(scenario())
 
 
-def test_call_that_was_refused_goes_to_another_host() -> None:
+def test_refused_call_goes_to_another_host() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             refusing, taking = Desk(answer_not_run), Desk(answer_whole)
@@ -178,13 +178,13 @@
                 status, _, _ = await ask(env, "/book/a", f"r{number}", "POST")
                 assert status == 200
             assert len(taking.seen) == 4
-            # A host that refuses again and again is left out for a while.
+            # A host that refuses repeatedly is skipped for a while.
             assert len(refusing.seen) <= REFUSALS_TO_TRIP_BREAKER
 
     run(scenario())
 
 
-def test_call_refused_everywhere_is_said_not_to_have_run() -> None:
+def test_call_refused_by_all_hosts_is_reported_as_not_run() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_not_run))
@@ -196,7 +196,7 @@
     run(scenario())
 
 
-def test_failed_safe_call_is_tried_again() -> None:
+def test_failed_safe_call_is_retried() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             first, second = (Desk(answer_failure, answer_whole) for _ in range(2))
@@ -209,10 +209,9 @@
     run(scenario())
 
 
-# The caller sees 502 where the host had said 500: the call failed there and was tried
-# at another host, and that one failed too. What a host says of its failure is the
-# answer, and nobody replaces it.
-def test_failure_everywhere_is_the_hosts_own_answer() -> None:
+# Guards against 502 instead of a host's own 500: the call failed at one host, was
+# retried at another and failed there too. The host's answer must be forwarded.
+def test_failure_at_all_hosts_returns_a_hosts_own_answer() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_failure))
@@ -224,7 +223,7 @@
     run(scenario())
 
 
-def test_failed_unsafe_call_is_not_tried_again() -> None:
+def test_failed_unsafe_call_is_not_retried() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             first, second = Desk(answer_failure), Desk(answer_failure)
@@ -237,9 +236,9 @@
     run(scenario())
 
 
-# A caller waits for ever: while its request is open, another one of the same name comes
-# to the gateway, takes its place, and whatever a host answers goes to that one.
-def test_second_open_request_of_a_name_is_refused_and_the_first_answered() -> None:
+# Guards against a caller that waits forever: while its request is open, a second
+# request with the same id arrives, replaces it, and receives its answer.
+def test_second_open_request_with_same_id_is_refused_and_first_answered() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             go_on = asyncio.Event()
--- a/tests/gateway/test_content.py
+++ b/tests/gateway/test_content.py
@@ -1,4 +1,4 @@
-"""What requests are known by when they come again."""
+"""Tests of the content hash by which repeated requests are recognized."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 ASKED = ("POST", "desk.example", "/draft/a?x=1", b"prompt")
 
 
-def test_repeat_has_the_content_of_the_first() -> None:
+def test_equal_requests_have_equal_hashes() -> None:
     assert hash_content(*ASKED) == hash_content(*ASKED)
 
 
@@ -22,13 +22,14 @@
         ("POST", "desk.example\0/draft/a?x=1", "", b"prompt"),
     ],
 )
-def test_other_request_has_another_content(other: tuple[str, str, str, bytes]) -> None:
+def test_different_requests_have_different_hashes(
+    other: tuple[str, str, str, bytes],
+) -> None:
     assert hash_content(*other) != hash_content(*ASKED)
 
 
-# A path with bytes that are no text is answered 500 by the HTTP library, and its caller
-# learns nothing.
-def test_path_that_is_no_text_has_a_content() -> None:
+# Guards against a bare 500 from the HTTP library for a path that is not valid UTF-8.
+def test_path_that_is_not_utf8_can_be_hashed() -> None:
     target = b"/draft/\xff".decode(errors="surrogateescape")
     other = b"/draft/\xfe".decode(errors="surrogateescape")
     hashes = [
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -1,4 +1,4 @@
-"""What logs and metrics tell of how an answer ended towards its caller."""
+"""Tests of how the log and the metrics report the end of an answer."""
 
 import asyncio
 from collections.abc import Iterator, Sequence
@@ -20,7 +20,7 @@
 
 
 async def begin(env: Deployment, faults: Iterator[RunFault]) -> StagedEngine:
-    """Start an engine for prompts and one for answers; give the latter."""
+    """Start a prefill and a decode engine; return the decode engine."""
     answering = StagedEngine("d-1", "decode")
     answering.faults = faults
     for engine in (StagedEngine("p-1", "prefill"), answering):
@@ -29,7 +29,7 @@
 
 
 async def ask(env: Deployment) -> None:
-    """Ask for an answer, and take what comes of it."""
+    """Send a request and read its answer as far as it comes."""
     async with (
         aiohttp.ClientSession() as session,
         session.post(f"{env.url}/sheet/a", headers=make_prompt("r1")) as response,
@@ -40,7 +40,7 @@
             return
 
 
-# On call, a stream that was broken off looks like one that came whole.
+# Guards against logs in which an aborted stream looks complete.
 @pytest.mark.parametrize(
     ("faults", "ending", "status", "events"),
     [
@@ -50,7 +50,7 @@
     ],
     ids=["whole", "cut", "failed"],
 )
-def test_log_tells_how_an_answer_ended(
+def test_ending_of_an_answer_is_recorded(
     faults: Sequence[RunFault], ending: Ending, status: int, events: int
 ) -> None:
     async def scenario() -> None:
@@ -76,7 +76,7 @@
     run(scenario())
 
 
-def test_caller_that_leaves_is_told_apart() -> None:
+def test_caller_disconnect_is_recorded() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             answering = await begin(env, iter(()))
@@ -92,10 +92,10 @@
     run(scenario())
 
 
-# A stream ends as complete after a part: what is no end of it reaches its connection,
-# or its gateway stops.
+# Guards against a partial stream that looks complete: a reply other than its regular
+# end arrives for it, or the gateway stops.
 @pytest.mark.parametrize("how", ["finish", "refuse", "leave"])
-def test_nothing_but_its_end_ends_a_stream_as_complete(how: str) -> None:
+def test_only_regular_end_completes_a_stream(how: str) -> None:
     async def scenario() -> None:
         async with deployment() as env:
             answering = await begin(env, iter(()))
--- a/tests/gateway/test_foreign_entries.py
+++ b/tests/gateway/test_foreign_entries.py
@@ -1,12 +1,12 @@
-"""What entries of other writers do to a gateway: nothing."""
+"""Tests that entries for unknown services in the host list are ignored."""
 
 from standins.staged import StagedEngine
 from tests.common import run
 from tests.gateway.common import deployment, serve
 
 
-# Orders go to whoever listens at an address that nobody here has named: an entry for a
-# service that the configuration doesn't know was taken for an engine of an upstream.
+# Guards against orders to arbitrary addresses: an entry for a service that is not in
+# the configuration is taken for an engine of an upstream.
 def test_engine_of_an_unknown_upstream_gets_no_order() -> None:
     async def scenario() -> None:
         async with deployment() as env:
--- a/tests/gateway/test_http_frontend.py
+++ b/tests/gateway/test_http_frontend.py
@@ -1,4 +1,4 @@
-"""What callers get who send what they should not."""
+"""Tests of the HTTP frontend: bad requests, readiness, metrics and stop."""
 
 import asyncio
 import socket
@@ -16,7 +16,7 @@
 
 
 async def send_raw(env: Deployment, data: bytes) -> bytes:
-    """Send bytes and take all that comes until the connection ends."""
+    """Send raw bytes and read until the connection closes."""
     reader, writer = await asyncio.open_connection(
         *env.url.removeprefix("http://").split(":")
     )
@@ -86,9 +86,9 @@
     run(scenario())
 
 
-# The balancer goes on sending to a gateway that was told to stop, and its end cuts off
-# those requests: it still calls itself ready. What comes until then is served.
-def test_gateway_is_not_ready_from_the_signal_on() -> None:
+# Guards against requests cut off at the exit of a stopping gateway, because it still
+# reports ready and the balancer keeps sending. Requests that arrive are still served.
+def test_gateway_is_not_ready_after_the_stop_signal() -> None:
     async def scenario() -> None:
         async with deployment() as env, aiohttp.ClientSession() as session:
             await env.serve_desk("d-1", Desk(answer_whole))
@@ -101,9 +101,9 @@
     run(scenario())
 
 
-# The caller gets 404 although the operator has added its route, or is served by a
-# route that was dropped: a configuration takes too long to come into force.
-def test_configuration_comes_into_force_and_never_goes_back() -> None:
+# Guards against 404 for a route that was just added, and against service by a removed
+# route: new configurations must be applied promptly, and older ones never.
+def test_new_configuration_is_applied_and_older_one_is_ignored() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_whole))
@@ -118,7 +118,7 @@
     run(scenario())
 
 
-def test_metrics_tell_how_requests_ended() -> None:
+def test_metrics_count_requests_by_outcome() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_whole))
@@ -135,9 +135,9 @@
     run(scenario())
 
 
-# On call, nobody finds the request in any log: it was turned away before it came in,
-# for a route that is not there or a stop, and the log begins with what comes in.
-def test_request_turned_away_is_logged() -> None:
+# Guards against requests that are missing in the log: they are refused before they are
+# opened, for a missing route or a stop, and only opened requests are logged.
+def test_refused_request_is_logged() -> None:
     lines: list[dict[str, object]] = []
 
     async def scenario() -> None:
@@ -147,7 +147,7 @@
             assert (await ask(env, "/read/a", "r2"))[0] == 503
 
     add_destinations(lines.append)
-    # The first destination is given what other tests have logged.
+    # The first destination receives the buffered messages of earlier tests.
     lines.clear()
     try:
         run(scenario())
@@ -160,10 +160,10 @@
     ]
 
 
-# A caller's stream is cut off without an answer: its connection was open when the
-# process was told to stop, and seconds later it sends one more request on it, which
-# can't end before the platform kills the process.
-def test_long_request_late_in_a_stop_is_refused_at_once() -> None:
+# Guards against a stream that is cut off: seconds after the stop signal, a caller sends
+# one more request on an open connection, which can't finish before the platform kills
+# the process.
+def test_long_request_late_in_a_stop_is_refused_immediately() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_whole))
@@ -171,15 +171,15 @@
             gateway._stopping_since = time.monotonic() - 5.0
             status, headers, _ = await ask(env, "/read/a", "r1")
             assert (status, headers["X-Ran"]) == (503, "no")
-            # Early in a stop, however long this takes on a busy machine.
+            # Early in a stop, even on a busy machine.
             gateway._stopping_since = time.monotonic() + 60.0
             assert (await ask(env, "/read/a", "r2"))[0] == 200
 
     run(scenario())
 
 
-# A caller's request gets no answer: its connection was idle when the process began to
-# end it, stayed open, and what was sent on it was not read until the process was gone.
+# Guards against a request without an answer: an idle connection stays open during a
+# stop, but is no longer read, so a request sent on it is lost when the process exits.
 @pytest.mark.parametrize("used", [True, False])
 def test_idle_connection_is_closed_in_a_stop(used: bool) -> None:
     async def scenario() -> None:
@@ -202,23 +202,24 @@
     run(scenario())
 
 
-# A caller's request gets no answer although a host runs it. A stop closes the idle
-# connections just when the request has been read from one of them and its handler has
-# not begun; the handler then offers it to a host for a caller that is cut off.
+# Guards against a request that a host runs without an answer to the caller: a stop
+# closes an idle connection after a request was read from it and before its handler has
+# started, which then offers the request to a host.
 def test_request_that_was_just_read_is_answered_in_a_stop() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_whole))
-            front = env.gateway.frontend
+            frontend = env.gateway.frontend
             ip, port = env.url.removeprefix("http://").split(":")
             caller = socket.create_connection((ip, int(port)))
-            await wait_until(lambda: len(front._server.connections) == 1)
+            await wait_until(lambda: len(frontend._server.connections) == 1)
             await asyncio.sleep(0.05)
 
-            # Both sockets are ready in the same turn of the loop, the caller's first.
+            # Both sockets become ready in the same event loop iteration, the caller's
+            # first.
             ours, theirs = socket.socketpair()
             loop = asyncio.get_running_loop()
-            loop.add_reader(ours, start_at_once, ours, front.close_idle())
+            loop.add_reader(ours, start_at_once, ours, frontend.close_idle())
             caller.sendall(b"GET /read/a HTTP/1.1\r\n" + GOOD + b"\r\n")
             theirs.send(b"now")
             reader, writer = await asyncio.open_connection(sock=caller)
@@ -233,13 +234,13 @@
 
 
 def start_at_once(ours: socket.socket, work: Coroutine[None, None, int]) -> None:
-    """Run work up to its first wait in this turn of the loop, the rest later."""
+    """Run a coroutine up to its first await in this iteration, the rest later."""
     asyncio.get_running_loop().remove_reader(ours)
     run_next(work)
 
 
 def run_next(work: Coroutine[None, None, int]) -> None:
-    """Run work that waits for nothing but the loop's next turn."""
+    """Step a coroutine that only yields to the next event loop iteration."""
     with suppress(StopIteration):
         work.send(None)
         asyncio.get_running_loop().call_soon(run_next, work)
--- a/tests/gateway/test_kept_answers.py
+++ b/tests/gateway/test_kept_answers.py
@@ -1,4 +1,4 @@
-"""Answers that a kept connection may hold for another request, or lose."""
+"""Tests of kept-alive connections that carry unexpected data or lose an answer."""
 
 import asyncio
 
@@ -15,11 +15,11 @@
 from tests.gateway.test_streams import make_whole, start_engines, stream
 
 
-# A caller gets 502: a host's second answer is read in two parts, the first of which
-# ends within its head. The connection is kept, nothing shows on it, and the rest of
-# the head comes when the next request is out: read as the start of its own answer.
+# Guards against 502 for a later request: a host sends a second answer of which only
+# half the head has been read when the connection is kept alive. The rest arrives after
+# the next request was sent, and is parsed as the start of that request's answer.
 @pytest.mark.parametrize("is_split", [True, False])
-def test_half_a_head_costs_no_later_request(is_split: bool) -> None:
+def test_partial_head_does_not_fail_a_later_request(is_split: bool) -> None:
     first, second = make_answer(("r1",), "r1"), make_answer((), "twice")
     host = Host()
 
@@ -44,9 +44,10 @@
     run(scenario())
 
 
-# Prompts are read twice if an answer about a prompt is not taken for its own one: an
-# engine names the request in these too, and connections to engines are kept.
-def test_each_prompt_is_read_once_on_a_kept_connection() -> None:
+# Guards against prompts that are prefilled twice because the answer to a prefill is not
+# matched to its request: engines include the request id in these answers as well, and
+# connections to engines are kept alive.
+def test_each_prompt_is_prefilled_once_on_a_kept_connection() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             prefill, decode = await start_engines(env)
@@ -58,8 +59,8 @@
     run(scenario())
 
 
-# An engine that is at work is taken for one of another role that took no order: any
-# JSON object is read as a report, also a caller's answer or a refusal.
+# Guards against an engine that is taken for one of another role without orders: any
+# JSON object, such as a caller's answer or a refusal, is parsed as a report.
 @pytest.mark.parametrize(
     "answer",
     [
@@ -68,7 +69,7 @@
         b'HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{"held":[]}',
     ],
 )
-def test_report_is_not_read_from_another_answer(answer: bytes) -> None:
+def test_report_is_not_parsed_from_another_answer(answer: bytes) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(answer)
@@ -86,9 +87,9 @@
     run(scenario())
 
 
-# A request goes out on a connection on which an answer waits in the kernel: the loop
-# has not looked since the answer came.
-def test_connection_with_something_unread_is_not_used() -> None:
+# Guards against a request on a connection that has unread data in the kernel's buffer:
+# the event loop has not polled since the data arrived.
+def test_connection_with_unread_data_is_not_used() -> None:
     async def scenario() -> None:
         writers: list[asyncio.StreamWriter] = []
 
@@ -104,7 +105,7 @@
         session = open_session(False, lambda: None)
         async with session.get(url) as response:
             await response.read()
-        # Written at once, and taken in the same step of the loop.
+        # Written, and the connection acquired, in the same event loop iteration.
         writers[0].write(make_answer((), "twice"))
         async with session.get(url) as response:
             assert await response.read() == b"r1"
@@ -116,12 +117,11 @@
     run(scenario())
 
 
-# A caller gets 502 though its call ran and was answered, whole: behind the answer the
-# host sent what is no answer in the protocol, and the library threw away all that came
-# in the same read.
+# Guards against 502 for a call that ran and was fully answered: the host sends invalid
+# data after the answer, and the HTTP library drops everything from the same read.
 @pytest.mark.parametrize("more", [b"\0\1 no answer", make_answer((), "twice")])
 @pytest.mark.parametrize("closes", [b"", b"Connection: close\r\n"])
-def test_whole_answer_is_delivered_whatever_follows_it(
+def test_complete_answer_is_delivered_whatever_follows_it(
     more: bytes, closes: bytes
 ) -> None:
     host = Host()
--- a/tests/gateway/test_kept_connections.py
+++ b/tests/gateway/test_kept_connections.py
@@ -1,4 +1,4 @@
-"""Answers on connections that are kept open, from hosts that answer twice."""
+"""Tests of kept-alive connections to hosts that answer a request twice."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,30 +12,30 @@
 from tests.gateway.test_calls import ask
 
 PAUSE_SECONDS = 0.02
-"""Time between two parts that are to be read one by one."""
+"""Pause between two writes, so that they are read separately."""
 REPORT = '{"phase": "decode"}'
 
 
 def make_answer(names: tuple[str, ...], body: str) -> bytes:
-    """Make an answer that names requests."""
+    """Make an answer that carries these request ids."""
     named = "".join(f"X-Request-Id: {name}\r\n" for name in names)
     signed = f"X-Server-Signature: by-{body}\r\nContent-Length: {len(body)}\r\n"
     return f"HTTP/1.1 200 OK\r\n{named}{signed}\r\n{body}".encode()
 
 
 class Host:
-    """Answer each request with its name, over connections that stay open."""
+    """Answer each request with its id, over kept-alive connections."""
 
     def __init__(self) -> None:
         self.connections = 0
         self.seen: list[str] = []
         self.answer: dict[str, Callable[[asyncio.StreamWriter], Awaitable[None]]] = {}
-        """Requests that get another answer than that."""
+        """Request ids that get a different answer."""
         self.late = b""
-        """What comes before a report on a connection that carried a request."""
+        """Data sent before a report on a connection that has carried a request."""
 
     async def serve(self, env: Deployment) -> None:
-        """Start, and wait until the gateway knows the host."""
+        """Listen, and wait until the gateway has discovered the host."""
         server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         port = server.sockets[0].getsockname()[1]
         env.announce("d-1", f"{LOOPBACK}:{port}", "desk")
@@ -75,17 +75,16 @@
 
 @pytest.fixture
 def host() -> Host:
-    """Give a host that answers as told."""
+    """Return a host whose answers can be scripted."""
     return Host()
 
 
-# A caller gets another request's answer, whole and signed. A host answers r1 twice, and
-# the second answer names no request. It comes with the rest of the first one, whose
-# head was read before: the HTTP library gives the connection back at the first one's
-# end, before it looks at what follows. r2 takes the connection and reads the second
-# answer, and the check of names let pass what has none. Proof: where callers saw this,
-# both such answers had no name, and had waited on a connection that was given back
-# within the read that brought them.
+# Guards against a caller that gets the complete and signed answer to another request.
+# A host answers r1 twice, and the second answer carries no request id. It arrives in
+# the same read as the end of the first answer, whose head was read before. The HTTP
+# library releases the connection at the end of the first answer, before it looks at the
+# remaining data. r2 acquires the connection and reads the second answer, which passes a
+# check of the id that accepts answers without one.
 @pytest.mark.parametrize("names", [(), ("r2", "r1")])
 @pytest.mark.parametrize("is_split", [True, False])
 def test_second_answer_is_not_given_to_the_next_caller(
@@ -110,9 +109,10 @@
     run(scenario())
 
 
-# As above, but the second answer comes when the next request is out: there is nothing
-# to see on the connection before. Only the missing name tells that it may be another's.
-def test_answer_without_a_name_is_not_taken_for_a_late_one(host: Host) -> None:
+# As above, but the second answer arrives after the next request was sent, so nothing is
+# visible on the connection before. Only the missing id shows that the answer may belong
+# to another request.
+def test_late_answer_without_id_is_not_taken_for_the_next_one(host: Host) -> None:
     async def answer_late(writer: asyncio.StreamWriter) -> None:
         writer.write(make_answer((), "r1 again") + make_answer(("r2",), "r2"))
 
@@ -129,11 +129,10 @@
     run(scenario())
 
 
-# Callers get 502 from then on, request by request: a second answer, which names r1, is
-# read by r2 and known as another's. As it is whole, the HTTP library has given the
-# connection back by the time at which it is to be closed. r2's own answer waits there
-# for r3, r3's for r4, and so on.
-def test_second_answer_costs_no_later_request(host: Host) -> None:
+# Guards against 502 for all later requests: a second answer with the id r1 is read by
+# r2 and rejected. As it is complete, the HTTP library has released the connection
+# before it can be closed. The answer to r2 is then read by r3, that to r3 by r4, etc.
+def test_second_answer_does_not_fail_later_requests(host: Host) -> None:
     async def answer_late(writer: asyncio.StreamWriter) -> None:
         writer.write(make_answer(("r1",), "r1"))
         await asyncio.sleep(PAUSE_SECONDS)
@@ -152,7 +151,7 @@
     run(scenario())
 
 
-def test_sound_connection_is_used_again(host: Host) -> None:
+def test_healthy_connection_is_reused(host: Host) -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await host.serve(env)
@@ -164,12 +163,11 @@
     run(scenario())
 
 
-# A gateway believes what no engine said: questions to an engine went out on the
-# connections of requests, and bear no name by which answers could be told apart. The
-# engine answers a prompt twice, the second time late, when its report is asked for. As
-# a report, the handle of a KV cache says that the engine has no role and took no order
-# since its start.
-def test_second_answer_to_a_prompt_is_not_taken_for_a_report(host: Host) -> None:
+# Guards against a false report: report queries share connections with requests, and
+# have no id by which their answers could be recognized. An engine answers a prompt
+# twice, and the second answer arrives when its report is queried. A KV cache handle
+# parsed as a report means that the engine has no role and no orders since its start.
+def test_second_answer_to_a_prompt_is_not_parsed_as_a_report(host: Host) -> None:
     async def scenario() -> None:
         async with deployment() as env:
             host.late = make_answer(("r1",), '{"kvHandle": "h"}')
@@ -182,5 +180,5 @@
     run(scenario())
 
 
-def test_report_without_a_role_is_no_report() -> None:
+def test_report_without_a_role_is_rejected() -> None:
     assert PlatformUpstreams().read_report(b'{"kvHandle": "h"}').is_error()
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -1,4 +1,4 @@
-"""Tests of gateways that hear of each other's work, without links."""
+"""Tests of the load exchange between gateways, without network links."""
 
 import time
 from collections import defaultdict
@@ -38,13 +38,13 @@
 
 
 def count_answers(placement: EnginePlacement, host: str) -> int:
-    """Count what all gateways have at an engine; none if it was never seen."""
+    """Return the answers that all gateways have open at an engine."""
     engine = placement._engines.get(host)
     return engine.count_answers() if engine else 0
 
 
 class Network:
-    """Pass messages between gateways at once, and count them."""
+    """Deliver messages between gateways immediately, and count them."""
 
     def __init__(self, count: int, data_centres: int = 1) -> None:
         self.sent = 0
@@ -62,13 +62,13 @@
         self.publish_sites()
 
     def publish_sites(self) -> None:
-        """Have all gateways learn which ones there are."""
+        """Inform all gateways of the current list of gateways."""
         self.linked.clear()
         for gateway in self.gateways.values():
             gateway.loads.set_sites(dict(self.sites))
 
     def find_linked(self, own: str) -> list[str]:
-        """Find those that a gateway has links to."""
+        """Return the gateways that a gateway has links to."""
         if not self.linked:
             gone = set(self.sites) - set(self.gateways)
             for one in self.gateways:
@@ -79,20 +79,20 @@
         return self.linked[own]
 
     def remove(self, name: str) -> None:
-        """Cut a gateway's links; it stays listed."""
+        """Remove a gateway and its links; it stays listed."""
         del self.gateways[name]
         self.linked.clear()
         for gateway in self.gateways.values():
             gateway.loads.forget_peer(name)
 
     def unlist(self, name: str) -> None:
-        """Let a gateway go for good."""
+        """Remove a gateway and its listing."""
         self.remove(name)
         del self.sites[name]
         self.publish_sites()
 
     def run_rounds(self, now: float) -> None:
-        """Let each gateway have three rounds, and three once all is told again."""
+        """Run three rounds of each gateway, and three with a full refresh."""
         later = now + FULL_REFRESH_SECONDS
         for at in (now, now, now, later, later, later):
             for gateway in self.gateways.values():
@@ -103,7 +103,7 @@
 
 
 class Gateway:
-    """Hold one gateway's side, and stand for its hub."""
+    """Hold the state of one gateway, and act as its link hub."""
 
     def __init__(self, name: str, net: Network) -> None:
         self.name = name
@@ -133,7 +133,7 @@
         return True
 
     def begin(self, number: int) -> None:
-        """Have an answer made."""
+        """Start decoding an answer at the engine."""
         work = Work(f"{self.name}-{number}", "", "llm", STREAM, b"")
         request = OpenRequest(work, 10.0, True, 0.0)
         request.stage, request.kv = WHOLE, KvRef("p", "p:1", "h", 1)
@@ -141,7 +141,7 @@
         self.placement.begin(request, host, 0.0)
 
     def restart_engine(self, started_ms: int) -> None:
-        """Learn that the engine has started again."""
+        """Record that the engine has restarted."""
         self.placement.reset_engine(ENGINE.host)
         self.placement.set_instance(ENGINE._replace(started_ms=started_ms))
 
@@ -149,8 +149,8 @@
         return count_answers(self.placement, ENGINE.host)
 
 
-# An engine is given more than it can do in time, or less, as gateways miss what others
-# have open, or count it twice: what one collects for all must add up for each.
+# Guards against overloaded or idle engines, because gateways miss open work of others
+# or count it twice: the sums of the collectors must add up at each gateway.
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
 @pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
 def test_each_gateway_counts_all_work_once(count: int, data_centres: int) -> None:
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("data_centres", [1, 5])
-def test_messages_of_a_round_grow_with_the_gateways(data_centres: int) -> None:
+def test_messages_per_round_grow_linearly(data_centres: int) -> None:
     sent = {}
     for count in (MANY, 10 * MANY):
         net = Network(count, data_centres)
@@ -175,10 +175,10 @@
     assert sent[10 * MANY] <= 1.1 * sent[MANY]
 
 
-# The work of all is forgotten, or that of the dead one counts for ever: the gateway
-# that collected is killed, and another one takes over.
+# Guards against lost work counts, and against work of a dead gateway that is counted
+# forever, when the collector is killed and another gateway takes over.
 @pytest.mark.parametrize("data_centres", [1, 3])
-def test_another_gateway_collects_when_the_first_is_gone(data_centres: int) -> None:
+def test_standby_takes_over_from_a_dead_collector(data_centres: int) -> None:
     net = Network(MANY, data_centres)
     net.run_rounds(0.0)
     for number, gateway in enumerate(net.gateways.values()):
@@ -189,9 +189,9 @@
     assert {gateway.count() for gateway in net.gateways.values()} == {MANY - 1}
 
 
-# All work counts twice: gateways come one by one until they are too many to tell each
-# other directly, and what they have told is told by the one that collects as well.
-def test_work_counts_once_when_one_begins_to_collect() -> None:
+# Guards against work that is counted twice: as gateways are added one by one, the mesh
+# is replaced by a collector, which sends the work that was sent directly before.
+def test_work_is_counted_once_when_a_mesh_gets_a_collector() -> None:
     net = Network(MAX_MESH_GATEWAYS)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
@@ -202,10 +202,10 @@
     assert counts == {MAX_MESH_GATEWAYS}
 
 
-# Engines get too much work: the gateways become few enough to tell each other directly.
-# Each forgets what the collecting one told, and takes no word of those that have not
-# changed over yet; of what had been open before, nothing is told again.
-def test_all_work_counts_when_none_collects_any_more() -> None:
+# Guards against overloaded engines: with fewer gateways, the collector is replaced by a
+# mesh. Each gateway drops the collector's sums and ignores gateways that have not
+# switched yet, and work that was open before is not sent again.
+def test_all_work_is_counted_when_a_collector_is_replaced_by_a_mesh() -> None:
     net = Network(MAX_MESH_GATEWAYS + 1)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
@@ -217,8 +217,8 @@
     )
 
 
-# An engine that has just come gets too much work: one gateway hears of it later than
-# the others, and what they have open there is told to it before it knows the engine.
+# Guards against an overloaded new engine: one gateway discovers it later than the
+# others, and receives their open work there before it knows the engine.
 @pytest.mark.parametrize("count", [2, MANY])
 def test_work_at_an_engine_that_is_not_listed_yet_is_counted_later(count: int) -> None:
     net = Network(count)
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize("data_centres", [1, 5])
-def test_demand_of_all_counts_where_one_collects(data_centres: int) -> None:
+def test_demand_of_all_gateways_is_counted_with_collectors(data_centres: int) -> None:
     net = Network(MANY, data_centres)
     net.run_rounds(0.0)
     for gateway in net.gateways.values():
@@ -248,11 +248,11 @@
     assert totals[0].prompt_tokens > (MANY - 1) * alone.prompt_tokens
 
 
-# An engine that is idle is taken for busy, or a busy one for idle: it started again,
-# and gateways learn so one after another. What one has open at another start than one
-# knows of counts for nothing, and counts in full once the start is known.
+# Guards against an idle engine that is taken for busy, or the reverse: it restarts, and
+# gateways learn of it one after another. Work at a start that a gateway does not know
+# is not counted there, and is counted in full once the start is known.
 @pytest.mark.parametrize("count", [3, MANY])
-def test_work_counts_where_its_start_is_known(count: int) -> None:
+def test_work_is_counted_where_its_start_is_known(count: int) -> None:
     net = Network(count)
     gateways = list(net.gateways.values())
     for gateway in gateways:
@@ -273,9 +273,9 @@
     assert {gateway.count() for gateway in gateways} == {1}
 
 
-# The work of a gateway that is gone counts at the engine's next start: what it told of
-# that before the others knew the start is kept for them.
-def test_work_of_a_lost_gateway_does_not_count_at_a_later_start() -> None:
+# Guards against work of a lost gateway that is counted at the engine's next start:
+# loads that it sent for a start that the others did not know yet are stored.
+def test_work_of_a_lost_gateway_is_not_counted_at_a_later_start() -> None:
     net = Network(2)
     first, second = net.gateways.values()
     first.restart_engine(4_000)
@@ -287,9 +287,10 @@
     assert second.count() == 0
 
 
-# Nobody gives engines their roles any more: all that contended for the lease are gone.
+# Guards against engines without role assignments, because all gateways that contended
+# for the lease are gone.
 @pytest.mark.parametrize("data_centres", [1, 3])
-def test_few_contend_for_the_lease_and_others_follow(data_centres: int) -> None:
+def test_few_contend_for_the_lease_and_others_replace_them(data_centres: int) -> None:
     net = Network(2 * MANY, data_centres)
 
     def follow(now: float) -> set[str]:
@@ -308,7 +309,7 @@
     assert not first & second
 
 
-def test_all_of_few_gateways_contend_for_the_lease() -> None:
+def test_all_gateways_of_a_mesh_contend_for_the_lease() -> None:
     net = Network(3)
     for at in (0.0, MIN_CANDIDATE_SECONDS):
         for gateway in net.gateways.values():
@@ -316,11 +317,11 @@
     assert all(gateway.contends for gateway in net.gateways.values())
 
 
-# A gateway that starts has all shared parts read again, and elsewhere: what engines
-# keep is told once, as a link comes up. Either end took note of the link only at its
-# next round, and told nothing, or passed over what it was told.
+# Guards against a new gateway that has all shared parts prefilled again at other
+# engines. Cached parts are sent only once, when a link comes up. If either end notices
+# the link only in its next round, they are not sent, or are ignored.
 @pytest.mark.parametrize("count", [1, MANY])
-def test_gateway_that_starts_is_told_at_once_what_engines_keep(count: int) -> None:
+def test_new_gateway_receives_cached_parts_immediately(count: int) -> None:
     net = Network(count)
     net.run_rounds(0.0)
     part = HashedPart(7, 5_000)
@@ -334,15 +335,15 @@
 
 
 def deny(gateway: Gateway, content: str, now: float) -> None:
-    """End hosts under a request of one gateway."""
+    """Record as many host failures under a request as make a gateway deny it."""
     for known in range(ENDS_TO_DENY):
         gateway.suspects.record_host_end(content, HostEnd(known, 0.05), now)
 
 
-# A request that has ended hosts at one gateway would end as many at each other one.
+# Guards against a request that crashes hosts at each gateway anew.
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
 @pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
-def test_each_gateway_hears_of_denied_requests(count: int, data_centres: int) -> None:
+def test_denied_requests_reach_each_gateway(count: int, data_centres: int) -> None:
     net = Network(count, data_centres)
     net.run_rounds(0.0)
     now = time.monotonic()
@@ -358,9 +359,9 @@
     )
 
 
-# The link between two gateways is cut, and the one goes on ending hosts with a request
-# that the other has long denied.
-def test_denial_goes_round_a_cut_link() -> None:
+# Guards against a gateway that crashes hosts with a request that another one denies,
+# because the link between the two is down.
+def test_denial_is_relayed_around_a_broken_link() -> None:
     net = Network(4)
     net.run_rounds(0.0)
     net.linked["g-0"] = ["g-2", "g-3"]
@@ -371,8 +372,8 @@
     assert net.gateways["g-1"].suspects.find_denial_seconds("a", now)
 
 
-# Thousands of requests fail at once, and gateways tell each other of nothing else.
-def test_messages_about_ended_hosts_grow_with_the_gateways() -> None:
+# Guards against a flood of messages when thousands of requests fail at once.
+def test_messages_about_failed_hosts_grow_linearly() -> None:
     sent = {}
     for count in (MANY, 10 * MANY):
         net = Network(count, 5)
--- a/tests/gateway/test_members.py
+++ b/tests/gateway/test_members.py
@@ -1,4 +1,4 @@
-"""Tests of following the hosts behind the upstreams."""
+"""Tests of tracking the hosts of the upstreams."""
 
 import pytest
 
@@ -24,27 +24,27 @@
 
 
 def describe(changes: list[HostChange]) -> list[str]:
-    """Name changes with their kinds: as tuples, those of two kinds may be equal."""
+    """Format changes with their types: tuples of different types may be equal."""
     return sorted(f"{type(change).__name__} {change.host}" for change in changes)
 
 
-def test_list_sets_and_forgets() -> None:
+def test_list_adds_and_removes_hosts() -> None:
     members = Members()
     assert members.replace([A, B], 0.0, False) == [HostUpdated(A), HostUpdated(B)]
     assert describe(members.replace([A], 1.0, False)) == ["HostRemoved b"]
     assert members.replace([A], 2.0, False) == []
 
 
-def test_draining_is_passed_on() -> None:
+def test_draining_state_is_reported() -> None:
     members = Members()
     members.update(A)
     leaving = make_instance("a", is_draining=True)
     assert members.update(leaving) == [HostUpdated(leaving)]
 
 
-# Callers are refused everywhere: the store was away, hosts could not renew their
-# entries, and the first list after its return lacks them though they serve.
-def test_entries_that_lapsed_with_the_store_away_are_kept_for_a_while() -> None:
+# Guards against refusals by all gateways after a store outage: hosts could not renew
+# their entries, and the first list lacks them although they serve.
+def test_hosts_whose_entries_expired_in_an_outage_are_kept_for_a_while() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
     missed = members.replace([], 10.0, True)
@@ -58,9 +58,9 @@
     assert list(members) == [A]
 
 
-# Work goes to a host two seconds after it was removed: the store was back for this
-# gateway and had been for a while, but the gateway had only just noticed that.
-def test_removed_host_is_given_up_within_what_a_leaving_one_may_get() -> None:
+# Guards against work for a host two seconds after its removal, when the gateway has
+# noticed the store's return late.
+def test_removed_host_is_dropped_within_its_drain_time() -> None:
     drain_seconds, late_seconds = 2.0, 0.3
     members = Members()
     members.update(A)
@@ -69,7 +69,7 @@
     assert describe(gone) == ["HostRemoved a"]
 
 
-def test_removal_that_is_read_just_after_an_outage_waits_too() -> None:
+def test_single_removal_just_after_an_outage_is_delayed() -> None:
     members = Members()
     members.update(A)
     assert describe(members.remove(["a"], 5.0, True)) == ["HostMissing a"]
@@ -78,10 +78,9 @@
     ]
 
 
-# Callers of a small upstream are refused for a second: its only host's entry had
-# lapsed in an outage behind a held question, and one removal is not many at once.
-# Proved by the log of a day: the host is gone and seen again 0.98 s later, and in
-# between 42 callers are told that no host is there.
+# Guards against refusals by a small upstream: the entry of its only host expires in an
+# outage that a pending long poll hides, and one removal does not count as a mass
+# removal. In one case the host was back 0.98 s later, and 42 callers were refused.
 def test_last_host_of_an_upstream_is_kept_for_a_while() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
@@ -95,10 +94,10 @@
 DRAINING = make_instance("a", is_draining=True)
 
 
-# A host that is leaving gets requests again: the store came back from a copy that was
-# made before the host said that it drains. What it writes in the new era holds.
+# Guards against requests to a draining host: the store is restored from a backup taken
+# before the drain. An entry that the host writes in the new era is applied.
 @pytest.mark.parametrize("started_ms", [0, 7])
-def test_drain_is_not_undone_by_an_older_copy(started_ms: int) -> None:
+def test_drain_is_not_undone_by_an_older_backup(started_ms: int) -> None:
     older = A._replace(started_ms=started_ms)
     members = Members()
     members.replace([older, B], 0.0, False, {"a": 3, "b": 3})
@@ -110,8 +109,8 @@
     assert members.next_review() == float("inf")
 
 
-# An engine gets work of a stage that it no longer serves, and answers 421.
-def test_role_is_not_undone_by_an_older_copy() -> None:
+# Guards against work for a stage that the engine no longer serves, answered with 421.
+def test_role_is_not_undone_by_an_older_backup() -> None:
     before, after = A._replace(role=PREFILL), A._replace(role=DECODE)
     members = Members()
     members.update(before, 3)
@@ -122,9 +121,9 @@
     assert members.list_unconfirmed() == []
 
 
-# An engine is taken for a role that it left: a first copy showed it as it is, from an
-# earlier time, and its lower count let a second copy pass for newer.
-def test_count_that_is_known_is_not_taken_back_by_a_copy() -> None:
+# Guards against an outdated role: a first backup shows the current role with a lower
+# heartbeat count. If that count were adopted, a second backup would look newer.
+def test_heartbeat_count_is_not_lowered_by_a_backup() -> None:
     now_again, between = A._replace(role=PREFILL), A._replace(role=DECODE)
     members = Members()
     members.update(now_again, 3)
@@ -136,9 +135,9 @@
     assert members.replace([between], 26.0, True, {"a": 7}) == []
 
 
-# Callers are refused by all hosts of a small upstream: entries of hosts that changed
-# nothing were doubted for their lower counts, though most copies hold lower ones.
-def test_hosts_that_a_copy_shows_as_they_are_go_on_serving() -> None:
+# Guards against refusals by a small upstream: unchanged entries are treated as
+# unconfirmed for their lower counts, which most backups have.
+def test_hosts_with_unchanged_entries_in_a_backup_keep_serving() -> None:
     members = Members()
     members.replace([A, B], 0.0, False, {"a": 30, "b": 30})
     members.enter_era(20.0)
@@ -147,9 +146,9 @@
     assert members.next_review() == float("inf")
 
 
-# Requests go to a host that was removed, and reach nobody: the copy still has its
-# entry. The count in it tells nothing, since heartbeats before the removal were not
-# shown. A change of the new era brings it back at once.
+# Guards against requests to a removed host whose entry is still in the backup. Its
+# heartbeat count is no evidence, since heartbeats before the removal were not reported.
+# A change in the new era brings the host back immediately.
 def test_removed_host_stays_out_until_it_has_written_again() -> None:
     members = Members()
     members.replace([A, B], 0.0, False, {"a": 1, "b": 1})
@@ -161,10 +160,10 @@
     assert members.update(B, 41) == [HostUpdated(B)]
 
 
-# A host that lives stays without work for good: its entry had lapsed and it was given
-# up, the copy has the entry again, and heartbeats alone wake no question. So the list
-# is read once more: a count that has grown since was written in the new era.
-def test_removed_host_is_back_once_its_count_has_grown() -> None:
+# Guards against a live host that gets no work permanently: its entry expired and it was
+# dropped, the backup has the entry again, and a heartbeat alone does not end a long
+# poll. The list is therefore read again: a higher count was written in the new era.
+def test_removed_host_is_back_once_its_heartbeat_count_has_grown() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
     members.remove(["b"], 10.0, False)
@@ -176,9 +175,9 @@
     assert members.next_review() == float("inf")
 
 
-# The same where the count does not show: an entry that nobody renews is dropped by the
-# store, unless the store is away.
-def test_removed_host_is_back_once_its_entry_has_stood_for_long() -> None:
+# As above, without heartbeat counts: the store deletes an entry that is not renewed,
+# unless the store is away.
+def test_removed_host_is_back_once_its_entry_has_existed_for_long() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
     members.remove(["b"], 10.0, False)
@@ -191,7 +190,7 @@
     ]
 
 
-def test_removed_host_whose_entry_the_store_drops_is_doubted_no_more() -> None:
+def test_entry_that_the_store_deletes_is_no_longer_unconfirmed() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
     members.remove(["b"], 10.0, False)
@@ -201,9 +200,9 @@
     assert members.list_unconfirmed() == []
 
 
-# A host that has started again after its removal waits for seconds: the doubt about
-# its earlier start is none about this one, whose count begins anew.
-def test_new_start_is_not_doubted_for_an_earlier_one() -> None:
+# Guards against a delay of seconds for a host that restarted after its removal: the
+# heartbeat count of a new start begins again and can't be compared.
+def test_new_start_is_not_unconfirmed_for_an_earlier_one() -> None:
     first, second = (B._replace(started_ms=started_ms) for started_ms in (5, 9))
     members = Members()
     members.replace([A, first], 0.0, False, {"a": 1, "b": 50})
@@ -213,7 +212,7 @@
     assert members.list_unconfirmed() == []
 
 
-def test_count_of_an_earlier_start_says_nothing_of_the_next() -> None:
+def test_heartbeat_count_of_an_earlier_start_is_ignored_for_the_next() -> None:
     first, second = (B._replace(started_ms=started_ms) for started_ms in (5, 9))
     report = EngineReport(DECODE, 0, False, 9)
     members = Members()
@@ -224,9 +223,9 @@
     assert members.replace([shown], 21.0, True, {"b": 1}) == [HostUpdated(shown)]
 
 
-# A host is missed and kept as its entry may have lapsed; the copy has the entry from
-# before, which does not show that the host lives.
-def test_missing_host_is_not_returned_by_an_older_copy() -> None:
+# A missing host is not confirmed by its entry in a backup, which was written before the
+# entry went missing.
+def test_missing_host_is_not_returned_by_an_older_backup() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
     members.remove(["b"], 19.0, True)
@@ -239,9 +238,9 @@
     assert members.replace([A, B], 22.5, False, {"b": 6}) == [HostUpdated(B)]
 
 
-# Hosts are dropped before they could write anew: the time of those that were missing
-# already ran on over the restore.
-def test_hosts_that_a_copy_lacks_have_their_time_from_the_restore_on() -> None:
+# Guards against hosts that are dropped before they can write again: the grace period of
+# hosts that were already missing must start again at the restore.
+def test_grace_period_of_missing_hosts_starts_at_the_restore() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
     members.remove(["b"], 19.0, True)
@@ -252,7 +251,7 @@
     assert describe(gone) == ["HostRemoved a", "HostRemoved b"]
 
 
-def test_removed_hosts_are_remembered_for_a_while_and_not_without_bound() -> None:
+def test_memory_of_removed_hosts_is_limited_in_time_and_number() -> None:
     members = Members()
     hosts = [make_instance(f"h{n}") for n in range(MAX_REMEMBERED_HOSTS + 5)]
     for instance in [A, *hosts]:
@@ -267,8 +266,8 @@
     assert members.list_unconfirmed() == []
 
 
-# Where the store tells no eras, an entry holds whatever its count says.
-def test_without_a_restore_the_newest_answer_holds() -> None:
+# Without a change of era, an entry is applied whatever its heartbeat count.
+def test_latest_list_is_applied_without_a_restore() -> None:
     members = Members()
     members.update(DRAINING, 9)
     assert members.replace([A], 1.0, False, {"a": 3}) == [HostUpdated(A)]
@@ -280,9 +279,9 @@
 LEAVING_A = make_instance("a", is_draining=True)
 
 
-# The store is away while a host leaves: its entry says that it is ready, is written so
-# again, is lost with the outage, or comes back from an older copy of the store.
-def test_entry_does_not_undo_what_a_host_said_of_its_leaving() -> None:
+# A host announces that it is leaving while the store is away. Its entry still says that
+# it is ready, is written again like that, is lost in the outage, or is restored.
+def test_entry_does_not_undo_a_leaving_announcement() -> None:
     members = Members()
     members.replace([A, B], 0.0, False, {"a": 1, "b": 1})
     assert members.record_leaving(A) == [HostUpdated(LEAVING_A)]
@@ -296,7 +295,7 @@
     assert LEAVING_A in list(members)
 
 
-def test_new_start_of_a_host_that_left_is_used() -> None:
+def test_new_start_of_a_leaving_host_is_used() -> None:
     members = Members()
     first, second = (A._replace(started_ms=start) for start in (1_000, 2_000))
     members.update(first)
@@ -305,8 +304,8 @@
     assert list(members) == [second]
 
 
-# A host that has just started again is left alone for what its former start had said.
-def test_late_word_of_an_earlier_start_says_nothing() -> None:
+# Guards against a restarted host without work, because its earlier start was leaving.
+def test_late_leaving_announcement_of_an_earlier_start_is_ignored() -> None:
     members = Members()
     first, second = (A._replace(started_ms=start) for start in (1_000, 2_000))
     members.update(first)
@@ -315,7 +314,7 @@
     assert list(members) == [second]
 
 
-def test_word_of_a_host_that_is_gone_says_nothing() -> None:
+def test_leaving_announcement_of_a_removed_host_is_ignored() -> None:
     members = Members()
     members.replace([A, B], 0.0, False)
     members.remove(["a"], 0.0, False)
@@ -323,7 +322,7 @@
     assert list(members) == [B]
 
 
-def test_hosts_that_left_are_not_remembered_for_good() -> None:
+def test_memory_of_leaving_hosts_is_limited() -> None:
     members = Members()
     for number in range(2 * MAX_REMEMBERED_HOSTS):
         leaving = make_instance(f"h-{number}")
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -1,4 +1,4 @@
-"""Hosts that say in their answers that they leave, or ask for a pause."""
+"""Tests of hosts that announce in answers that they leave, or ask for a pause."""
 
 import asyncio
 import time
@@ -19,20 +19,20 @@
 
 LEAVING = {"Server-Leaving": "1"}
 DRAIN_SECONDS = 2.0
-"""Time for which a host may get requests after it was heard to leave."""
+"""Time for which a host may get requests after its leaving announcement."""
 SETTLE_SECONDS = 0.5
-"""Time for which a host may get requests after it has asked for a pause."""
+"""Time for which a host may get requests after its request for a pause."""
 ALLOWED_IN_PAUSE = 2
 REQUESTS = 12
 PAUSE_SECONDS = 3.5
 LONGEST_WAIT = PAUSE_SECONDS * (1.0 + PAUSE_JITTER) ** 2
-"""Both the host's return and the callers' are spread."""
+"""Both the end of the host's pause and the callers' retries are spread."""
 
 Answer = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def answer_with(answer: Answer, **headers: str) -> Answer:
-    """Answer as another handler does, with more headers."""
+    """Wrap a handler to add headers to its answers."""
 
     async def handle(request: web.Request) -> web.StreamResponse:
         response = await answer(request)
@@ -55,15 +55,15 @@
 
 
 async def ask_often(env: Deployment, count: int = REQUESTS) -> list[int]:
-    """Send some requests at once; give their statuses."""
+    """Send requests concurrently; return their statuses."""
     asked = (ask(env, "/read/a", f"r-{time.monotonic()}-{n}") for n in range(count))
     return [status for status, _, _ in await asyncio.gather(*asked)]
 
 
-# A host gets requests until it ends under them: its answers say that it leaves, while
-# the store that would say so is away.
+# Guards against requests that are open when their host exits: the host announces in its
+# answers that it is leaving, while the store, which would show it, is away.
 @pytest.mark.parametrize("answer", [answer_whole, refuse, fail])
-def test_host_whose_answer_says_that_it_leaves_is_left_alone(answer: Answer) -> None:
+def test_host_that_announces_leaving_gets_no_requests(answer: Answer) -> None:
     async def scenario() -> None:
         async with deployment() as env:
             leaving = Desk(answer_with(answer, Server_Leaving="1"))
@@ -79,8 +79,8 @@
     run(scenario())
 
 
-# The same at an engine, whose answer is a stream that has only begun.
-def test_engine_whose_answer_says_that_it_leaves_is_left_alone() -> None:
+# As above for an engine, whose answer is a stream that has only started.
+def test_engine_that_announces_leaving_gets_no_requests() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             engines = [StagedEngine("p-1", "prefill")]
@@ -101,8 +101,8 @@
     run(scenario())
 
 
-# A host that asks for a pause is kept busy by refusing all the while.
-def test_host_that_asks_for_a_pause_is_left_alone() -> None:
+# Guards against a host that is kept busy with refusals although it asked for a pause.
+def test_host_that_asks_for_a_pause_gets_no_requests() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             pausing = Desk(answer_with(refuse, Retry_After="1.5"), answer_whole)
@@ -141,10 +141,10 @@
     await asyncio.gather(*env.gateway.hosts._tasks._kept)
 
 
-# Whatever a gateway asks a host, the answer says that it leaves: heard there alone, it
-# would be lost until the next request has met the host.
+# A leaving announcement in an answer to any query must be handled. Otherwise it would
+# be lost until the next request to the host.
 @pytest.mark.parametrize("question", [ask_report, ask_kept, give_order, free_kv])
-def test_answer_to_any_question_says_that_a_host_leaves(
+def test_leaving_announcement_is_handled_in_answers_to_all_queries(
     question: Callable[[Deployment, Instance], Awaitable[None]],
 ) -> None:
     async def scenario() -> None:
@@ -159,8 +159,9 @@
     run(scenario())
 
 
-# A host that stays is left alone for what the next one at its former address says.
-def test_word_of_another_host_at_the_address_is_not_taken() -> None:
+# Guards against a host without work because of an announcement by another host that now
+# listens at its former address.
+def test_notice_of_another_host_at_the_address_is_ignored() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             engine = StagedEngine("d-1", "decode")
@@ -174,7 +175,7 @@
     run(scenario())
 
 
-def test_only_host_that_leaves_is_not_waited_for() -> None:
+def test_request_is_refused_promptly_if_the_only_host_is_leaving() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk(
@@ -190,8 +191,8 @@
     run(scenario())
 
 
-# All callers come back at the same moment, or wait for hosts that take nothing.
-def test_callers_are_told_when_all_hosts_pause() -> None:
+# Guards against callers that all retry at the same moment, or wait for paused hosts.
+def test_callers_get_retry_after_while_all_hosts_pause() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             pausing = Desk(
@@ -212,8 +213,8 @@
     run(scenario())
 
 
-# A host that was full for a moment is left out for longer and longer, as if it failed.
-def test_pause_is_no_fault_of_its_host() -> None:
+# Guards against a growing backoff for a host that was only full for a moment.
+def test_pause_does_not_count_as_a_failure() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             refusal = answer_with(refuse, Retry_After="0.3")
@@ -227,7 +228,7 @@
     run(scenario())
 
 
-def test_engine_that_pauses_is_used_again_after_its_restart() -> None:
+def test_paused_engine_is_used_again_after_its_restart() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             engine = StagedEngine("d-1", "decode")
@@ -243,9 +244,9 @@
     run(scenario())
 
 
-# The engines that make answers pause: a prompt would be read, and its caller kept
-# waiting for an engine that takes it.
-def test_callers_are_told_when_all_engines_for_answers_pause() -> None:
+# Guards against a prompt that is prefilled while all decode engines pause, and whose
+# caller then waits for a decode engine.
+def test_callers_get_retry_after_while_all_decode_engines_pause() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             engines = [StagedEngine("p-1", "prefill"), StagedEngine("d-1", "decode")]
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,4 +1,4 @@
-"""What gateways know of each other, and what a new one needs."""
+"""Tests of several gateways that share loads, retry budgets and rows."""
 
 import asyncio
 
@@ -21,13 +21,13 @@
 
 
 async def begin_stream(env: Deployment, gateway: Gateway) -> asyncio.Task:
-    """Send a request to another gateway than the deployment's first."""
+    """Send a request to a gateway other than the deployment's first one."""
     other = Deployment(url=f"http://{gateway.settings.address}")
     return asyncio.create_task(stream(other, "/draft/a", "r1"))
 
 
-# An engine is given more than it can do in time: each gateway counts only what it has
-# sent there itself. What a gateway had open must not count for ever once it is gone.
+# Guards against overloaded engines: each gateway counts only its own open work there.
+# The work of a gateway must not be counted any longer once it is gone.
 def test_gateways_count_each_others_open_work() -> None:
     async def scenario() -> None:
         async with deployment() as env:
@@ -47,9 +47,9 @@
     run(scenario())
 
 
-# Hosts that fail are asked far more often than agreed: each of many gateways makes as
-# many retries as the whole deployment may.
-def test_gateways_share_the_retries_that_are_always_allowed() -> None:
+# Guards against retry storms: each gateway makes as many retries as are allowed for the
+# whole deployment.
+def test_gateways_share_the_minimum_retry_rate() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             first = env.gateway
@@ -64,9 +64,9 @@
     run(scenario())
 
 
-# Nobody is served after all processes were lost at once: what the configuration said
-# and which hosts there are was known to them alone.
-def test_new_gateway_serves_by_what_the_store_holds() -> None:
+# Guards against an outage after all processes were lost at once, because the
+# configuration and the hosts were known only to them.
+def test_new_gateway_serves_from_the_state_in_the_store() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_whole))
@@ -79,8 +79,9 @@
     run(scenario())
 
 
-# Gateways share their retries with machines that were replaced long ago, and dial them
-# for good: nobody removes their rows. One that was only cut off must not be lost so.
+# Guards against retries shared with machines that were replaced, and against dialling
+# them forever, because their rows are never removed. The rows of live gateways must be
+# kept.
 def test_rows_of_gone_gateways_are_removed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def read_names(gateway: Gateway) -> set[str]:
         return {
--- a/tests/gateway/test_peers_restore.py
+++ b/tests/gateway/test_peers_restore.py
@@ -1,4 +1,4 @@
-"""What gateways know of each other once the store was restored."""
+"""Tests of the gateways' rows and shared secret after a restore of the store."""
 
 import asyncio
 import base64
@@ -29,51 +29,51 @@
 
 TABLE = "radishtally"
 STORE_READS = 2_000
-"""Reads a second that the store carries out."""
+"""Reads per second that the store serves."""
 MOST_GATEWAYS = 330
 AWAY = Unavailable("away")
 LOOK_READS = 3
-"""Reads by which a gateway looks at a new era: secret, own row, all rows."""
+"""Reads of a gateway in a new era: secret, own row, all rows."""
 
 
 @pytest.fixture
 def seldom_reads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let only a new era make gateways read the store again, and at once."""
+    """Let gateways read the store again only in a new era, and immediately."""
     monkeypatch.setattr(peers, "STARTUP_PEER_READS", 1)
     monkeypatch.setattr(peers, "PEER_READ_SECONDS", 1000.0)
     monkeypatch.setattr(peers, "ERA_READ_SPREAD_SECONDS", 0.0)
 
 
 def read_value(env: Deployment, part: str, key: str) -> str | None:
-    """Read what the store holds as a row."""
+    """Return the stored form of a row."""
     _, value = env.rows._rows.get(Name(TABLE, part, key), (0, None))
     return value
 
 
 def encode_value(value: dict) -> str:
-    """Make what the store holds as a row that was written once."""
+    """Encode the stored form of a row that was written once."""
     row = {"rev": 1, "write_id": "w", "value": value}
     return base64.b64encode(msgspec.json.encode(row)).decode()
 
 
 def decode_value(held: str) -> dict:
-    """Read a row's value from what the store holds."""
+    """Decode a row's value from its stored form."""
     return msgspec.json.decode(base64.b64decode(held))["value"]
 
 
 async def wait_for_row(env: Deployment, part: str, key: str) -> str:
-    """Wait until a row stands; give what the store holds as such."""
+    """Wait until a row exists; return its stored form."""
     await wait_until(lambda: read_value(env, part, key) is not None)
     return read_value(env, part, key)
 
 
-# The others drop their links to a living gateway, and load its engines without knowing
-# what it has open there, for up to ten seconds. The store comes back from a copy of
-# before the gateway's first write, so its row is missing, or of before its latest one,
-# so it names another place. Only the next read of the partition noticed the former.
+# Guards against dropped links to a live gateway, and against engines that are loaded
+# for up to ten seconds without counting its open work. The store is restored from a
+# backup from before the gateway's first write, so that its row is missing, or from
+# before its latest write, so that the row has an outdated address.
 @pytest.mark.parametrize("copied", [None, {"address": "127.0.0.1:9"}])
 @pytest.mark.usefixtures("seldom_reads")
-def test_own_row_is_written_again_at_once_in_a_new_era(copied: dict | None) -> None:
+def test_own_row_is_rewritten_immediately_in_a_new_era(copied: dict | None) -> None:
     async def scenario() -> None:
         async with deployment() as env:
             name = Name(TABLE, GATEWAYS_PARTITION, "gateway-1")
@@ -89,11 +89,11 @@
     run(scenario())
 
 
-# A gateway that has just started gets no links from the others for ten seconds. It is
-# in the restored copy, they haven't read it yet, and the rise of the era is a sign
-# that much may be otherwise than they know.
+# Guards against a new gateway without links for ten seconds: its row is in the restored
+# backup, but the other gateways have not read it yet. They must read all rows when the
+# era changes.
 @pytest.mark.usefixtures("seldom_reads")
-def test_others_are_read_at_once_in_a_new_era() -> None:
+def test_all_rows_are_read_immediately_in_a_new_era() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             gateway = env.gateway
@@ -107,10 +107,10 @@
     run(scenario())
 
 
-# Hosts' entries are read late just after a restore: all gateways see the new era at
-# once, and their looks at each other's rows take all calls that the store carries out.
-# A gateway's look begins some time after the rise, another one's at another time.
-def test_looks_at_a_new_era_are_spread(monkeypatch: pytest.MonkeyPatch) -> None:
+# Guards against late reads of host entries after a restore: all gateways detect the new
+# era at once, and reading each other's rows uses up the store's capacity. The reads
+# must start after a random delay.
+def test_reads_in_a_new_era_are_spread(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(peers, "STARTUP_PEER_READS", 1)
         monkeypatch.setattr(peers, "PEER_READ_SECONDS", 1000.0)
@@ -132,11 +132,11 @@
     assert reads <= STORE_READS / 2
 
 
-# A gateway is not found by those that start later, and does not find them. The store
-# is away again just when it looks at the new era: its look fails, and nothing makes it
-# look again before the next read, which is far off.
+# Guards against gateways that do not find each other: the store is away again when a
+# gateway reads the rows of the new era. The failed read must be retried before the next
+# regular read, which is far off.
 @pytest.mark.usefixtures("seldom_reads")
-def test_store_that_is_away_in_a_new_era_is_asked_until_it_is_back(
+def test_failed_read_in_a_new_era_is_retried_until_the_store_is_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -170,13 +170,13 @@
 
 
 def write_secret(env: Deployment, secret: str) -> None:
-    """Write a secret as another gateway does that was the first one."""
+    """Write a secret as another gateway does that generated it first."""
     env.rows.write(Name(TABLE, *PEER_SECRET_KEY), encode_value({"secret": secret}))
 
 
-# Gateways that start after a restore never link to those from before it, until these
-# restart: engines get too much work, as neither group knows what the other has open.
-# The secret was lost with the newest writes, and whoever starts next draws another.
+# Guards against two groups of gateways that can't link to each other and overload
+# engines: the secret is lost in a restore, and the next gateway that starts generates
+# another one.
 @pytest.mark.usefixtures("seldom_reads")
 def test_gateways_from_before_a_restore_link_to_those_that_start_after_it() -> None:
     async def scenario() -> None:
@@ -197,11 +197,11 @@
     run(scenario())
 
 
-# As above, but one that starts after the restore was sooner, and its secret stands.
-# The others take it one by one and link anew; a request that is being answered
-# meanwhile has its whole answer, and no gateway ends.
+# As above, but a gateway that starts after the restore stores its secret first. The
+# others adopt it one by one and link again. Meanwhile a running request must get its
+# complete answer, and no gateway may exit.
 @pytest.mark.usefixtures("seldom_reads")
-def test_gateways_take_the_secret_of_one_that_was_sooner() -> None:
+def test_gateways_adopt_a_secret_that_was_stored_first() -> None:
     async def scenario() -> None:
         async with deployment() as env, run_gateway(env.store, "gateway-2") as second:
             first = env.gateway
@@ -235,11 +235,11 @@
     run(scenario())
 
 
-# Hosts that fail are asked more often than agreed, and gateways don't know what others
-# have open: their rows are gone with the store's newest writes, so the links to them
-# end and the retries are shared among fewer, though all are at work and write again.
+# Guards against too many retries and uncounted open work: the rows of running gateways
+# are lost in a restore, so their links are closed and the retry budget is shared among
+# fewer, although all of them will write their rows again.
 @pytest.mark.usefixtures("seldom_reads")
-def test_gateways_that_a_new_era_lacks_are_kept_until_they_may_have_written(
+def test_gateways_missing_in_a_new_era_are_kept_until_they_had_time_to_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -256,7 +256,7 @@
             await wait_until(lambda: not first.peers._roster.is_read_pending)
             assert first.peers._hub._links == {"gateway-2": link}
             assert first.core.budgets.floor == shared
-            # One that did not write again is let go in the end.
+            # A gateway that does not write again is dropped after the settle time.
             monkeypatch.setattr(roster, "ERA_SETTLE_SECONDS", 0.0)
             await first.peers._sync_peers()
             await wait_until(lambda: not first.peers._hub.hosts)
@@ -270,11 +270,11 @@
     run(scenario())
 
 
-# Gateways share their retries with a machine that was replaced, and dial it for good:
-# its row was removed, and came back with the copy from which the store was restored.
-# Being out of reach it is removed anew, and not kept as one that may write again.
+# Guards against a replaced machine that shares the retry budget and is dialled forever:
+# its row was removed, and came back with a restore. As it is unreachable, its row must
+# be removed again, and it must not be kept as a gateway that may write again.
 @pytest.mark.usefixtures("seldom_reads")
-def test_removed_gateway_that_came_back_with_the_copy_is_removed_anew(
+def test_removed_gateway_whose_row_was_restored_is_removed_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -297,12 +297,12 @@
     run(scenario())
 
 
-# The process ends, or the row stays for good. The removal of a gateway's row is turned
-# away, or left open, as its revision is of before the restore: that is no broken
-# invariant, and the next read gives the revision under which it can be removed.
+# Guards against a process exit, or a row that is never removed: the removal of a row is
+# rejected, or its outcome is unclear, as its revision is from before the restore. It
+# must be retried with the revision from the next read.
 @pytest.mark.parametrize("error", [Conflict((0,)), Unclear("older era"), AWAY])
 @pytest.mark.usefixtures("seldom_reads")
-def test_removal_that_a_new_era_turns_away_is_tried_again(
+def test_removal_that_fails_in_a_new_era_is_retried(
     error: TableError, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -318,7 +318,7 @@
             transact = gateway.table.transact
             tried, logged = [], []
             add_destinations(logged.append)
-            # Lines of before there was any destination come first.
+            # Messages buffered before there was a destination come first.
             logged.clear()
 
             async def turn_away(*args: object) -> Result:
@@ -339,10 +339,10 @@
     run(scenario())
 
 
-# What is written in a look is gone for good: the store is restored a second time while
-# the look is under way, and the gateway takes the rise for the one that it looks at.
+# Guards against rows that stay lost: the store is restored a second time while a
+# gateway rewrites its rows for the first restore, and the second one is missed.
 @pytest.mark.usefixtures("seldom_reads")
-def test_second_restore_within_a_look_leads_to_another(
+def test_second_restore_while_rows_are_rewritten_is_handled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -368,10 +368,10 @@
     run(scenario())
 
 
-# As above, but the store is restored while the gateway starts, when what it has
-# written may be lost too: it goes on as if it had joined, and nobody finds it.
+# As above, but the store is restored while the gateway starts. Its writes may be lost,
+# and without a new read no other gateway would find it.
 @pytest.mark.usefixtures("seldom_reads")
-def test_restore_within_the_start_is_looked_at_once_started(
+def test_restore_during_startup_is_handled_after_startup(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
--- a/tests/gateway/test_request_ends_hosts.py
+++ b/tests/gateway/test_poison_requests.py
@@ -1,4 +1,4 @@
-"""Requests under which one host after another ends."""
+"""Tests that requests which crash one host after another are denied."""
 
 import asyncio
 
@@ -17,18 +17,18 @@
 ENDS_ALLOWED = 3
 BESIDE = 30
 RETRIES_ALLOWED = 3
-"""Times that a request may reach hosts after that many have ended under it."""
+"""Number of times that a request may reach hosts after that many have crashed."""
 
 
 def expire_denials(fleet: Fleet) -> None:
-    """Let the time of all denials be over."""
+    """Let all denials expire."""
     for gateway in fleet.gateways:
         for suspect in gateway.core.suspects._suspects.values():
             suspect.until = 0.0
 
 
 async def repeat_poison(fleet: Fleet, times: int = REPEATS) -> list[int]:
-    """Send the poison prompt again and again, to one gateway after the other."""
+    """Send the poison prompt repeatedly, to the gateways in turn."""
     statuses = []
     for number in range(times):
         status, _ = await fleet.send(number, f"poison-{number}")
@@ -38,9 +38,9 @@
     return statuses
 
 
-# A caller repeats a request that ends each engine which runs it: all end in turn, again
-# and again, with all that others have open there.
-def test_request_that_ends_hosts_is_not_sent_on_for_good() -> None:
+# Guards against a caller that repeats a request which crashes each engine that runs it,
+# together with all other requests open there.
+def test_request_that_crashes_hosts_is_denied() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
@@ -49,8 +49,8 @@
     run(scenario())
 
 
-# The same through several gateways, none of which has seen three ends by itself.
-def test_gateways_know_a_request_that_ended_hosts_of_others() -> None:
+# As above with several gateways, none of which has seen three crashes by itself.
+def test_request_that_crashes_hosts_is_denied_by_all_gateways() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3, gateways=3) as fleet:
             await repeat_poison(fleet)
@@ -59,7 +59,7 @@
     run(scenario())
 
 
-def test_denied_request_is_refused_at_once_as_not_run() -> None:
+def test_denied_request_is_refused_immediately_as_not_run() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
@@ -73,9 +73,8 @@
     run(scenario())
 
 
-# Callers whose answers are made beside the request that ends hosts are denied like it,
-# since hosts have ended under theirs as well.
-def test_those_beside_the_request_are_served() -> None:
+# Guards against denial of other requests that were running on the crashed hosts.
+def test_requests_running_beside_the_poison_request_are_served() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             for engine in fleet.decode_engines:
@@ -95,14 +94,14 @@
             assert all(body.count(b"id: ") == 20 for _, body in outcomes)
             await fleet.restart_crashed()
             await wait_for_engines(fleet)
-            # They come again, as any request may.
+            # The same requests may be sent again.
             again = [fleet.send(0, f"again-{n}", b"prompt %d" % n) for n in range(5)]
             assert [status for status, _ in await asyncio.gather(*again)] == [200] * 5
 
     run(scenario())
 
 
-# Three racks are lost in a row with the same requests open: nobody has ended them.
+# Three racks are lost in a row with the same requests open. No request caused that.
 def test_requests_open_at_hosts_lost_together_are_served() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=4) as fleet:
@@ -136,8 +135,8 @@
     run(scenario())
 
 
-# Hosts that live and break answers off would have their callers denied.
-def test_answers_that_break_off_at_living_hosts_deny_nobody() -> None:
+# Guards against denial of requests whose answers are aborted by hosts that stay alive.
+def test_aborted_answers_of_live_hosts_do_not_deny_requests() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=2) as fleet:
             for engine in fleet.decode_engines:
@@ -152,9 +151,9 @@
     run(scenario())
 
 
-# A rolling release ends each host in turn with work open: who meets it again and again
-# would be denied.
-def test_ends_of_hosts_that_said_they_leave_deny_nobody() -> None:
+# Guards against denial of requests that were repeatedly open at hosts which exit in a
+# rolling release.
+def test_exits_of_draining_hosts_do_not_deny_requests() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             for step in range(2 * ENDS_ALLOWED):
@@ -178,8 +177,8 @@
     run(scenario())
 
 
-# A stream that may be resumed is taken from engine to engine by its gateway itself.
-def test_retries_within_one_request_are_bounded_too() -> None:
+# A resumable stream is retried on one engine after another by its gateway.
+def test_retries_within_one_request_are_limited_too() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=6) as fleet:
             route = make_route("draft", "streaming", "llm", resumable=True)
@@ -193,7 +192,8 @@
     run(scenario())
 
 
-# The service is gone for all: its last host ends under a request that has ended two.
+# Guards against a full outage: the last host of a service must not be given a request
+# that has crashed the other two.
 def test_last_host_is_not_risked() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
@@ -205,7 +205,7 @@
     run(scenario())
 
 
-def test_gateway_that_starts_is_told_of_denied_requests() -> None:
+def test_new_gateway_receives_denied_requests() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
@@ -229,8 +229,8 @@
     run(scenario())
 
 
-# A release that bears the request would never be given it again.
-def test_mended_release_is_given_the_request_again() -> None:
+# Guards against a request that stays denied although a fixed release can serve it.
+def test_request_is_tried_again_after_its_denial_has_expired() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
@@ -244,8 +244,8 @@
     run(scenario())
 
 
-# All repeats that came meanwhile would go to hosts at once when a denial is over.
-def test_denial_that_is_over_lets_one_repeat_through() -> None:
+# Guards against a burst of repeats that are all offered to hosts when a denial expires.
+def test_expired_denial_lets_one_request_through() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             await repeat_poison(fleet)
@@ -257,9 +257,9 @@
     run(scenario())
 
 
-# A host that starts again under its own name would free the request that has ended it,
-# with the first other request that it takes.
-def test_hosts_that_keep_their_names_do_not_free_the_request() -> None:
+# Guards against a lifted denial when a crashed host restarts under the same name and
+# serves another request.
+def test_restart_under_the_same_name_does_not_lift_the_denial() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             for engine in fleet.decode_engines:
@@ -278,8 +278,8 @@
     run(scenario())
 
 
-# A call of a plain service ends hosts as well: no answer has begun by then.
-def test_call_that_ends_hosts_of_a_plain_service_is_denied() -> None:
+# Calls to a plain service can crash hosts as well, before an answer has started.
+def test_call_that_crashes_hosts_of_a_plain_service_is_denied() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             hosts = [CrashingDesk(f"desk-{n}", env) for n in range(8)]
@@ -305,9 +305,9 @@
     run(scenario())
 
 
-# A prompt that is read apart runs nothing: who meets three engines that end while they
-# read would be denied.
-def test_ends_of_engines_that_read_prompts_deny_nobody() -> None:
+# Guards against denial of requests whose prefill engine crashed three times: a separate
+# prefill does not run the request.
+def test_crashes_of_prefill_engines_do_not_deny_requests() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=2) as fleet:
             for engine in fleet.decode_engines:
@@ -319,7 +319,7 @@
                 reading = fleet.prefill_engine.instance
                 await wait_until(lambda c=core, h=reading: c.hosts[h].in_flight)
                 await fleet.prefill_engine.crash()
-                # Its answer would clear the request of what its prompt has met.
+                # A complete answer would clear the suspicion against the request.
                 await wait_until(lambda c=core, h=reading: not c.hosts[h].in_flight)
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
@@ -334,9 +334,9 @@
     run(scenario())
 
 
-# A link that refuses connections while it is cut looks like the end of the host behind
-# it; who was cut off there three times would be denied.
-def test_hosts_behind_cut_links_deny_nobody() -> None:
+# Guards against denial of requests that were aborted three times by a broken network
+# link: refused connections look like a crash of the host.
+def test_hosts_behind_broken_links_do_not_deny_requests() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=1) as fleet:
             engine = fleet.decode_engines[0]
--- a/tests/gateway/test_registry.py
+++ b/tests/gateway/test_registry.py
@@ -1,4 +1,4 @@
-"""What gateways write for each other, and read."""
+"""Tests of the gateways' rows and shared secret in the store."""
 
 import asyncio
 
@@ -28,9 +28,9 @@
     return GatewayRegistry(table, host, Site("howrah", 0.8), "127.0.0.1:8104")
 
 
-# The store gets calls without end from a gateway that is starting, just as it turns
-# writes away for its load: the secret is not there yet, and can't be written.
-def test_store_that_turns_writes_away_is_asked_again_after_a_while(
+# Guards against a busy loop of calls to an overloaded store: the secret is missing and
+# the store rejects the write.
+def test_rejected_write_is_retried_after_a_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class Busy(MemoryTable):
@@ -53,9 +53,9 @@
     run(scenario())
 
 
-# Gateways that start after a restore never link to those from before it. The secret
-# was lost with the store's newest writes, and the next one to start draws another.
-def test_secret_in_use_is_written_again_where_none_stands() -> None:
+# Guards against gateways that can't link to each other: the secret is lost in a restore
+# of the store, and the next gateway that starts generates another one.
+def test_secret_in_use_is_written_again_if_missing() -> None:
     async def scenario() -> None:
         table = MemoryTable()
         assert await make_registry(table).read_or_create_secret("ours") == "ours"
@@ -65,9 +65,9 @@
     run(scenario())
 
 
-# Two groups of gateways go on under a secret each. A gateway that started after the
-# restore has drawn another one first: all must take that one, as it never goes away.
-def test_secret_that_stands_is_taken_by_those_that_know_another() -> None:
+# Guards against two groups of gateways with different secrets: a gateway that started
+# after the restore has stored another one. All must adopt it, as it is never changed.
+def test_stored_secret_is_adopted_by_gateways_with_another_one() -> None:
     async def scenario() -> None:
         table = MemoryTable()
         table.rows.apply([Put(PEER_SECRET_KEY, OTHERS, ABSENT)], "w")
@@ -77,9 +77,9 @@
     run(scenario())
 
 
-# As above, but the other one is written between this gateway's read, which finds none,
-# and its write. Written without a condition, it would replace what others have read.
-def test_secret_that_came_first_is_taken() -> None:
+# As above, but the other secret is written between this gateway's read, which finds
+# none, and its write. An unconditional write would replace a secret in use.
+def test_secret_that_was_stored_first_is_adopted() -> None:
     class Raced(MemoryTable):
         async def transact(self, *args: object) -> Result:
             self.rows.apply([Put(PEER_SECRET_KEY, OTHERS, ABSENT)], "w")
@@ -93,10 +93,10 @@
     run(scenario())
 
 
-# Writes of before the restore end unclear, and so may those behind it. The secret is
-# neither given up nor drawn anew then: it is asked for until it stands.
+# Around a restore, writes may end with an unclear outcome. The secret must then be
+# neither abandoned nor generated again, but retried until it is stored.
 @pytest.mark.parametrize("fault", ["lose_replies", "drop_writes"])
-def test_secret_whose_write_is_unclear_is_asked_for_until_it_stands(
+def test_secret_whose_write_is_unclear_is_retried_until_it_is_stored(
     fault: str,
 ) -> None:
     async def scenario() -> None:
@@ -108,11 +108,11 @@
     run(scenario())
 
 
-# The process ends, or the others never find this gateway. Its row was read before the
-# restore, so the write under that revision is turned away or left open: it reads the
-# row again, says so in the log, and writes under what stands now.
+# Guards against a process exit, or a gateway that the others never find: its row was
+# read before the restore, so a write with that revision is rejected or its outcome is
+# unclear. The gateway must log it, read the row again and write with its new revision.
 @pytest.mark.parametrize("error", [Conflict((0,)), Unclear("older era"), AWAY])
-def test_own_row_is_written_though_a_new_era_turns_a_write_away(
+def test_own_row_is_written_after_a_failed_write_in_a_new_era(
     error: TableError, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     class Restored(MemoryTable):
@@ -139,7 +139,7 @@
     run(scenario())
 
 
-# As above: a write that is left open until its time is over is not taken for done.
+# As above: a write whose outcome is unclear until its deadline does not count as done.
 def test_own_row_whose_write_stays_unclear_is_read_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -1,4 +1,4 @@
-"""Engines and services that start again under their names, behind a gateway."""
+"""Tests of engines and service hosts that restart under the same name."""
 
 import asyncio
 import time
@@ -17,13 +17,13 @@
 from tests.gateway.test_streams import make_whole, stream
 
 EARLY, LATE = 5_000, 4_000
-"""Two starts in their order: the clock has stepped back between them."""
+"""Start times of two successive starts; the clock was set back between them."""
 
 
 async def start_engine(
     env: Deployment, name: str, phase: str, seconds: float = 0.0
 ) -> StagedEngine:
-    """Start an engine that tells its start."""
+    """Start an engine that reports its start time."""
     engine = StagedEngine(name, phase, seconds)
     engine.born = EARLY
     await env.serve_engine(engine)
@@ -31,14 +31,14 @@
 
 
 async def restart(env: Deployment, engine: StagedEngine) -> None:
-    """Have an engine start again and write its entry."""
+    """Restart an engine and write its entry."""
     engine.restart(LATE)
     env.announce_engine(engine)
     await wait_for_start(env.gateway, engine.instance, LATE)
 
 
 async def wait_for_start(gateway: Gateway, host: str, started_ms: int) -> None:
-    """Wait until a gateway knows a start of a host."""
+    """Wait until a gateway knows this start of a host."""
     await wait_until(
         lambda: any(
             item.host == host and item.started_ms == started_ms
@@ -48,13 +48,13 @@
 
 
 async def hang(request: web.Request) -> web.Response:
-    """Never answer, as a machine that was reset."""
+    """Never answer, like a machine that was reset."""
     await asyncio.Event().wait()
 
 
-# The caller waits in vain until its deadline: the machine of the engine that makes its
-# answer is reset. Nobody closes the connection, but the entry tells the new start.
-def test_stream_of_an_earlier_start_goes_on_elsewhere_at_once() -> None:
+# Guards against a caller that waits until its deadline: the machine of its decode
+# engine is reset and the connection stays open, but the entry shows the new start.
+def test_stream_of_an_earlier_start_is_resumed_immediately() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await start_engine(env, "p-1", "prefill")
@@ -69,9 +69,9 @@
     run(scenario())
 
 
-# The caller is told that its stream failed though nothing of it ran: the engine that
-# was reading its prompt started again, and that counted as its one attempt.
-def test_prompt_at_an_earlier_start_is_read_again() -> None:
+# Guards against a failed stream of which nothing ran: its prefill engine restarted, and
+# that counted as its only attempt.
+def test_prompt_at_an_earlier_start_is_prefilled_again() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             prefill = await start_engine(env, "p-1", "prefill", 0.3)
@@ -85,7 +85,7 @@
     run(scenario())
 
 
-# The same with a call: it goes to the new start at once, which is the only host.
+# As above for a call: it is retried at once at the new start of the only host.
 def test_idempotent_call_of_an_earlier_start_is_sent_to_the_new_one() -> None:
     async def scenario() -> None:
         async with deployment() as env:
@@ -100,9 +100,9 @@
     run(scenario())
 
 
-# The caller learns only at its deadline that nobody knows whether its call ran, or the
-# call runs twice: the host that had it has started again.
-def test_call_of_an_earlier_start_that_may_have_run_ends_at_once() -> None:
+# Guards against a call that ends only at its deadline, or runs twice, because its host
+# has restarted. Its outcome is unknown, and must be reported immediately.
+def test_call_of_an_earlier_start_that_may_have_run_fails_immediately() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             desk = Desk(hang, answer_whole)
@@ -119,8 +119,8 @@
     run(scenario())
 
 
-# As above, but the entry was missing meanwhile, and the id is back at another address.
-def test_start_at_another_address_after_a_gap_ends_what_was_open() -> None:
+# As above, but the entry was removed meanwhile, and the host is back at a new address.
+def test_new_start_at_another_address_after_a_gap_ends_open_requests() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             desk, other = Desk(hang), Desk(answer_whole)
@@ -136,9 +136,9 @@
     run(scenario())
 
 
-# A host is spared for half a minute though it is new: what its earlier start failed and
-# refused is held against it.
-def test_new_start_is_not_spared_for_failures_of_the_earlier_one() -> None:
+# Guards against a restarted host without work for half a minute, because failures and
+# refusals of its earlier start are counted against it.
+def test_new_start_is_not_skipped_for_failures_of_the_earlier_one() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_whole), born=EARLY)
@@ -156,9 +156,9 @@
     run(scenario())
 
 
-# Prompts go where nothing of them is kept, and in the wrong numbers: cache, rate and
-# open work of the earlier start are believed of the new one.
-def test_new_start_is_placed_by_nothing_of_the_earlier_one() -> None:
+# Guards against wrong placement: cache contents, rate and open work of the earlier
+# start are assumed for the new one.
+def test_placement_state_is_reset_by_a_new_start() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             engine = await start_engine(env, "p-1", "prefill")
@@ -176,9 +176,9 @@
     run(scenario())
 
 
-# A caller gets the answer to another one's prompt: it waits for an engine with the
-# handle of a KV cache, its holder starts again, and the new start gives the same handle
-# for another prompt. Nor may the new start be told to free what is not its own.
+# Guards against an answer to another caller's prompt: a request holds a KV cache
+# handle, the engine that holds the cache restarts, and issues the same handle for
+# another prompt. The new start must not be asked to free the old handle either.
 def test_handle_of_an_earlier_start_is_never_used() -> None:
     async def scenario() -> None:
         async with deployment() as env:
@@ -191,7 +191,7 @@
             (request,) = requests.values()
             await restart(env, prefill)
             assert request.kv is None
-            # An offer that was on its way then has named the handle, and is refused.
+            # An offer in flight at that time carried the handle, and is refused.
             await wait_until(lambda: request.host is None)
             decode.refuses = False
             assert await task == make_whole("r1")
@@ -201,8 +201,8 @@
     run(scenario())
 
 
-# An engine gets an order by a count of its earlier start: it was asked what it does,
-# said so as a new start, and the list still shows the earlier one, draining.
+# Guards against an order with the fencing state of an earlier start: an engine reports
+# a new start while the list still shows the earlier one, which is draining.
 def test_report_shows_a_restart_before_the_list_and_no_order_is_given() -> None:
     async def scenario() -> None:
         async with deployment() as env:
@@ -216,7 +216,8 @@
             await stages._carry_out(asked, RoleChange("d-1", "prefill"))
             assert engine.orders == []
             assert core.hosts["d-1"].live
-            # An entry that comes behind the earlier start's has been read, so has that.
+            # Changes are read in order: once the removal has been read, so has the
+            # entry of the earlier start.
             env.announce_engine(engine, born=EARLY, state="draining")
             env.withdraw(other.instance)
             await wait_until(lambda: "d-2" not in core.links)
@@ -227,10 +228,10 @@
     run(scenario())
 
 
-# A host stops taking requests, or gets them while it leaves: that a start drains holds
-# for that start alone, and the list may still show the other one.
+# Guards against a host that gets no requests, or gets them while it drains: a drain
+# applies only to the start that announced it, and the list may still show the other.
 @pytest.mark.parametrize("drained", [EARLY, LATE])
-def test_drain_holds_for_the_start_that_said_it(drained: int) -> None:
+def test_drain_applies_only_to_the_start_that_announced_it(drained: int) -> None:
     async def scenario() -> None:
         async with deployment() as env:
             desk = Desk(answer_whole)
--- a/tests/gateway/test_restore.py
+++ b/tests/gateway/test_restore.py
@@ -1,4 +1,4 @@
-"""A gateway whose store comes back from an older copy, whole."""
+"""Tests of a whole gateway whose store is restored from an older backup."""
 
 from radishtally.authority.lease_events import (
     LEASE,
@@ -16,10 +16,10 @@
 SHORT_TERMS = LeaseTerms(granted=0.6, margin=0.1, renew_every=0.2, read_every=0.05)
 
 
-# Callers get what an older configuration allows, work goes to a host that is leaving,
-# and two gateways order engines: all that was written since the copy is gone, and each
-# gateway would take what the store shows for the newest state.
-def test_restore_undoes_nothing_that_a_gateway_knows() -> None:
+# Guards against an outdated configuration and work for a draining host: everything
+# written since the backup is lost, and a gateway takes the restored state for the
+# latest one.
+def test_restore_does_not_undo_the_known_state() -> None:
     async def scenario() -> None:
         rows = Rows(era=1)
         async with deployment(rows) as env:
@@ -50,9 +50,9 @@
     run(scenario())
 
 
-# Engines get no order any more, or from two gateways under one number: the row of who
-# held the lease is gone, and the numbers begin anew.
-def test_lease_is_held_again_under_a_higher_number() -> None:
+# Guards against engines without orders, or with orders from two gateways under one
+# fencing token: the row of the lease is lost, and tokens are issued again.
+def test_lease_is_regained_with_a_higher_fencing_token() -> None:
     async def scenario() -> None:
         rows = Rows(era=1)
         async with deployment(rows) as env:
@@ -70,9 +70,9 @@
     run(scenario())
 
 
-# Gateways decide by their own work alone, and share retries among too few: the rows by
-# which they find each other are gone, and so is the secret of their links.
-def test_gateways_of_a_restored_store_find_each_other_again() -> None:
+# Guards against gateways that count only their own work and share the retry budget
+# among too few: their rows and the secret of their links are lost.
+def test_gateways_find_each_other_again_after_a_restore() -> None:
     async def scenario() -> None:
         rows = Rows(era=1)
         copy = rows.take_copy()
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -1,4 +1,4 @@
-"""Which gateways there are while a restored store lacks some of them."""
+"""Tests of the known gateways while a restored store lacks some of them."""
 
 from radishtally.gateway import roster
 from radishtally.gateway.const import ERA_READ_SPREAD_SECONDS, PEER_READ_SECONDS
@@ -14,13 +14,13 @@
 
 
 def make_roster() -> Roster:
-    """Make the roster of a gateway that knows three."""
+    """Make a roster that contains three gateways."""
     known = Roster()
     known.update(make_rows(*THREE), 0.0)
     return known
 
 
-def test_without_a_new_era_the_gateways_are_those_that_the_store_lists() -> None:
+def test_without_a_new_era_the_roster_equals_the_stored_rows() -> None:
     known = make_roster()
     assert set(known.update(make_rows("gateway-1"), 0.0)) == {"gateway-1"}
     assert set(known.update(make_rows(*THREE), 1.0)) == set(THREE)
@@ -29,8 +29,8 @@
     assert set(known.update(make_rows("gateway-1"), 2.0)) == {"gateway-1"}
 
 
-# Hosts that fail are asked far more often than agreed. Gateways that write their rows
-# again one by one find few others at first, and each takes a large part of the retries.
+# Guards against too many retries: while gateways write their rows again one by one,
+# each finds few others and would use a large share of the retry budget.
 def test_gateways_that_may_write_again_are_kept() -> None:
     known = make_roster()
     known.enter_era()
@@ -43,8 +43,8 @@
     assert 2 * others <= ERA_SETTLE_SECONDS
 
 
-# A gateway that left while the store was away is dialled for good, and retries are
-# shared with it: its row does not come back, and nothing else would end its keeping.
+# Guards against a gateway that left while the store was away, and that is dialled and
+# shares the retry budget forever, as its row does not come back.
 def test_gateways_that_did_not_write_again_are_dropped() -> None:
     known = make_roster()
     known.enter_era()
@@ -54,10 +54,10 @@
     assert known.update(make_rows("gateway-1"), 200.0) == make_rows("gateway-1")
 
 
-# Links to all others end though all live. The store is away again soon after the rise
-# and comes back half a minute later: nobody could write meanwhile, and a time that ran
-# on would be over at the first read.
-def test_time_to_write_again_is_one_in_which_the_store_answers() -> None:
+# Guards against dropped links to live gateways: the store goes away again soon after
+# the change of era, for half a minute. No gateway can write meanwhile, so the settle
+# time must start again once the store answers.
+def test_settle_time_starts_again_after_an_outage() -> None:
     known = make_roster()
     known.enter_era()
     assert known.is_read_pending
@@ -70,8 +70,8 @@
     assert set(known.update(make_rows("gateway-1"), late)) == set(THREE)
 
 
-# As above, but the store is restored a second time while the first is not settled.
-def test_second_restore_begins_the_time_anew() -> None:
+# As above, but the store is restored a second time before the settle time has passed.
+def test_second_restore_starts_the_settle_time_again() -> None:
     known = make_roster()
     known.enter_era()
     known.update(make_rows("gateway-1"), 100.0)
@@ -81,9 +81,9 @@
     assert set(known.update(make_rows("gateway-1"), late)) == set(THREE)
 
 
-# A row that is written again counts as it stands, not as it was known: its gateway may
-# have started at another place since.
-def test_rows_that_stand_replace_those_that_are_kept() -> None:
+# A row that was written again replaces the kept one: its gateway may have restarted at
+# another address.
+def test_stored_rows_replace_kept_ones() -> None:
     known = make_roster()
     known.enter_era()
     moved = Row(
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings that are read again while a gateway runs."""
+"""Tests of settings that are reloaded while a gateway runs."""
 
 import asyncio
 import re
@@ -26,16 +26,16 @@
 
 
 def count_retries(gateway: Gateway) -> int:
-    """Count the retries that some requests allow at once."""
+    """Return the number of retries that a burst of requests allows."""
     budgets = gateway.core.budgets
     for _ in range(REQUESTS):
         budgets.record_request("desk", 0.0)
     return sum(budgets.spend("desk", 0.0) for _ in range(REQUESTS))
 
 
-# Operators change a bound and are told that no restart is needed, and the gateway goes
-# by the old one until its end: bounds were taken over as it started.
-def test_bounds_that_are_read_again_come_into_force() -> None:
+# Guards against a gateway that logs that no restart is needed, but uses the bounds from
+# its start until it exits.
+def test_reloaded_bounds_are_applied() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             gateway = env.gateway
@@ -52,15 +52,14 @@
 
 
 def read_marks(gateway: Gateway) -> list[str]:
-    """Read from the metrics by which settings a gateway goes."""
+    """Return the hashes of the current settings in a gateway's metrics."""
     text = gateway.render_metrics().decode()
     return re.findall(r'radishtally_settings{mark="(\w+)"} 1.0', text)
 
 
-# The settings change in one data centre after the other, reminders come twice, and
-# nobody can tell by which settings a gateway goes, nor by which configuration: logs and
-# metrics said neither. Gateways of one version of the settings bear one mark.
-def test_metrics_tell_which_settings_are_in_force() -> None:
+# Guards against a staged change of settings in which nobody can tell which settings and
+# configuration a gateway uses. Gateways with equal settings must show equal hashes.
+def test_metrics_show_the_current_settings() -> None:
     async def scenario() -> None:
         async with deployment() as env, run_gateway(env.store, "gateway-2") as other:
             gateway = env.gateway
@@ -77,7 +76,7 @@
     run(scenario())
 
 
-def test_metrics_tell_which_configuration_is_in_force() -> None:
+def test_metrics_show_the_current_configuration_version() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             version = env.gateway.router.configuration.version
@@ -88,14 +87,14 @@
 
 
 def change_settings(gateway: Gateway, ratio: float) -> None:
-    """Let a gateway read settings that differ in a bound."""
+    """Apply settings to a gateway that differ in one bound."""
     bounds = msgspec.structs.replace(gateway.settings.bounds, retry_ratio=ratio)
     gateway.apply_settings(msgspec.structs.replace(gateway.settings, bounds=bounds))
 
 
-# A reminder comes twice in one data centre and not at all in another: the settings
-# change at one gateway after the other while calls are open. What is open must go on as
-# it is, run once and be answered, by gateways of either settings.
+# Guards against calls that run twice or not at all when the settings change at one
+# gateway after the other. Open calls must run once and be answered, by gateways with
+# either settings.
 @pytest.mark.parametrize(("method", "path"), [("GET", "/read/a"), ("POST", "/book/a")])
 def test_call_that_is_open_while_settings_change_runs_once(
     method: str, path: str
@@ -140,9 +139,9 @@
     run(scenario())
 
 
-# A sheet never comes: the settings and the configuration change while it is being made.
-# Its caller must get it whole, over the connection and from the run that began it.
-def test_stream_that_is_open_while_settings_change_comes_whole() -> None:
+# Guards against an aborted stream when settings and configuration change. Its caller
+# must get all of it, over the same connection and from the same run.
+def test_stream_that_is_open_while_settings_change_is_complete() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             _, decode = await start_engines(env)
--- a/tests/gateway/test_spoiled_streams.py
+++ b/tests/gateway/test_spoiled_streams.py
@@ -1,4 +1,4 @@
-"""Streams whose runs are spoiled one after another, as their callers see them."""
+"""Tests of streams whose runs fail in turn, from the callers' point of view."""
 
 from collections.abc import Sequence
 from itertools import chain, repeat
@@ -15,7 +15,7 @@
 PATH = "/draft/a"
 ONCE_PATH = "/sheet/a"
 LONG = "of another answer " * 20
-"""Body that is longer than all events."""
+"""Body that is longer than all events together."""
 FAILED = RunFault(status=500, body=LONG)
 MISSING = RunFault(status=404, body=LONG)
 MOVED = RunFault(status=302, body=LONG)
@@ -24,12 +24,12 @@
 RESET_HEAD = RunFault(cut_after=0)
 UNFRAMED = RunFault(is_unframed=True)
 CLOSED = RunFault(cut_after=2, is_unframed=True, end=CLOSE)
-"""Neither length nor chunks, and an end within an event that is no reset."""
+"""Answer without framing whose connection is closed, not reset, within an event."""
 CLOSED_HEAD = RunFault(cut_after=0, is_unframed=True, end=CLOSE, half=False)
 
 
 class Received(NamedTuple):
-    """Hold what a caller got."""
+    """Hold what a caller received."""
 
     status: int
     body: bytes
@@ -38,7 +38,7 @@
 
 
 async def receive(env: Deployment, path: str, **more: str) -> Received:
-    """Send a request and take what comes of its answer."""
+    """Send a request and read its answer as far as it comes."""
     body = b""
     headers = make_prompt("r1", **more)
     async with (
@@ -57,8 +57,8 @@
 def run_with_faults(
     faults: Sequence[RunFault], path: str = PATH, **more: str
 ) -> Received:
-    """Give what a caller gets whose runs are spoiled in turn; later ones are sound."""
-    taken = []
+    """Return what a caller receives if its runs fail in turn; later ones succeed."""
+    received = []
 
     async def ask() -> None:
         script = chain(faults, repeat(SOUND))
@@ -68,98 +68,98 @@
             for engine in engines:
                 engine.faults = script
                 await env.serve_engine(engine)
-            taken.append(await receive(env, path, **more))
+            received.append(await receive(env, path, **more))
 
     run(ask())
-    return taken[0]
+    return received[0]
 
 
 def make_events(last: int) -> bytes:
-    """Make the answer's events up to one."""
+    """Make the events of the answer up to this number."""
     return b"".join(make_event("r1", number) for number in range(1, last + 1))
 
 
-# A stream ends as complete after a part: it has broken off, no attempt is left, and the
-# failure of an earlier run is taken for its end.
-def test_stream_that_breaks_off_after_a_failure_does_not_end_as_complete() -> None:
-    taken = run_with_faults([FAILED, RESET])
-    assert (taken.status, taken.body) == (200, make_events(2))
-    assert not taken.is_whole
+# Guards against a partial stream that looks complete: it is aborted, no attempt is
+# left, and the failure of an earlier run is taken for its end.
+def test_stream_aborted_after_a_failure_does_not_look_complete() -> None:
+    received = run_with_faults([FAILED, RESET])
+    assert (received.status, received.body) == (200, make_events(2))
+    assert not received.is_whole
 
 
-# The caller gets an empty stream as complete where engines have only failed: the head
-# of one that gave no event was passed on.
+# Guards against an empty stream that looks complete when all engines have failed: the
+# head of an answer without events was forwarded.
 @pytest.mark.parametrize(
     "faults", [[FAILED, RESET_HEAD], [RESET_HEAD, FAILED]], ids=["before", "after"]
 )
-def test_failure_is_given_whole_where_no_event_was(faults: list[RunFault]) -> None:
-    taken = run_with_faults(faults)
-    assert taken == (500, LONG.encode(), True, taken.signature)
-    assert taken.signature
+def test_failure_is_returned_if_no_event_was_sent(faults: list[RunFault]) -> None:
+    received = run_with_faults(faults)
+    assert received == (500, LONG.encode(), True, received.signature)
+    assert received.signature
 
 
-# Bytes of another answer come behind the events of a stream: a second run answers with
-# something else than its rest.
+# Guards against data of another answer after the events of a stream: a second run
+# answers with something other than the remaining events.
 @pytest.mark.parametrize(
     "second",
     [FAILED, MISSING, MOVED, EMPTY],
     ids=lambda fault: str(fault.status),
 )
-def test_another_answer_is_not_added_to_a_stream(second: RunFault) -> None:
-    taken = run_with_faults([RESET, second])
-    assert (taken.status, taken.body) == (200, make_events(2))
-    assert not taken.is_whole
+def test_other_answer_is_not_appended_to_a_stream(second: RunFault) -> None:
+    received = run_with_faults([RESET, second])
+    assert (received.status, received.body) == (200, make_events(2))
+    assert not received.is_whole
 
 
-# A part of an event is given, and the stream ends as complete: a close of an answer
-# without framing counts as its end wherever it comes.
-def test_stream_that_is_closed_within_an_event_goes_on_elsewhere() -> None:
-    taken = run_with_faults([CLOSED])
-    assert (taken.body, taken.is_whole) == (make_events(EVENTS), True)
+# Guards against a partial event in a stream that looks complete: the close of an answer
+# without framing is taken for its end at any position.
+def test_stream_that_is_closed_within_an_event_is_resumed() -> None:
+    received = run_with_faults([CLOSED])
+    assert (received.body, received.is_whole) == (make_events(EVENTS), True)
 
 
-def test_once_stream_that_is_closed_within_an_event_is_broken_off() -> None:
-    taken = run_with_faults([CLOSED], ONCE_PATH)
-    assert (taken.status, taken.body) == (200, make_events(2))
-    assert not taken.is_whole
+def test_non_resumable_stream_that_is_closed_within_an_event_is_aborted() -> None:
+    received = run_with_faults([CLOSED], ONCE_PATH)
+    assert (received.status, received.body) == (200, make_events(2))
+    assert not received.is_whole
 
 
-# An empty stream is given as a whole answer: an engine has closed one without framing
-# behind its head.
-def test_closed_head_is_no_answer() -> None:
+# Guards against an empty stream that looks complete: an engine closes an answer without
+# framing directly after its head.
+def test_answer_closed_after_its_head_is_retried() -> None:
     assert run_with_faults([CLOSED_HEAD]).body == make_events(EVENTS)
 
 
-# Events come twice, or some are missing: a run does not begin where it was asked to.
+# Guards against duplicate or missing events: a run does not start at the requested one.
 @pytest.mark.parametrize("first", [1, 2, 4])
-def test_run_that_goes_on_elsewhere_than_asked_is_not_joined(first: int) -> None:
-    taken = run_with_faults([RESET, RunFault(first_event=first)])
-    assert (taken.status, taken.body) == (200, make_events(2))
-    assert not taken.is_whole
+def test_run_that_resumes_at_another_event_is_not_appended(first: int) -> None:
+    received = run_with_faults([RESET, RunFault(first_event=first)])
+    assert (received.status, received.body) == (200, make_events(2))
+    assert not received.is_whole
 
 
-# Events come twice: a caller goes on behind the events that it has, and the engine
-# begins anew.
-def test_run_that_ignores_where_its_caller_goes_on_is_not_given() -> None:
-    taken = run_with_faults([RunFault(first_event=1)], **{"Last-Event-Id": "2"})
-    assert taken.is_whole
-    assert make_events(2) + taken.body == make_events(EVENTS)
+# Guards against duplicate events: a caller resumes after the events that it has, and
+# the engine starts from the beginning.
+def test_run_that_ignores_where_its_caller_resumes_is_not_returned() -> None:
+    received = run_with_faults([RunFault(first_event=1)], **{"Last-Event-Id": "2"})
+    assert received.is_whole
+    assert make_events(2) + received.body == make_events(EVENTS)
 
 
 @pytest.mark.parametrize("path", [PATH, ONCE_PATH])
-def test_stream_without_framing_that_is_closed_behind_its_last_event_is_whole(
+def test_stream_without_framing_that_is_closed_after_its_last_event_is_complete(
     path: str,
 ) -> None:
-    taken = run_with_faults([UNFRAMED], path)
-    assert (taken.body, taken.is_whole) == (make_events(EVENTS), True)
+    received = run_with_faults([UNFRAMED], path)
+    assert (received.body, received.is_whole) == (make_events(EVENTS), True)
 
 
 @pytest.mark.parametrize(
     "fault", [RESET, FAILED, RESET_HEAD], ids=["reset", "failed", "reset_head"]
 )
-def test_stream_is_whole_where_a_second_run_is(fault: RunFault) -> None:
-    taken = run_with_faults([fault])
-    assert (taken.status, taken.body, taken.is_whole) == (
+def test_stream_is_complete_if_the_second_run_is(fault: RunFault) -> None:
+    received = run_with_faults([fault])
+    assert (received.status, received.body, received.is_whole) == (
         200,
         make_events(EVENTS),
         True,
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("fault", [RESET, RESET_HEAD], ids=["reset", "reset_head"])
-def test_stream_that_may_not_be_resumed_is_broken_off(fault: RunFault) -> None:
-    taken = run_with_faults([fault], ONCE_PATH)
-    assert taken.status in (200, 502)
-    assert not (taken.status == 200 and taken.is_whole)
+def test_non_resumable_stream_is_aborted(fault: RunFault) -> None:
+    received = run_with_faults([fault], ONCE_PATH)
+    assert received.status in (200, 502)
+    assert not (received.status == 200 and received.is_whole)
--- a/tests/gateway/test_starts.py
+++ b/tests/gateway/test_starts.py
@@ -1,4 +1,4 @@
-"""Tests of telling the starts of a host apart."""
+"""Tests of distinguishing the successive starts of a host."""
 
 from radishtally.direct.core import EngineReport, Instance
 from radishtally.gateway import starts
@@ -7,7 +7,7 @@
 from radishtally.links.messages import DECODE, PREFILL
 
 EARLY, LATE = 5_000, 4_000
-"""Two starts in their order: the clock has stepped back between them."""
+"""Start times of two successive starts; the clock was set back between them."""
 
 
 def make_instance(started_ms: int, **more: object) -> Instance:
@@ -20,7 +20,7 @@
 
 
 def describe(changes: list[HostChange]) -> list[str]:
-    """Name changes with their kinds, in order: as tuples, two kinds may be equal."""
+    """List the types of changes: tuples of different types may be equal."""
     return [type(change).__name__ for change in changes]
 
 
@@ -28,8 +28,8 @@
     return list(members)
 
 
-# Work goes on as if nothing had happened though a host has lost all that it held: it
-# started again under its name, and only the start in its entry tells.
+# Guards against an unnoticed restart: a host restarts under the same name and loses its
+# state, and only the start time in its entry shows that.
 def test_new_start_in_the_list_is_a_restart() -> None:
     members = Members()
     assert describe(members.update(make_instance(EARLY))) == ["HostUpdated"]
@@ -39,9 +39,9 @@
     assert members.update(make_instance(LATE)) == []
 
 
-# A host is taken for restarted again and again, each time losing what it does: its
-# entry is written with the next heartbeat only, and still shows the earlier start.
-def test_list_does_not_take_back_what_a_report_has_shown() -> None:
+# Guards against repeated false restarts, each of which drops the host's work: its entry
+# still shows the earlier start until the next heartbeat.
+def test_list_does_not_undo_a_report() -> None:
     members = Members()
     members.update(make_instance(EARLY, is_draining=True))
     changes = members.apply_report(
@@ -56,9 +56,8 @@
     assert list_known(members) == [make_instance(LATE, role=PREFILL)]
 
 
-# The same the other way round: the list has shown the new start, and a report of the
-# earlier one comes late.
-def test_late_report_does_not_take_back_what_the_list_has_shown() -> None:
+# The reverse: the list shows the new start, and a report of the earlier one is late.
+def test_late_report_does_not_undo_the_list() -> None:
     members = Members()
     asked = make_instance(EARLY)
     members.update(asked)
@@ -67,9 +66,9 @@
     assert list_known(members) == [make_instance(LATE)]
 
 
-# A host that serves well is taken for ended: the report that was asked of its earlier
-# start was answered at that one's address, which another host has by now.
-def test_report_tells_nothing_of_a_start_that_was_not_asked() -> None:
+# Guards against a false restart of a healthy host: the report of its earlier start was
+# answered by another host that listens at the earlier address now.
+def test_report_is_ignored_for_a_start_that_was_not_queried() -> None:
     members = Members()
     asked = make_instance(EARLY)
     members.update(asked)
@@ -87,7 +86,7 @@
     assert members.expire(1.0 + MISSING_GRACE_SECONDS, False) == []
 
 
-def test_host_that_was_gone_is_back_as_the_same_start_or_another() -> None:
+def test_removed_host_can_return_with_the_same_or_another_start() -> None:
     members = Members()
     for other in ("b", "c", "d", "e"):
         members.update(make_instance(EARLY)._replace(host=other))
@@ -101,9 +100,9 @@
         members.remove(["a"], 1.0, False)
 
 
-# A whole fleet would lose its work at once: its hosts begin to tell their starts, or
-# the one source does and the other one does not.
-def test_start_that_is_told_for_the_first_time_is_no_restart() -> None:
+# Guards against a fleet that loses all its work at once, when its hosts begin to report
+# their start times, or only one of the sources reports them.
+def test_first_reported_start_is_no_restart() -> None:
     members = Members()
     members.update(make_instance(0, is_draining=True))
     assert members.apply_report(make_instance(0), make_report(0)) == []
@@ -114,7 +113,7 @@
     assert members.starts.name_incarnation("a") == HostStarts().name_incarnation("a")
 
 
-def test_starts_are_named_apart() -> None:
+def test_starts_have_distinct_names() -> None:
     known = HostStarts()
     names = [known.name_incarnation("a")]
     for started_ms in (EARLY, LATE, 3):
@@ -124,7 +123,7 @@
     assert len(set(names)) == 3
 
 
-def test_starts_that_are_remembered_are_bounded(monkeypatch) -> None:  # noqa: ANN001
+def test_memory_of_starts_is_limited(monkeypatch) -> None:  # noqa: ANN001
     known = HostStarts()
     for started_ms in range(1, MAX_ENDED_STARTS + 4):
         known.record("a", started_ms, StartSource.LISTED)
--- a/tests/gateway/test_starts_machine.py
+++ b/tests/gateway/test_starts_machine.py
@@ -1,7 +1,7 @@
-"""Drive one host through restarts, with a list and reports that lag behind it.
+"""State machine test of one host that restarts, with a delayed list and reports.
 
-What is wrong shows as a host that is taken for its earlier start again, that drains
-though only an earlier start said so, or that gets an order meant for another start.
+Guards against a host that is taken for its earlier start again, that counts as draining
+although only an earlier start was, or that gets an order meant for another start.
 """
 
 from dataclasses import dataclass, replace
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Start:
-    """Hold one start of the host as it is."""
+    """Hold the actual state of one start of the host."""
 
     number: int
     started_ms: int
@@ -34,7 +34,7 @@
     is_draining: bool = False
 
     def make_entry(self) -> Instance:
-        """Make what its heartbeat writes."""
+        """Make the entry that its heartbeat writes."""
         return Instance(
             HOST,
             "llm",
@@ -47,12 +47,12 @@
         )
 
     def make_report(self) -> EngineReport:
-        """Make what it says when asked."""
+        """Make its answer to a report query."""
         return EngineReport(DECODE, 0, False, self.started_ms)
 
 
 class StartsMachine(RuleBasedStateMachine):
-    """Let the list and reports lag in any way, and look at what is believed."""
+    """Delay the list and reports in any way, and check which start is current."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -60,13 +60,13 @@
         self.members = Members()
         self.starts: list[Start] = []
         self.drained: set[int] = set()
-        """Starts that have said that they drain."""
+        """Start times of starts that have announced a drain."""
         self.row: Instance | None = None
         self.feed: list[Instance | None] = []
-        """Changes of the list that have not come yet."""
+        """Changes of the list that have not been read yet."""
         self.reports: list[tuple[Instance, EngineReport]] = []
         self.believed = -1
-        """Number of the start that was last believed to be the present one."""
+        """Number of the start that the members last took for the current one."""
 
     @initialize(started_ms=st.integers(1, 6))
     def begin(self, started_ms: int) -> None:
@@ -85,7 +85,7 @@
         return next(s for s in self.starts if s.started_ms == started_ms)
 
     def take(self, changes: list[HostChange]) -> None:
-        """Follow changes: each new start is told once, with what it follows."""
+        """Check changes: each new start is reported once, with its predecessor."""
         for change in changes:
             if not isinstance(change, HostRestarted):
                 continue
@@ -100,7 +100,7 @@
     def restart(self, started_ms: int, moves: bool) -> None:
         if any(start.started_ms == started_ms for start in self.starts):
             return
-        # More starts than are remembered in the time of one late message are no case.
+        # More restarts than are remembered can't happen while a message is in transit.
         if len(self.starts) > 6:
             return
         number = len(self.starts)
@@ -162,7 +162,7 @@
             self.give_order(asked, report)
 
     def give_order(self, asked: Instance, report: EngineReport) -> None:
-        """Look at an order that is given: its count is that of the start it is for."""
+        """Check that an order is given only to the start that was queried."""
         assert asked.started_ms == report.started_ms == self.known.started_ms
         assert self.find(report.started_ms).number == self.believed
 
@@ -178,7 +178,7 @@
 
     @invariant()
     def reading_all_shows_the_present_start(self) -> None:
-        """Let a copy catch up, as the host goes on and the list is read."""
+        """Check with a copy that reading the list shows the host's current start."""
         if not self.starts:
             return
         copy = Members()
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -1,4 +1,4 @@
-"""What callers get whose requests are open when a gateway is told to stop."""
+"""Tests of requests that are open when a gateway is stopped."""
 
 import asyncio
 import socket
@@ -20,12 +20,12 @@
 
 KEPT = b"Host: desk.example\r\nX-Request-Id: r%d\r\n\r\n"
 LARGE = 12 * 1024 * 1024
-"""Bytes of an answer that no socket's buffers hold."""
+"""Size of an answer that exceeds all socket buffers."""
 SMALL_BUFFER = 4096
 
 
 def connect(env: Deployment, receive_buffer: int | None = None) -> socket.socket:
-    """Open a connection as a caller does."""
+    """Open a connection to the gateway as a caller."""
     ip, port = env.url.removeprefix("http://").split(":")
     caller = socket.socket()
     if receive_buffer is not None:
@@ -35,16 +35,16 @@
 
 
 def set_grace(gateway: Gateway, seconds: float) -> None:
-    """Give a gateway so many seconds from the signal to the platform's kill."""
+    """Set a gateway's time from the stop signal to the platform's kill."""
     bounds = msgspec.structs.replace(gateway.settings.bounds, grace_seconds=seconds)
     settings = msgspec.structs.replace(gateway.settings, bounds=bounds)
     gateway.apply_settings(settings)
 
 
-async def wait_until_idle(front: HttpFrontend) -> None:
+async def wait_until_idle(frontend: HttpFrontend) -> None:
     """Wait until no connection carries a request."""
     async with asyncio.timeout(5):
-        while await front.close_idle():
+        while await frontend.close_idle():
             await asyncio.sleep(0.005)
 
 
@@ -58,34 +58,34 @@
     raise AssertionError
 
 
-# A caller that reads slowly gets a part of its answer. The answer was handed to the
-# HTTP library whole, so its connection no longer counted as one that carries a request,
-# and the process ended while the rest still waited in its memory for the caller.
-def test_answer_that_is_still_being_sent_is_waited_for_in_a_stop() -> None:
+# Guards against a partial answer for a caller that reads slowly: the answer was passed
+# to the HTTP library as a whole, so its connection counts as idle, and the process
+# exits while the rest is still buffered.
+def test_stop_waits_for_answers_that_are_still_being_sent() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_large))
-            front = env.gateway.frontend
+            frontend = env.gateway.frontend
             with connect(env, SMALL_BUFFER) as caller:
                 caller.sendall(b"GET /read/a HTTP/1.1\r\n" + KEPT % 1)
                 await wait_until(lambda: len(env.gateway.replies) == 1)
                 await wait_until(lambda: len(env.gateway.replies) == 0)
-                assert await front.close_idle() == 1
+                assert await frontend.close_idle() == 1
 
                 reader, writer = await asyncio.open_connection(sock=caller)
                 async with asyncio.timeout(20):
                     head = await reader.readuntil(b"\r\n\r\n")
                     assert head.startswith(b"HTTP/1.1 200 ")
                     assert len(await reader.readexactly(LARGE)) == LARGE
-                await wait_until_idle(front)
+                await wait_until_idle(frontend)
                 writer.close()
 
     run(scenario())
 
 
-# A caller gets neither answer nor refusal: its request is with a host that says nothing
-# when the gateway's time to leave is over, and the connection ends with the process.
-# Whether it ran can't be told then, but that can be said.
+# Guards against a caller that gets neither an answer nor a refusal: its host has not
+# answered when the gateway's grace period ends, and the connection is closed with the
+# process. The caller must be told that the outcome is unknown.
 @pytest.mark.parametrize("path", ["/read/a", "/book/a"])
 def test_request_without_answer_is_refused_at_the_end_of_a_stop(
     path: str, monkeypatch: pytest.MonkeyPatch
@@ -107,10 +107,10 @@
     run(scenario())
 
 
-# A caller is cut off without an answer: its request came late in a stop and was taken,
-# since settings that were read meanwhile name more time than the platform has given
-# with its signal.
-def test_settings_read_in_a_stop_give_it_no_more_time() -> None:
+# Guards against a request that is cut off: it arrives late in a stop and is accepted,
+# since reloaded settings have a longer grace period than the one that the platform
+# applies.
+def test_settings_reloaded_during_a_stop_do_not_extend_it() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_whole))
@@ -125,7 +125,7 @@
 
 
 class LoopIterations:
-    """Count the loop's turns from the read of a request to its handler."""
+    """Count event loop iterations from the read of a request to its handler."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 0
@@ -134,23 +134,23 @@
         self._take = RequestHandler.data_received
         self._count = Connections._change_count
         monkeypatch.setattr(
-            RequestHandler, "data_received", lambda *given: self._note_read(*given)
+            RequestHandler, "data_received", lambda *given: self._record_read(*given)
         )
         monkeypatch.setattr(
-            Connections, "_change_count", lambda *given: self._note_use(*given)
+            Connections, "_change_count", lambda *given: self._record_use(*given)
         )
 
     def start(self) -> None:
-        """Count from now on."""
+        """Start counting iterations."""
         self.now += 1
         asyncio.get_running_loop().call_soon(self.start)
 
-    def _note_read(self, connection: RequestHandler, data: bytes) -> None:
+    def _record_read(self, connection: RequestHandler, data: bytes) -> None:
         if data:
             self._since = self.now
         self._take(connection, data)
 
-    def _note_use(
+    def _record_use(
         self, connections: Connections, connection: RequestHandler, change: int
     ) -> None:
         if change > 0:
@@ -159,20 +159,21 @@
         self._count(connections, connection, change)
 
 
-# A caller gets no answer though a host runs its request: a stop closes what carries no
-# request so many turns after it has paused reading, and another release of the HTTP
-# library, or another way to come to a handler, takes more turns than are waited for.
+# Guards against a request that a host runs without an answer to the caller. A stop
+# pauses reading and closes idle connections a fixed number of event loop iterations
+# later. Another release of the HTTP library, or another code path, may take more
+# iterations to start the handler.
 @pytest.mark.parametrize("is_pipelined", [True, False])
-def test_request_comes_to_its_handler_within_the_turns_that_are_waited(
+def test_handler_starts_within_the_expected_loop_iterations(
     is_pipelined: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    turns = LoopIterations(monkeypatch)
+    iterations = LoopIterations(monkeypatch)
     data = [b"GET /read/a HTTP/1.1\r\n" + KEPT % number for number in range(3)]
 
     async def scenario() -> None:
         async with deployment() as env:
             await env.serve_desk("d-1", Desk(answer_whole))
-            turns.start()
+            iterations.start()
             with connect(env) as caller:
                 reader, writer = await asyncio.open_connection(sock=caller)
                 if is_pipelined:
@@ -185,6 +186,6 @@
                 writer.close()
 
     run(scenario())
-    assert len(turns.waited) == len(data)
-    # One is to spare.
-    assert max(turns.waited) < HANDLER_LOOP_ITERATIONS
+    assert len(iterations.waited) == len(data)
+    # One iteration is a margin.
+    assert max(iterations.waited) < HANDLER_LOOP_ITERATIONS
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Answers of engines through a gateway, under failure."""
+"""Tests of streams from engines through a gateway, under failure."""
 
 import asyncio
 import time
@@ -16,7 +16,7 @@
 
 
 async def start_engines(env: Deployment, decode: int = 1) -> list[StagedEngine]:
-    """Start one engine for prompts and some for answers."""
+    """Start one prefill engine and some decode engines."""
     engines = [StagedEngine("p-1", "prefill")]
     engines += [StagedEngine(f"d-{n}", "decode") for n in range(1, decode + 1)]
     for engine in engines:
@@ -25,7 +25,7 @@
 
 
 async def stream(env: Deployment, path: str, name: str, **more: str) -> bytes:
-    """Send a request and take its whole answer."""
+    """Send a request and return its complete answer."""
     async with (
         aiohttp.ClientSession() as session,
         session.post(
@@ -38,11 +38,11 @@
 
 
 def make_whole(name: str) -> bytes:
-    """Make the whole answer to a request."""
+    """Make the complete answer to a request."""
     return b"".join(make_event(name, number) for number in range(1, EVENTS + 1))
 
 
-def test_prompt_and_answer_run_at_engines_of_their_stage() -> None:
+def test_prefill_and_decode_run_at_engines_of_their_role() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             prefill, decode = await start_engines(env)
@@ -53,11 +53,11 @@
     run(scenario())
 
 
-# All callers are refused for seconds though the only engine for answers serves most of
-# them: some of its connections are reset, and it is left out as if another one could
-# make its answers, since engines for prompts are left.
+# Guards against refusals for seconds although the only decode engine serves most
+# requests: some of its connections are reset, and it is skipped because other engines
+# are left, which are all prefill engines.
 @pytest.mark.parametrize("host", ["p-1", "d-1"])
-def test_only_engine_of_a_role_is_asked_though_it_fails(host: str) -> None:
+def test_only_engine_of_a_role_is_used_although_it_fails(host: str) -> None:
     async def scenario() -> None:
         async with deployment() as env:
             prefill, decode = await start_engines(env)
@@ -71,7 +71,7 @@
     run(scenario())
 
 
-def test_failing_engine_is_left_out_where_it_is_not_even_reached() -> None:
+def test_failing_engine_is_skipped_if_it_is_unreachable() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             prefill, decode = await start_engines(env)
@@ -85,9 +85,9 @@
     run(scenario())
 
 
-# The caller sees an event twice, or half of one, or a stream that ends early: an
-# engine breaks off within an event and another one goes on behind the last whole one.
-def test_stream_goes_on_elsewhere_without_gap_or_repeat() -> None:
+# Guards against duplicate, partial or missing events: an engine aborts within an event,
+# and another one resumes after the last complete event.
+def test_stream_is_resumed_without_missing_or_duplicate_events() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             _, first, second = await start_engines(env, decode=2)
@@ -98,9 +98,9 @@
     run(scenario())
 
 
-# The caller sees a gap or an event twice: its prompt was read by an engine that makes
-# answers, as the other one had too much to read, and that engine breaks off.
-def test_prompt_read_beside_answers_goes_on_elsewhere_without_gap_or_repeat() -> None:
+# As above, but the prompt was prefilled by the decode engine that aborts, since the
+# prefill engine had too long a queue.
+def test_stream_with_prefill_at_a_decode_engine_is_resumed() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             prefill, first, second = await start_engines(env, decode=2)
@@ -115,9 +115,9 @@
     run(scenario())
 
 
-# The caller takes a part for the whole: the engine breaks off, the stream may not be
-# resumed, and the end of what has come is marked like the end of an answer.
-def test_stream_that_breaks_off_does_not_look_complete() -> None:
+# Guards against a partial stream that looks complete: the engine aborts, the stream is
+# not resumable, and the partial answer is ended regularly.
+def test_aborted_stream_does_not_look_complete() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             _, decode = await start_engines(env)
@@ -129,9 +129,9 @@
     run(scenario())
 
 
-# On call, an answer that broke off is looked for among the refusals: the log and the
-# metrics say that the request was refused, though the caller had half of an answer.
-def test_stream_that_breaks_off_is_not_counted_as_refused() -> None:
+# Guards against misleading metrics: a request counts as refused although its caller has
+# received part of an answer.
+def test_aborted_stream_is_not_counted_as_refused() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             _, decode = await start_engines(env)
@@ -145,9 +145,9 @@
     run(scenario())
 
 
-# The caller is refused though engines are idle: the engine that made the KV cache has
-# lost it, and each engine that is to fetch it refuses.
-def test_lost_kv_cache_is_made_again() -> None:
+# Guards against a refusal although engines are idle: the prefill engine has lost the KV
+# cache, and each decode engine that tries to fetch it refuses.
+def test_lost_kv_cache_is_rebuilt() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             _, first, second = await start_engines(env, decode=2)
@@ -157,9 +157,9 @@
     run(scenario())
 
 
-# An engine works on for a caller that has left: the gateway does not notice, or tells
-# nobody.
-def test_engine_stops_when_the_caller_leaves() -> None:
+# Guards against wasted work for a caller that has disconnected: the gateway does not
+# detect the disconnect, or does not cancel the request at the engine.
+def test_engine_stops_when_the_caller_disconnects() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             _, decode = await start_engines(env)
@@ -173,9 +173,9 @@
     run(scenario())
 
 
-# A caller jumps the queue or takes memory of the engines: it sends headers that only
-# the system sets.
-def test_headers_of_the_system_are_not_taken_from_callers() -> None:
+# Guards against a caller that jumps the queue or reserves engine memory with headers
+# that are for internal use.
+def test_internal_headers_of_callers_are_dropped() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             _, decode = await start_engines(env)
--- a/tests/gateway/test_topology.py
+++ b/tests/gateway/test_topology.py
@@ -1,4 +1,4 @@
-"""Tests of who tells whom among the gateways."""
+"""Tests of the links between gateways and of the choice of collectors."""
 
 import pytest
 from hypothesis import given
@@ -27,7 +27,7 @@
 
 
 def list_links(sites: dict[str, Site], gone: set[str] = frozenset()) -> set[frozenset]:
-    """List the pairs of gateways between which links are up."""
+    """Return the pairs of gateways between which links are up."""
     present = sites.keys() - gone
     return {
         frozenset((own, peer))
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("data_centres", DATA_CENTRES)
 @pytest.mark.parametrize("count", COUNTS)
-def test_links_grow_with_the_gateways(count: int, data_centres: int) -> None:
+def test_number_of_links_grows_linearly(count: int, data_centres: int) -> None:
     links = len(list_links(make_sites(count, data_centres)))
     between = (COLLECTOR_CANDIDATES * data_centres) ** 2
     assert links <= max(MAX_MESH_GATEWAYS**2, COLLECTOR_CANDIDATES * count + between)
@@ -62,30 +62,31 @@
     st.sampled_from(DATA_CENTRES),
     st.integers(0, 3),
 )
-def test_all_agree_on_who_collects(
+def test_all_gateways_agree_on_the_collectors(
     numbers: set[int], data_centres: int, gone: int
 ) -> None:
     sites = make_sites(41, data_centres)
     sites = {name: sites[name] for name in (f"front-{n}" for n in numbers)}
     lost = set(sorted(sites)[:gone])
     links = list_links(sites, lost)
-    circles = {
+    groups = {
         own: find_exchange_group(sites, own, list_linked(links, own))
         for own in sites.keys() - lost
     }
-    collectors = {circle.collector for circle in circles.values()}
+    collectors = {group.collector for group in groups.values()}
     present = {site.data_centre for name, site in sites.items() if name not in lost}
     assert len(collectors) == len(present)
-    # Who is told tells back, and each hears of each data centre from one other alone.
-    for own, circle in circles.items():
-        assert all(own in circles[peer].recipients for peer in circle.recipients)
-        if circle.collector == own:
-            assert set(circle.collectors) == collectors - {own}
+    # Peers exchange loads in both directions, and each gateway receives the loads of
+    # each data centre from only one other gateway.
+    for own, group in groups.items():
+        assert all(own in groups[peer].recipients for peer in group.recipients)
+        if group.collector == own:
+            assert set(group.collectors) == collectors - {own}
 
 
-# Gateways that were removed for good are still listed: whoever ranks first among them
-# would be waited for, and nobody would hear of the others' work.
-def test_gateways_that_do_not_answer_are_passed_over() -> None:
+# Guards against gateways that receive no loads, because the first-ranked candidates are
+# gone for good but still listed.
+def test_unresponsive_gateways_are_skipped() -> None:
     sites = make_sites(31)
     own = next(own for own in sites if len(choose_dialled(sites, own, ())) > 1)
     first = choose_dialled(sites, own, ())
@@ -97,28 +98,28 @@
     assert len(more) == 2 * COLLECTOR_CANDIDATES
 
 
-# Callers at the gateway that collects waited, and its own changes of configuration too:
-# it was one of the small machines, and collecting took all that it had.
-def test_large_machines_collect_for_small_ones() -> None:
+# Guards against a collector on a small machine, where collecting takes all the capacity
+# and delays its callers and its own configuration changes.
+def test_large_machine_is_chosen_as_collector() -> None:
     sites = make_sites(31, 3) | {"large": Site("z-1", 2.0)}
     linked = sites.keys() - {"large"}
     assert find_exchange_group(sites, "large", linked).collector == "large"
     for own in linked:
         if sites[own].data_centre == "z-1":
-            circle = find_exchange_group(sites, own, sites.keys() - {own})
-            assert circle.collector == "large"
+            group = find_exchange_group(sites, own, sites.keys() - {own})
+            assert group.collector == "large"
 
 
-def test_few_gateways_need_nobody_to_collect() -> None:
+def test_mesh_needs_no_collector() -> None:
     sites = make_sites(MAX_MESH_GATEWAYS, 3)
-    circle = find_exchange_group(sites, "front-0", sites.keys() - {"front-0"})
-    assert circle.collector is None
-    assert len(circle.recipients) == MAX_MESH_GATEWAYS - 1
+    group = find_exchange_group(sites, "front-0", sites.keys() - {"front-0"})
+    assert group.collector is None
+    assert len(group.recipients) == MAX_MESH_GATEWAYS - 1
 
 
 @pytest.mark.parametrize("data_centres", DATA_CENTRES)
 @pytest.mark.parametrize("count", [31, 330])
-def test_few_may_collect_and_they_are_followed_by_others(
+def test_few_collector_candidates_are_replaced_by_others(
     count: int, data_centres: int
 ) -> None:
     sites = make_sites(count, data_centres)
--- a/tests/gateway/test_unframed_ends.py
+++ b/tests/gateway/test_unframed_ends.py
@@ -1,4 +1,4 @@
-"""Answers without framing whose hosts end just behind them."""
+"""Tests of answers without framing whose hosts crash or exit directly after them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -19,15 +19,15 @@
 
 
 class CrashingDesk(CrashingServer):
-    """Answer without framing, and end."""
+    """Answer without framing, and crash."""
 
     def __init__(self) -> None:
         self.answers = 0
         self.prepare: Callable[[], Awaitable[None]] | None = None
-        """What is done before the answer."""
+        """Callback that runs before the answer."""
 
     async def answer(self, request: web.Request) -> web.Response:
-        """Send what may be a part, and end without a word to anybody."""
+        """Send a possibly partial answer, and crash."""
         self.answers += 1
         if self.prepare is not None:
             await self.prepare()
@@ -44,9 +44,9 @@
         return app
 
 
-# The caller gets a part of an answer as complete: its host is killed, and the kernel
-# closes the connections of a killed process as regularly as those of one that is done.
-def test_part_of_an_answer_is_not_given_where_its_host_has_ended() -> None:
+# Guards against a partial answer that looks complete: the host is killed, and the
+# kernel closes its connections in the same way as a process that has finished.
+def test_partial_answer_of_a_killed_host_is_not_returned() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             desk = CrashingDesk()
@@ -59,7 +59,7 @@
     run(scenario())
 
 
-def test_answer_goes_on_elsewhere_where_its_host_has_ended() -> None:
+def test_call_is_retried_if_its_host_was_killed() -> None:
     async def scenario() -> None:
         async with deployment() as env:
             desk = CrashingDesk()
@@ -75,9 +75,10 @@
     run(scenario())
 
 
-# A whole answer is thrown away: its host leaves as planned, and ends with it.
+# Guards against a complete answer that is dropped because its host, which was leaving
+# as planned, exits directly after it.
 @pytest.mark.parametrize("is_gone", [False, True], ids=["draining", "gone"])
-def test_last_answer_of_a_host_that_leaves_is_given(is_gone: bool) -> None:
+def test_last_answer_of_a_leaving_host_is_returned(is_gone: bool) -> None:
     async def scenario() -> None:
         async with deployment() as env:
             desk = CrashingDesk()
@@ -101,14 +102,14 @@
 
 
 class Relay:
-    """Listen for a host, also once it has ended, as a balancer in front of it does."""
+    """Relay connections to a host and keep listening after it has crashed."""
 
     def __init__(self, target: str) -> None:
         self._ip, port = target.rsplit(":", 1)
         self._port = int(port)
 
     async def listen(self) -> str:
-        """Listen until the loop ends; give the address."""
+        """Listen until the event loop ends; return the address."""
         server = await asyncio.start_server(self._carry, LOOPBACK, 0)
         ip, port = server.sockets[0].getsockname()
         return f"{ip}:{port}"
@@ -131,8 +132,8 @@
     writer.close()
 
 
-# The caller gets a part of an answer as complete: its host is killed behind a relay,
-# which goes on listening and closes each connection as soon as it has taken it.
+# Guards against a partial answer that looks complete: the host is killed behind a
+# relay, which keeps listening and closes each connection as soon as it has accepted it.
 def test_part_of_an_answer_is_not_given_where_a_relay_listens_for_its_host() -> None:
     async def scenario() -> None:
         async with deployment() as env:
--- a/tests/routes/test_core.py
+++ b/tests/routes/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of routes."""
+"""Tests of matching routes and choosing upstreams."""
 
 import pytest
 
@@ -48,7 +48,7 @@
     assert (route.name if route else None) == name
 
 
-def test_split_follows_its_weights_and_stays_with_a_request() -> None:
+def test_split_follows_its_weights_and_is_stable_per_request() -> None:
     route = make_route("r", "/", Split("old", 90.0), Split("new", 10.0))
     chosen = [choose_upstream(route, f"r{number}") for number in range(2_000)]
     assert 120 < chosen.count("new") < 280
@@ -64,7 +64,7 @@
         (RouteKind.STREAM, True, True),
     ],
 )
-def test_what_may_run_again(
+def test_idempotency_by_kind_of_route(
     kind: RouteKind, is_resumable: bool, is_idempotent: bool
 ) -> None:
     route = make_route("r", "/", kind=kind, is_resumable=is_resumable)
