--- a/radishtally/gateway/cache_discovery.py
+++ b/radishtally/gateway/cache_discovery.py
@@ -66,9 +66,11 @@
         return rank(names, key)[0] == self._own_name
 
     async def _read_engine(self, instance: Instance) -> None:
-        kept = await self._engines.read_cached_parts(instance)
-        if kept.is_error():
-            log_message("recall:engine_unread", engine=instance.host, reason=kept.error)
+        cached = await self._engines.read_cached_parts(instance)
+        if cached.is_error():
+            log_message(
+                "recall:engine_unread", engine=instance.host, reason=cached.error
+            )
             return
-        count = self._placement.record_kept_parts(instance.host, kept.ok)
+        count = self._placement.record_kept_parts(instance.host, cached.ok)
         log_message("recall:engine_read", engine=instance.host, parts=count)
--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -93,7 +93,7 @@
             prefill_counts_as_run=False,
         )
         self.hosts = DirectHosts(host_dialect, self.runtime.guard_call(self._receive))
-        self.hosts.answers.on_mismatch = self.metrics.count_doubted_answer
+        self.hosts.answers.on_mismatch = self.metrics.count_mismatch
         self.hosts.answers.on_notice = self.runtime.guard_call(self.handle_notice)
         self.frontend = HttpFrontend(self, caller_dialect)
         self._stopping_since: float | None = None
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -181,9 +181,9 @@
     def _find_interval(self) -> float:
         if is_mesh(self._sites):
             return LOAD_BATCH_SECONDS
-        ours = list_gateways_in(self._sites, self._sites[self._own_name].data_centre)
+        local = list_gateways_in(self._sites, self._sites[self._own_name].data_centre)
         others = len(list_data_centres(self._sites)) - 1
-        return max(LOAD_BATCH_SECONDS, (len(ours) + others) * COLLECT_SECONDS_PER_PEER)
+        return max(LOAD_BATCH_SECONDS, (len(local) + others) * COLLECT_SECONDS_PER_PEER)
 
     def _describe_others(self) -> PeerStaleness:
         """Return the number of other gateways and the maximum age of their loads."""
@@ -261,7 +261,7 @@
             self._hub.send(peer, self._make_backlog(hosts, peer))
 
     def _send_parts(self) -> None:
-        """Send the parts newly given to engines, not those that they still hold."""
+        """Send the parts that engines were newly given, not those they still hold."""
         outgoing = [
             (self._own_name, parts) for parts in self._placement.pop_parts_read()
         ]
--- a/radishtally/gateway/members.py
+++ b/radishtally/gateway/members.py
@@ -193,8 +193,8 @@
             return False
         if host in self._missing:
             return True
-        shown = instance._replace(started_ms=known.started_ms)
-        return shown != known and heartbeats <= self._heartbeats.get(host, 0)
+        reported = instance._replace(started_ms=known.started_ms)
+        return reported != known and heartbeats <= self._heartbeats.get(host, 0)
 
     def update(self, instance: Instance, heartbeats: int = 0) -> list[HostChange]:
         """Apply one entry, unless it belongs to a start that has ended."""
@@ -246,11 +246,11 @@
             return []
         if not report.started_ms or report.started_ms == known.started_ms:
             return []
-        shown = known._replace(started_ms=report.started_ms)
+        reported = known._replace(started_ms=report.started_ms)
         if known.started_ms:
             # The draining state belonged to the earlier start.
-            shown = shown._replace(role=report.role, is_draining=False)
-        return self._apply_instance(shown, StartSource.REPORTED)
+            reported = reported._replace(role=report.role, is_draining=False)
+        return self._apply_instance(reported, StartSource.REPORTED)
 
     def _apply_instance(
         self, instance: Instance, source: StartSource
@@ -261,8 +261,10 @@
         if restart is not None:
             self._heartbeats.pop(host, None)
         instance = instance._replace(started_ms=self.starts.get(host))
-        left = self._leaving.get(host)
-        if left is not None and is_same_start(left, instance.started_ms):
+        leaving_start = self._leaving.get(host)
+        if leaving_start is not None and is_same_start(
+            leaving_start, instance.started_ms
+        ):
             instance = instance._replace(is_draining=True)
         if self._instances.get(host) == instance:
             return changes
@@ -386,5 +388,5 @@
                 for host, entry in self._unconfirmed.items()
             }
             return []
-        late = [host for host, until in self._missing.items() if until <= now]
-        return [self._remove_host(host, now) for host in late]
+        expired = [host for host, until in self._missing.items() if until <= now]
+        return [self._remove_host(host, now) for host in expired]
--- a/radishtally/gateway/metrics.py
+++ b/radishtally/gateway/metrics.py
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
-        self._ended = Counter(
+        self._requests = Counter(
             "radishtally_requests",
             "Requests by kind of route and by how they ended",
             ["kind", "outcome"],
@@ -72,15 +72,17 @@
             ["stage"],
             registry=self._registry,
         )
-        self._doubts = Counter(
+        self._mismatches = Counter(
             "radishtally_doubted_answers",
             "Answers of hosts that may belong to another request",
             ["doubt"],
             registry=self._registry,
         )
-        self._first = self._make_histogram("first_part", "first part of the answer")
-        self._whole = self._make_histogram("whole", "end of the answer")
-        self._open = Gauge(
+        self._first_part_seconds = self._make_histogram(
+            "first_part", "first part of the answer"
+        )
+        self._whole_seconds = self._make_histogram("whole", "end of the answer")
+        self._open_requests = Gauge(
             "radishtally_open_requests", "Open requests", registry=self._registry
         )
         self._notices = Counter(
@@ -183,21 +185,21 @@
     def record_opened(self, routed: RoutedRequest) -> None:
         """Record that a request was opened."""
         self._started[routed.work.request] = time.monotonic(), routed.work.kind
-        self._open.inc()
+        self._open_requests.inc()
 
     def count_offer(self, stage: str) -> None:
         """Count an offer of a request to a host."""
         self._offers.labels(stage).inc()
 
-    def count_doubted_answer(self, doubt: AnswerMismatch) -> None:
+    def count_mismatch(self, mismatch: AnswerMismatch) -> None:
         """Count an answer that may belong to a different request."""
-        self._doubts.labels(doubt.name.lower()).inc()
+        self._mismatches.labels(mismatch.name.lower()).inc()
 
     def observe_first_part(self, request: str) -> None:
         """Observe the time to the first part of an answer."""
-        began, kind = self._started.get(request, (None, ""))
-        if began is not None:
-            self._first.labels(kind).observe(time.monotonic() - began)
+        started_at, kind = self._started.get(request, (None, ""))
+        if started_at is not None:
+            self._first_part_seconds.labels(kind).observe(time.monotonic() - started_at)
 
     def record_outcome(self, request: str, outcome: str) -> None:
         """Record the outcome of a request."""
@@ -209,14 +211,14 @@
 
     def record_closed(self, request: str, ending: Ending) -> tuple[str, float]:
         """Record that a request was closed; return its outcome and duration."""
-        began, kind = self._started.pop(request, (time.monotonic(), ""))
+        started_at, kind = self._started.pop(request, (time.monotonic(), ""))
         outcome = self._outcomes.pop(request, CALLER_LEFT)
-        seconds = time.monotonic() - began
-        self._open.dec()
-        self._ended.labels(kind, outcome).inc()
+        seconds = time.monotonic() - started_at
+        self._open_requests.dec()
+        self._requests.labels(kind, outcome).inc()
         self._endings.labels(kind, ending, outcome).inc()
         if outcome == ANSWERED:
-            self._whole.labels(kind).observe(seconds)
+            self._whole_seconds.labels(kind).observe(seconds)
         return outcome, seconds
 
     def render(self) -> bytes:
--- a/radishtally/gateway/peers.py
+++ b/radishtally/gateway/peers.py
@@ -102,12 +102,12 @@
         )
         await self._hub.start(self._address)
         gateway.runtime.spawn(self._loads.run())
-        stood_before = await self._registry.write_own_row()
+        had_row = await self._registry.write_own_row()
         reads = 0
         while True:
             names = await self._sync_peers()
             reads += 1
-            if stood_before and reads == 1:
+            if had_row and reads == 1:
                 gateway.runtime.spawn(gateway.cache_discovery.run(names))
             is_joining = reads < STARTUP_PEER_READS
             is_soon = is_joining or self._roster.is_read_pending
@@ -131,8 +131,8 @@
         self._era_changed.clear()
         await asyncio.sleep(random.uniform(0.0, ERA_READ_SPREAD_SECONDS))
         await self._sync_secret()
-        stood = await self._registry.write_own_row()
-        log_message("peers:row_stands", was_lost=not stood)
+        had_row = await self._registry.write_own_row()
+        log_message("peers:row_stands", was_lost=not had_row)
 
     async def _sync_secret(self) -> None:
         """Make sure that the secret in use is the one in the store.
@@ -174,8 +174,8 @@
         sites = {name: read_site(row) for name, row in rows.items()}
         sites[self._host] = self._site
         self._loads.set_sites(sites)
-        silent = self._dialled - set(self._hub.hosts)
-        dialled = set(choose_dialled(sites, self._host, silent))
+        unresponsive = self._dialled - set(self._hub.hosts)
+        dialled = set(choose_dialled(sites, self._host, unresponsive))
         for name in self._dialled - dialled:
             self._hub.forget(name)
         for name in dialled:
@@ -183,7 +183,7 @@
         self._dialled = dialled
 
     async def _remove_gone(
-        self, rows: Mapping[str, Row], standing: Mapping[str, Row]
+        self, rows: Mapping[str, Row], stored: Mapping[str, Row]
     ) -> None:
         """Remove the existing rows of gateways that are permanently gone.
 
@@ -208,8 +208,8 @@
         for name in self._unreachable_peers.list_unreachable_for(
             PEER_REMOVAL_SECONDS, now
         ):
-            if name in standing:
-                await self._registry.remove(standing[name])
+            if name in stored:
+                await self._registry.remove(stored[name])
 
     def _link_up(self, hello: Hello) -> None:
         self._loads.handle_link_up(hello.host)
@@ -222,5 +222,5 @@
 
 
 def _is_always_busy(host: str) -> bool:
-    """Return True: the load received over a link must expire soon after it fails."""
+    """Return True, so that a dead link is detected soon and its loads are dropped."""
     return True
--- a/radishtally/gateway/registry.py
+++ b/radishtally/gateway/registry.py
@@ -27,7 +27,7 @@
 """Partition of the rows that hold the gateways' peer addresses."""
 PEER_SECRET_KEY: Final = Key("secrets", "peer-key")
 """Key of the secret that gateways share; the first gateway generates it."""
-WRITE_SECONDS: Final = 2.0
+WRITE_TIMEOUT_SECONDS: Final = 2.0
 MAX_GATEWAYS: Final = 1_000
 """Maximum number of rows to read: three times the number of gateways supported."""
 
@@ -92,7 +92,7 @@
             self._table,
             [write],
             secrets.token_hex(8),
-            deadline=time.monotonic() + WRITE_SECONDS,
+            deadline=time.monotonic() + WRITE_TIMEOUT_SECONDS,
         )
 
 
--- a/radishtally/gateway/topology.py
+++ b/radishtally/gateway/topology.py
@@ -129,12 +129,12 @@
     collector = find_first_reachable(names, own_name, linked)
     if collector != own_name:
         return ExchangeGroup(collector, (collector,))
-    firsts = [
+    other_collectors = [
         find_first_reachable(list_gateways_in(sites, data_centre), own_name, linked)
         for data_centre in list_data_centres(sites)
         if data_centre != sites[own_name].data_centre
     ]
     members = tuple(name for name in names if name in linked)
     return ExchangeGroup(
-        own_name, members, tuple(name for name in firsts if name is not None)
+        own_name, members, tuple(name for name in other_collectors if name is not None)
     )
--- a/tests/gateway/test_cache_discovery.py
+++ b/tests/gateway/test_cache_discovery.py
@@ -24,13 +24,13 @@
     """Return the same cached parts for each engine, and record the queries."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.queried: list[str] = []
         self.silent: set[str] = set()
 
     async def read_cached_parts(
         self, instance: Instance
     ) -> Result[list[CachedPart], str]:
-        self.asked.append(instance.host)
+        self.queried.append(instance.host)
         return Error("no answer") if instance.host in self.silent else Ok(KEPT)
 
 
@@ -59,7 +59,7 @@
         discovery = CacheDiscovery(name, engines, placement, lambda: instances)
         run(discovery.run(NAMES))
         parts_read = placement.pop_parts_read()
-        assert {parts.host for parts in parts_read} <= set(engines.asked)
+        assert {parts.host for parts in parts_read} <= set(engines.queried)
         # Both the querying gateway and its peers know the parts then.
         other = make_placement(instances)
         for parts in parts_read:
@@ -67,7 +67,7 @@
             for each in (placement, other):
                 cache = each._engines[parts.host].cache
                 assert cache.count("m", PARTS) == 5_500
-    assert sorted(engines.asked) == sorted(item.host for item in instances)
+    assert sorted(engines.queried) == sorted(item.host for item in instances)
 
 
 def test_engine_that_does_not_answer_counts_as_empty() -> None:
--- a/tests/gateway/test_content.py
+++ b/tests/gateway/test_content.py
@@ -4,11 +4,11 @@
 
 from radishtally.gateway.requests import hash_content
 
-ASKED = ("POST", "desk.example", "/draft/a?x=1", b"prompt")
+REQUEST = ("POST", "desk.example", "/draft/a?x=1", b"prompt")
 
 
 def test_equal_requests_have_equal_hashes() -> None:
-    assert hash_content(*ASKED) == hash_content(*ASKED)
+    assert hash_content(*REQUEST) == hash_content(*REQUEST)
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
 def test_different_requests_have_different_hashes(
     other: tuple[str, str, str, bytes],
 ) -> None:
-    assert hash_content(*other) != hash_content(*ASKED)
+    assert hash_content(*other) != hash_content(*REQUEST)
 
 
 # Guards against a bare 500 from the HTTP library for a path that is not valid UTF-8.
--- a/tests/gateway/test_http_frontend.py
+++ b/tests/gateway/test_http_frontend.py
@@ -217,25 +217,29 @@
 
             # Both sockets become ready in the same event loop iteration, the caller's
             # first.
-            ours, theirs = socket.socketpair()
+            receiver, sender = socket.socketpair()
             loop = asyncio.get_running_loop()
-            loop.add_reader(ours, start_at_once, ours, frontend.close_idle())
+            loop.add_reader(
+                receiver, start_immediately, receiver, frontend.close_idle()
+            )
             caller.sendall(b"GET /read/a HTTP/1.1\r\n" + GOOD + b"\r\n")
-            theirs.send(b"now")
+            sender.send(b"now")
             reader, writer = await asyncio.open_connection(sock=caller)
             async with asyncio.timeout(5):
                 answer = await reader.read()
             assert answer.startswith(b"HTTP/1.1 200 ")
             assert answer.endswith(b"whole")
-            for end in (writer, ours, theirs):
+            for end in (writer, receiver, sender):
                 end.close()
 
     run(scenario())
 
 
-def start_at_once(ours: socket.socket, work: Coroutine[None, None, int]) -> None:
+def start_immediately(
+    receiver: socket.socket, work: Coroutine[None, None, int]
+) -> None:
     """Run a coroutine up to its first await in this iteration, the rest later."""
-    asyncio.get_running_loop().remove_reader(ours)
+    asyncio.get_running_loop().remove_reader(receiver)
     run_next(work)
 
 
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -340,7 +340,7 @@
         gateway.suspects.record_host_end(content, HostEnd(known, 0.05), now)
 
 
-# Guards against a request that crashes hosts at each gateway anew.
+# Guards against a request that crashes hosts through one gateway after another.
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
 @pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
 def test_denied_requests_reach_each_gateway(count: int, data_centres: int) -> None:
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -56,8 +56,8 @@
 
 async def ask_often(env: Deployment, count: int = REQUESTS) -> list[int]:
     """Send requests concurrently; return their statuses."""
-    asked = (ask(env, "/read/a", f"r-{time.monotonic()}-{n}") for n in range(count))
-    return [status for status, _, _ in await asyncio.gather(*asked)]
+    answers = (ask(env, "/read/a", f"r-{time.monotonic()}-{n}") for n in range(count))
+    return [status for status, _, _ in await asyncio.gather(*answers)]
 
 
 # Guards against requests that are open when their host exits: the host announces in its
--- a/tests/gateway/test_peers_restore.py
+++ b/tests/gateway/test_peers_restore.py
@@ -32,12 +32,12 @@
 """Reads per second that the store serves."""
 MOST_GATEWAYS = 330
 AWAY = Unavailable("away")
-LOOK_READS = 3
+READS_PER_GATEWAY = 3
 """Reads of a gateway in a new era: secret, own row, all rows."""
 
 
 @pytest.fixture
-def seldom_reads(monkeypatch: pytest.MonkeyPatch) -> None:
+def rare_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let gateways read the store again only in a new era, and immediately."""
     monkeypatch.setattr(peers, "STARTUP_PEER_READS", 1)
     monkeypatch.setattr(peers, "PEER_READ_SECONDS", 1000.0)
@@ -72,7 +72,7 @@
 # backup from before the gateway's first write, so that its row is missing, or from
 # before its latest write, so that the row has an outdated address.
 @pytest.mark.parametrize("copied", [None, {"address": "127.0.0.1:9"}])
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_own_row_is_rewritten_immediately_in_a_new_era(copied: dict | None) -> None:
     async def scenario() -> None:
         async with deployment() as env:
@@ -92,7 +92,7 @@
 # Guards against a new gateway without links for ten seconds: its row is in the restored
 # backup, but the other gateways have not read it yet. They must read all rows when the
 # era changes.
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_all_rows_are_read_immediately_in_a_new_era() -> None:
     async def scenario() -> None:
         async with deployment() as env:
@@ -128,14 +128,14 @@
             assert read_value(env, GATEWAYS_PARTITION, "gateway-1") is None
 
     run(scenario())
-    reads = MOST_GATEWAYS * LOOK_READS / peers.ERA_READ_SPREAD_SECONDS
+    reads = MOST_GATEWAYS * READS_PER_GATEWAY / peers.ERA_READ_SPREAD_SECONDS
     assert reads <= STORE_READS / 2
 
 
 # Guards against gateways that do not find each other: the store is away again when a
 # gateway reads the rows of the new era. The failed read must be retried before the next
 # regular read, which is far off.
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_failed_read_in_a_new_era_is_retried_until_the_store_is_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -177,7 +177,7 @@
 # Guards against two groups of gateways that can't link to each other and overload
 # engines: the secret is lost in a restore, and the next gateway that starts generates
 # another one.
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_gateways_from_before_a_restore_link_to_those_that_start_after_it() -> None:
     async def scenario() -> None:
         async with deployment() as env:
@@ -200,7 +200,7 @@
 # As above, but a gateway that starts after the restore stores its secret first. The
 # others adopt it one by one and link again. Meanwhile a running request must get its
 # complete answer, and no gateway may exit.
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_gateways_adopt_a_secret_that_was_stored_first() -> None:
     async def scenario() -> None:
         async with deployment() as env, run_gateway(env.store, "gateway-2") as second:
@@ -238,7 +238,7 @@
 # Guards against too many retries and uncounted open work: the rows of running gateways
 # are lost in a restore, so their links are closed and the retry budget is shared among
 # fewer, although all of them will write their rows again.
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_gateways_missing_in_a_new_era_are_kept_until_they_had_time_to_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -273,7 +273,7 @@
 # Guards against a replaced machine that shares the retry budget and is dialled forever:
 # its row was removed, and came back with a restore. As it is unreachable, its row must
 # be removed again, and it must not be kept as a gateway that may write again.
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_removed_gateway_whose_row_was_restored_is_removed_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -301,7 +301,7 @@
 # rejected, or its outcome is unclear, as its revision is from before the restore. It
 # must be retried with the revision from the next read.
 @pytest.mark.parametrize("error", [Conflict((0,)), Unclear("older era"), AWAY])
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_removal_that_fails_in_a_new_era_is_retried(
     error: TableError, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -314,7 +314,7 @@
             )
             assert (await gateway.table.transact([gone], "w")).is_ok()
             monkeypatch.setattr(peers, "PEER_REMOVAL_SECONDS", -1.0)
-            monkeypatch.setattr(registry, "WRITE_SECONDS", 0.1)
+            monkeypatch.setattr(registry, "WRITE_TIMEOUT_SECONDS", 0.1)
             transact = gateway.table.transact
             tried, logged = [], []
             add_destinations(logged.append)
@@ -341,7 +341,7 @@
 
 # Guards against rows that stay lost: the store is restored a second time while a
 # gateway rewrites its rows for the first restore, and the second one is missed.
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_second_restore_while_rows_are_rewritten_is_handled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -349,19 +349,19 @@
         async with deployment() as env:
             gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
-            write_own_row, looks = gateway.peers._registry.write_own_row, []
+            write_own_row, rewrites = gateway.peers._registry.write_own_row, []
 
             async def write() -> bool:
-                looks.append(await write_own_row())
-                if len(looks) == 1:
+                rewrites.append(await write_own_row())
+                if len(rewrites) == 1:
                     env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
                     env.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
                     gateway.peers.enter_era()
-                return looks[-1]
+                return rewrites[-1]
 
             monkeypatch.setattr(gateway.peers._registry, "write_own_row", write)
             gateway.peers.enter_era()
-            await wait_until(lambda: len(looks) > 1)
+            await wait_until(lambda: len(rewrites) > 1)
             await wait_for_row(env, GATEWAYS_PARTITION, "gateway-1")
             await wait_for_row(env, *PEER_SECRET_KEY)
 
@@ -370,7 +370,7 @@
 
 # As above, but the store is restored while the gateway starts. Its writes may be lost,
 # and without a new read no other gateway would find it.
-@pytest.mark.usefixtures("seldom_reads")
+@pytest.mark.usefixtures("rare_reads")
 def test_restore_during_startup_is_handled_after_startup(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/gateway/test_registry.py
+++ b/tests/gateway/test_registry.py
@@ -145,7 +145,7 @@
 ) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(registry, "JOIN_POLL_SECONDS", 0.0)
-        monkeypatch.setattr(registry, "WRITE_SECONDS", 0.01)
+        monkeypatch.setattr(registry, "WRITE_TIMEOUT_SECONDS", 0.01)
         table, logged = MemoryTable(), []
         table.drop_writes = 1_000_000
         add_destinations(logged.append)
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -211,9 +211,9 @@
             env.announce_engine(engine, state="draining")
             core, stages = env.gateway.core, env.gateway.stages
             await wait_until(lambda: not core.hosts["d-1"].live)
-            (asked,) = [i for i in env.gateway.members if i.host == "d-1"]
+            (queried,) = [i for i in env.gateway.members if i.host == "d-1"]
             engine.restart(LATE)
-            await stages._carry_out(asked, RoleChange("d-1", "prefill"))
+            await stages._carry_out(queried, RoleChange("d-1", "prefill"))
             assert engine.orders == []
             assert core.hosts["d-1"].live
             # Changes are read in order: once the removal has been read, so has the
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -2,7 +2,7 @@
 
 from radishtally.gateway import roster
 from radishtally.gateway.const import ERA_READ_SPREAD_SECONDS, PEER_READ_SECONDS
-from radishtally.gateway.registry import GATEWAYS_PARTITION, WRITE_SECONDS
+from radishtally.gateway.registry import GATEWAYS_PARTITION, WRITE_TIMEOUT_SECONDS
 from radishtally.gateway.roster import ERA_SETTLE_SECONDS, Roster
 from radishtally.store.core import Key, Row
 
@@ -39,7 +39,7 @@
     assert set(added) == {*THREE, "gateway-4"}
     late = 99.9 + ERA_SETTLE_SECONDS
     assert set(known.update(make_rows("gateway-1"), late)) == {*THREE, "gateway-4"}
-    others = PEER_READ_SECONDS + ERA_READ_SPREAD_SECONDS + WRITE_SECONDS
+    others = PEER_READ_SECONDS + ERA_READ_SPREAD_SECONDS + WRITE_TIMEOUT_SECONDS
     assert 2 * others <= ERA_SETTLE_SECONDS
 
 
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -123,7 +123,7 @@
                     return response.status
 
             async with aiohttp.ClientSession() as session:
-                asked = [
+                tasks = [
                     asyncio.create_task(ask(name, gateways[index % 2]))
                     for index, name in enumerate(names)
                 ]
@@ -133,7 +133,7 @@
                 change_settings(other, 0.7)
                 change_settings(env.gateway, 0.9)
                 go_on.set()
-                assert await asyncio.gather(*asked) == [200] * len(names)
+                assert await asyncio.gather(*tasks) == [200] * len(names)
             assert sorted(seen) == names
 
     run(scenario())
--- a/tests/gateway/test_starts.py
+++ b/tests/gateway/test_starts.py
@@ -59,10 +59,10 @@
 # The reverse: the list shows the new start, and a report of the earlier one is late.
 def test_late_report_does_not_undo_the_list() -> None:
     members = Members()
-    asked = make_instance(EARLY)
-    members.update(asked)
+    queried = make_instance(EARLY)
+    members.update(queried)
     members.update(make_instance(LATE))
-    assert members.apply_report(asked, make_report(EARLY)) == []
+    assert members.apply_report(queried, make_report(EARLY)) == []
     assert list_known(members) == [make_instance(LATE)]
 
 
@@ -70,10 +70,10 @@
 # answered by another host that listens at the earlier address now.
 def test_report_is_ignored_for_a_start_that_was_not_queried() -> None:
     members = Members()
-    asked = make_instance(EARLY)
-    members.update(asked)
+    queried = make_instance(EARLY)
+    members.update(queried)
     members.update(make_instance(LATE, address="a:2"))
-    assert members.apply_report(asked, make_report(7)) == []
+    assert members.apply_report(queried, make_report(7)) == []
     assert list_known(members) == [make_instance(LATE, address="a:2")]
 
 
--- a/tests/gateway/test_starts_machine.py
+++ b/tests/gateway/test_starts_machine.py
@@ -65,13 +65,13 @@
         self.feed: list[Instance | None] = []
         """Changes of the list that have not been read yet."""
         self.reports: list[tuple[Instance, EngineReport]] = []
-        self.believed = -1
+        self.current = -1
         """Number of the start that the members last took for the current one."""
 
     @initialize(started_ms=st.integers(1, 6))
     def begin(self, started_ms: int) -> None:
         self.starts = [Start(0, started_ms, "a:0")]
-        self.beat()
+        self.send_heartbeat()
 
     @property
     def present(self) -> Start:
@@ -84,17 +84,17 @@
     def find(self, started_ms: int) -> Start:
         return next(s for s in self.starts if s.started_ms == started_ms)
 
-    def take(self, changes: list[HostChange]) -> None:
+    def check_changes(self, changes: list[HostChange]) -> None:
         """Check changes: each new start is reported once, with its predecessor."""
         for change in changes:
             if not isinstance(change, HostRestarted):
                 continue
-            assert change.before == self.starts[self.believed].started_ms
+            assert change.before == self.starts[self.current].started_ms
             number = self.find(change.after).number
-            assert number > self.believed
-            self.believed = number
-        if self.known is not None and self.believed < 0:
-            self.believed = self.find(self.known.started_ms).number
+            assert number > self.current
+            self.current = number
+        if self.known is not None and self.current < 0:
+            self.current = self.find(self.known.started_ms).number
 
     @rule(started_ms=st.integers(1, 60), moves=st.booleans())
     def restart(self, started_ms: int, moves: bool) -> None:
@@ -113,12 +113,12 @@
         self.drained.add(self.present.started_ms)
 
     @rule()
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         self.row = self.present.make_entry()
         self.feed.append(self.row)
 
     @rule()
-    def lapse(self) -> None:
+    def expire_entry(self) -> None:
         self.row = None
         self.feed.append(None)
 
@@ -127,20 +127,20 @@
     def read_change(self, after_outage: bool) -> None:
         entry = self.feed.pop(0)
         if entry is None:
-            self.take(self.members.remove([HOST], self.now, after_outage))
+            self.check_changes(self.members.remove([HOST], self.now, after_outage))
         else:
-            self.take(self.members.update(entry))
+            self.check_changes(self.members.update(entry))
 
     @rule(after_outage=st.booleans())
     def read_whole_list(self, after_outage: bool) -> None:
         self.feed.clear()
         rows = [] if self.row is None else [self.row]
-        self.take(self.members.replace(rows, self.now, after_outage))
+        self.check_changes(self.members.replace(rows, self.now, after_outage))
 
     @rule(seconds=st.sampled_from([0.5, MISSING_GRACE_SECONDS]))
     def expire(self, seconds: float) -> None:
         self.now += seconds
-        self.take(self.members.expire(self.now, False))
+        self.check_changes(self.members.expire(self.now, False))
 
     @precondition(lambda self: self.known is not None)
     @rule()
@@ -150,26 +150,26 @@
 
     @precondition(lambda self: self.reports)
     @rule(data=st.data())
-    def hear_report(self, data: st.DataObject) -> None:
+    def receive_report(self, data: st.DataObject) -> None:
         index = data.draw(st.integers(0, len(self.reports) - 1))
-        asked, report = self.reports.pop(index)
-        self.take(self.members.apply_report(asked, report))
+        queried, report = self.reports.pop(index)
+        self.check_changes(self.members.apply_report(queried, report))
         if self.known is None or not is_same_start(
-            self.known.started_ms, asked.started_ms
+            self.known.started_ms, queried.started_ms
         ):
             return
-        if is_same_start(report.started_ms, asked.started_ms):
-            self.give_order(asked, report)
+        if is_same_start(report.started_ms, queried.started_ms):
+            self.give_order(queried, report)
 
-    def give_order(self, asked: Instance, report: EngineReport) -> None:
+    def give_order(self, queried: Instance, report: EngineReport) -> None:
         """Check that an order is given only to the start that was queried."""
-        assert asked.started_ms == report.started_ms == self.known.started_ms
-        assert self.find(report.started_ms).number == self.believed
+        assert queried.started_ms == report.started_ms == self.known.started_ms
+        assert self.find(report.started_ms).number == self.current
 
     @invariant()
     def start_never_goes_back(self) -> None:
         if self.known is not None:
-            assert self.find(self.known.started_ms).number == self.believed
+            assert self.find(self.known.started_ms).number == self.current
 
     @invariant()
     def drain_is_the_starts_own(self) -> None:
