--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services through a gateway, under failure."""
+"""Calls to plain services through a gateway, under failure."""
 
 import asyncio
 import socket
@@ -23,20 +23,20 @@
 
 
 async def ask(
-    made: Deployment, path: str, name: str, method: str = "GET", body: bytes = b""
+    env: Deployment, path: str, name: str, method: str = "GET", body: bytes = b""
 ) -> tuple[int, dict[str, str], bytes]:
-    """Send one request over a connection of its own."""
+    """Send one request over a new connection; return status, headers and body."""
     async with (
         aiohttp.ClientSession() as session,
         session.request(
-            method, made.url + path, headers=make_headers(name), data=body or None
+            method, env.url + path, headers=make_headers(name), data=body or None
         ) as response,
     ):
         return response.status, dict(response.headers), await response.read()
 
 
 class Desk:
-    """Answer as told, and keep what arrived."""
+    """Return scripted answers and record the requests."""
 
     def __init__(self, *answers: object) -> None:
         self.answers = list(answers)
@@ -44,7 +44,7 @@
         self.bodies: list[bytes] = []
 
     async def __call__(self, request: web.Request) -> web.StreamResponse:
-        """Give the next answer, the last one again and again."""
+        """Return the next answer; the last one is repeated."""
         self.bodies.append(await request.read())
         self.seen.append(request)
         answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
@@ -80,7 +80,7 @@
 
 
 def reset(request: web.Request) -> None:
-    """End the connection by a reset, not by a close."""
+    """Reset the connection instead of closing it."""
     peer = request.transport.get_extra_info("socket")
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     request.transport.abort()
@@ -104,13 +104,11 @@
 
 
 def test_answer_passes_unchanged() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             desk = Desk(answer_whole)
-            await made.serve_desk("d-1", desk)
-            status, headers, body = await ask(
-                made, "/book/a?b=%20c", "r1", "POST", b"x"
-            )
+            await env.serve_desk("d-1", desk)
+            status, headers, body = await ask(env, "/book/a?b=%20c", "r1", "POST", b"x")
             assert (status, body) == (200, b"whole")
             assert headers["X-Server-Signature"] == "by-desk"
             (seen,) = desk.seen
@@ -120,130 +118,129 @@
             assert 0 < int(seen.headers["X-Deadline-Ms"]) <= 4000
             assert desk.bodies == [b"x"]
 
-    run(play())
+    run(scenario())
 
 
-# The caller sees 200 with a part of the body: the host sends an answer without a
-# length, which ends with its connection, and the connection is reset on the way. The
-# HTTP library takes any end of the connection for the end of the answer.
+# Guards against 200 with a partial body: an answer without a length ends with its
+# connection, and the HTTP library takes a reset of the connection for its end.
 def test_reset_does_not_end_answer_without_length() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(reset_unframed))
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(reset_unframed))
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert status == 502
             assert b"only a part" not in body
 
-    run(play())
+    run(scenario())
 
 
 def test_close_ends_answer_without_length() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(close_unframed))
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(close_unframed))
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert (status, body) == (200, b"all of it")
 
-    run(play())
+    run(scenario())
 
 
-# The caller is told "not run" and sends its call again, so it runs twice: the host ran
-# the call and its answer was lost. Only a refusal of the host's own says "not run".
+# Guards against a call that runs twice: the host ran it and its answer was lost, but
+# the caller is told that it did not run, and retries. Only a refusal by the host itself
+# proves that a call did not run.
 @pytest.mark.parametrize(
     "answer", [reset_without_answer, answer_other, answer_unsigned]
 )
-def test_call_that_may_have_run_is_neither_repeated_nor_said_not_to_have_run(
+def test_call_that_may_have_run_is_neither_retried_nor_reported_as_not_run(
     answer: object,
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             first, second = Desk(answer), Desk(answer)
-            await made.serve_desk("d-1", first)
-            await made.serve_desk("d-2", second)
-            status, headers, body = await ask(made, "/book/a", "r1", "POST")
+            await env.serve_desk("d-1", first)
+            await env.serve_desk("d-2", second)
+            status, headers, body = await ask(env, "/book/a", "r1", "POST")
             assert status == 502
             assert headers["X-Ran"] == "unknown"
             assert b"caller's" not in body
             assert len(first.seen) + len(second.seen) == 1
 
-    run(play())
+    run(scenario())
 
 
-def test_call_that_was_refused_goes_to_another_host() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+def test_refused_call_goes_to_another_host() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
             refusing, taking = Desk(answer_not_run), Desk(answer_whole)
-            await made.serve_desk("d-1", refusing)
-            await made.serve_desk("d-2", taking)
-            made.gateway.core.budgets = RetryBudgets(1.0, 1.0)
+            await env.serve_desk("d-1", refusing)
+            await env.serve_desk("d-2", taking)
+            env.gateway.core.budgets = RetryBudgets(1.0, 1.0)
             for number in range(4):
-                status, _, _ = await ask(made, "/book/a", f"r{number}", "POST")
+                status, _, _ = await ask(env, "/book/a", f"r{number}", "POST")
                 assert status == 200
             assert len(taking.seen) == 4
-            # A host that refuses again and again is left out for a while.
+            # A host that refuses repeatedly is skipped for a while.
             assert len(refusing.seen) <= REFUSALS_TO_TRIP_BREAKER
 
-    run(play())
+    run(scenario())
 
 
-def test_call_refused_everywhere_is_said_not_to_have_run() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_not_run))
-            status, headers, _ = await ask(made, "/book/a", "r1", "POST")
+def test_call_refused_by_all_hosts_is_reported_as_not_run() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_not_run))
+            status, headers, _ = await ask(env, "/book/a", "r1", "POST")
             assert status in (429, 503)
             assert headers["X-Ran"] == "no"
             assert float(headers["Retry-After"]) > 0
 
-    run(play())
+    run(scenario())
 
 
-def test_failed_safe_call_is_tried_again() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+def test_failed_safe_call_is_retried() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
             first, second = (Desk(answer_failure, answer_whole) for _ in range(2))
-            await made.serve_desk("d-1", first)
-            await made.serve_desk("d-2", second)
-            status, _, body = await ask(made, "/read/a", "r1")
+            await env.serve_desk("d-1", first)
+            await env.serve_desk("d-2", second)
+            status, _, body = await ask(env, "/read/a", "r1")
             assert (status, body) in [(200, b"whole"), (500, b"broken")]
             assert len(first.seen) + len(second.seen) == 2
 
-    run(play())
+    run(scenario())
 
 
-# The caller sees 502 where the host had said 500: the call failed there and was tried
-# at another host, and that one failed too. What a host says of its failure is the
-# answer, and nobody replaces it.
-def test_failure_everywhere_is_the_hosts_own_answer() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            await made.serve_desk("d-1", Desk(answer_failure))
-            await made.serve_desk("d-2", Desk(answer_failure))
-            status, headers, body = await ask(made, "/read/a", "r1")
+# Guards against 502 instead of a host's own 500: the call failed at one host, was
+# retried at another and failed there too. The host's answer must be forwarded.
+def test_failure_at_all_hosts_returns_a_hosts_own_answer() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
+            await env.serve_desk("d-1", Desk(answer_failure))
+            await env.serve_desk("d-2", Desk(answer_failure))
+            status, headers, body = await ask(env, "/read/a", "r1")
             assert (status, body) == (500, b"broken")
             assert headers["X-Server-Signature"] == "by-desk"
 
-    run(play())
+    run(scenario())
 
 
-def test_failed_unsafe_call_is_not_tried_again() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+def test_failed_unsafe_call_is_not_retried() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
             first, second = Desk(answer_failure), Desk(answer_failure)
-            await made.serve_desk("d-1", first)
-            await made.serve_desk("d-2", second)
-            status, _, body = await ask(made, "/book/a", "r1", "POST")
+            await env.serve_desk("d-1", first)
+            await env.serve_desk("d-2", second)
+            status, _, body = await ask(env, "/book/a", "r1", "POST")
             assert (status, body) == (500, b"broken")
             assert len(first.seen) + len(second.seen) == 1
 
-    run(play())
+    run(scenario())
 
 
-# A caller waits for ever: while its request is open, another one of the same name comes
-# to the gateway, takes its place, and whatever a host answers goes to that one.
-def test_second_open_request_of_a_name_is_refused_and_the_first_answered() -> None:
-    async def play() -> None:
-        async with deployment() as made:
+# Guards against a caller that waits forever: while its request is open, a second
+# request with the same id arrives, replaces it, and receives its answer.
+def test_second_open_request_with_same_id_is_refused_and_first_answered() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
             go_on = asyncio.Event()
 
             async def answer_later(request: web.Request) -> web.Response:
@@ -251,10 +248,10 @@
                 return await answer_whole(request)
 
             desk = Desk(answer_later)
-            await made.serve_desk("d-1", desk)
-            first = asyncio.create_task(ask(made, "/read/a", "r1"))
+            await env.serve_desk("d-1", desk)
+            first = asyncio.create_task(ask(env, "/read/a", "r1"))
             await wait_until(lambda: len(desk.seen) == 1)
-            second = asyncio.create_task(ask(made, "/read/a", "r1"))
+            second = asyncio.create_task(ask(env, "/read/a", "r1"))
             async with asyncio.timeout(5):
                 await asyncio.wait({second}, timeout=1)
                 go_on.set()
@@ -263,4 +260,4 @@
             assert (status, headers.get("X-Ran")) == (409, "no")
             assert len(desk.seen) == 1
 
-    run(play())
+    run(scenario())
