--- a/radishtally/planner/__init__.py
+++ b/radishtally/planner/__init__.py
@@ -1,1 +1,1 @@
-"""Planning of the engines' roles."""
+"""Planning of the engines' roles by demand."""
--- a/radishtally/planner/capacity.py
+++ b/radishtally/planner/capacity.py
@@ -1,4 +1,4 @@
-"""Fluid model of what a pool's engines can serve."""
+"""Fluid model of the demand that a pool's engines can serve."""
 
 from collections.abc import Mapping, Sequence
 from math import inf
@@ -8,33 +8,33 @@
 from radishtally.planner.demand import DemandRates
 
 HEADROOM: Final = 0.85
-"""Share of an engine's time that can be used before deadlines are missed."""
+"""Utilization of an engine up to which deadlines are met."""
 
 
 class Speed(NamedTuple):
-    """Tell what one engine of a role does each second if it does nothing else."""
+    """Hold an engine's tokens per second, each for an engine that does nothing else."""
 
     prefill_tokens: float
     decode_tokens: float
 
 
-class Stage(NamedTuple):
-    """Set what is asked of prefill or decode beside what there is for it."""
+class StageLoad(NamedTuple):
+    """Compare the demand for prefill or decode with the capacity for it."""
 
-    asked: float
-    """Tokens a second, as the others."""
+    demand: float
+    """Tokens per second, as in the other fields."""
     dedicated: float
-    """What the engines of the stage's own role do."""
+    """Capacity of the engines of the stage's own role."""
     mixed: float
-    """What one mixed engine does."""
+    """Capacity of one mixed engine."""
 
-    def find_share(self) -> float:
-        """Find the share that the dedicated engines serve."""
-        return self.dedicated / self.asked if self.asked > 0 else inf
+    def compute_dedicated_share(self) -> float:
+        """Return the share of the demand that the dedicated engines can serve."""
+        return self.dedicated / self.demand if self.demand > 0 else inf
 
-    def find_need(self) -> float:
-        """Find the mixed engines that it would take to serve everything."""
-        return self.asked / self.mixed if self.mixed > 0 else inf
+    def compute_mixed_engines(self) -> float:
+        """Return the number of mixed engines that would serve the whole demand."""
+        return self.demand / self.mixed if self.mixed > 0 else inf
 
 
 Speeds = Mapping[str, Speed]
@@ -44,58 +44,62 @@
     PREFILL: Speed(1.3, 0.3),
     DECODE: Speed(0.5, 2.0),
 }
-"""Speed of a role beside a mixed engine, until an engine of the role reported."""
+"""Speed of each role relative to a mixed engine, until one of the role has reported."""
 
 
-def complete_speeds(seen: Speeds) -> dict[str, Speed]:
-    """Add the speeds of roles that no engine has at present."""
-    if not seen:
+def complete_speeds(reported: Speeds) -> dict[str, Speed]:
+    """Add estimated speeds for roles that no engine has reported."""
+    if not reported:
         return {}
-    known, speed = next(iter(sorted(seen.items())))
+    known, speed = next(iter(sorted(reported.items())))
     base = RELATIVE_SPEEDS[known]
     prefill = speed.prefill_tokens / base.prefill_tokens
     decode = speed.decode_tokens / base.decode_tokens
-    guessed = {
+    estimated = {
         role: Speed(prefill * item.prefill_tokens, decode * item.decode_tokens)
         for role, item in RELATIVE_SPEEDS.items()
     }
-    return {**guessed, **seen}
+    return {**estimated, **reported}
 
 
-def find_served(asked: DemandRates, counts: Mapping[str, int], speeds: Speeds) -> float:
-    """Find the share of what is asked that engines of these roles can serve."""
-    prefill = Stage(
-        asked.prefill_tokens,
+def compute_served_share(
+    demand: DemandRates, counts: Mapping[str, int], speeds: Speeds
+) -> float:
+    """Return the share of the demand that engines of these roles can serve."""
+    prefill = StageLoad(
+        demand.prefill_tokens,
         HEADROOM * counts.get(PREFILL, 0) * speeds[PREFILL].prefill_tokens,
         speeds[MIXED].prefill_tokens,
     )
-    decode = Stage(
-        asked.decode_tokens,
+    decode = StageLoad(
+        demand.decode_tokens,
         HEADROOM * counts.get(DECODE, 0) * speeds[DECODE].decode_tokens,
         speeds[MIXED].decode_tokens,
     )
-    first, second = sorted((prefill, decode), key=Stage.find_share)
+    first, second = sorted((prefill, decode), key=StageLoad.compute_dedicated_share)
     mixed = HEADROOM * counts.get(MIXED, 0)
     if mixed <= 0:
-        return min(1.0, first.find_share())
-    return min(1.0, fill_up(first, second, mixed))
+        return min(1.0, first.compute_dedicated_share())
+    return min(1.0, distribute_mixed(first, second, mixed))
 
 
-def fill_up(first: Stage, second: Stage, mixed: float) -> float:
-    """Find the served share when mixed engines help the stage that is short first."""
-    alone = first.find_share() + mixed / first.find_need()
-    if alone <= second.find_share():
-        return alone
-    needs = first.find_need() + second.find_need()
+def distribute_mixed(first: StageLoad, second: StageLoad, mixed: float) -> float:
+    """Return the served share; mixed engines first help the first, shorter stage."""
+    share = first.compute_dedicated_share() + mixed / first.compute_mixed_engines()
+    if share <= second.compute_dedicated_share():
+        return share
+    needs = first.compute_mixed_engines() + second.compute_mixed_engines()
     dedicated = first.dedicated / first.mixed + second.dedicated / second.mixed
     return (mixed + dedicated) / needs
 
 
-def find_prefill_share(asked: DemandRates, speeds: Speeds) -> float:
-    """Find the share of prefill in the engine-seconds that are asked."""
+def compute_prefill_share(demand: DemandRates, speeds: Speeds) -> float:
+    """Return the share of prefill in the demanded engine-seconds."""
     mixed = speeds[MIXED]
-    prefill = asked.prefill_tokens / mixed.prefill_tokens if mixed.prefill_tokens else 0
-    decode = asked.decode_tokens / mixed.decode_tokens if mixed.decode_tokens else 0
+    prefill = (
+        demand.prefill_tokens / mixed.prefill_tokens if mixed.prefill_tokens else 0
+    )
+    decode = demand.decode_tokens / mixed.decode_tokens if mixed.decode_tokens else 0
     return prefill / (prefill + decode) if prefill + decode > 0 else 0.5
 
 
--- a/radishtally/planner/core.py
+++ b/radishtally/planner/core.py
@@ -1,4 +1,4 @@
-"""Planner of the engines' roles: takes events in and gives commands back."""
+"""Planner of the engines' roles: handles events and returns commands."""
 
 from functools import singledispatch
 from typing import Final, NamedTuple
@@ -9,9 +9,15 @@
 from radishtally.planner.capacity import (
     Speed,
     complete_speeds,
-    find_prefill_share,
+    compute_prefill_share,
+)
+from radishtally.planner.demand import (
+    DemandEstimator,
+    DemandHistory,
+    DemandRates,
+    MixTracker,
+    WorkCounters,
 )
-from radishtally.planner.demand import Demand, DemandRates, History, Mix, WorkCounters
 from radishtally.planner.policies import (
     Decision,
     EngineView,
@@ -23,15 +29,15 @@
 __all__ = ["WorkCounters", "Decision", "EngineView", "Pool", "PoolView", "decide"]
 
 STALE_SECONDS: Final = 10.0
-"""Age from which a report no longer shows that the engine is there."""
-CHANGE_SECONDS: Final = 60.0
-"""Time beyond the drain after which an unconfirmed change no longer blocks others."""
+"""Age beyond which a report no longer shows that the engine is alive."""
+CHANGE_TIMEOUT_SECONDS: Final = 60.0
+"""Time after the drain until an unconfirmed change stops blocking others."""
 BACKLOG_SECONDS: Final = 10.0
-"""Time within which waiting prefill should be worked off."""
+"""Time within which waiting prefill should be done."""
 
 
 class LoadReported(NamedTuple):
-    """Bring the load that an engine's agent reported."""
+    """Event: an engine's agent reported its load."""
 
     pool: Pool
     load: Load
@@ -39,46 +45,46 @@
 
 
 class HostGone(NamedTuple):
-    """Say that an engine's host is gone."""
+    """Event: an engine's host was removed."""
 
     host: str
 
 
 class Configured(NamedTuple):
-    """Say that a configuration is in force."""
+    """Event: a configuration is in force."""
 
     policy: Policy
     roles: dict[str, str]
-    """Configured role by host."""
+    """Configured roles by host."""
 
 
 class LeaseGained(NamedTuple):
-    """Say that this process holds the lease, and bring the plan as it stands."""
+    """Event: this process holds the lease, and the stored plan has been read."""
 
     fencing: int
     plan: Plan | None
 
 
 class LeaseLost(NamedTuple):
-    """Say that this process no longer holds the lease."""
+    """Event: this process no longer holds the lease."""
 
 
 class PlanWritten(NamedTuple):
-    """Say that the plan that was to be written stands in the table."""
+    """Event: the plan was written to the table."""
 
     plan: Plan
 
 
 class PlanNotWritten(NamedTuple):
-    """Say that the plan surely does not stand in the table."""
+    """Event: the plan was definitely not written to the table."""
 
 
 class Tick(NamedTuple):
-    """Say that time has passed."""
+    """Event: time has passed."""
 
 
 class WritePlan(NamedTuple):
-    """Write a plan in a transaction that checks the lease row."""
+    """Command: write a plan in a transaction that checks the lease row."""
 
     fencing: int
     previous: Plan | None
@@ -86,112 +92,113 @@
     cause: str
 
 
-class Seen(NamedTuple):
-    """Hold an engine's last report."""
+class TimedLoad(NamedTuple):
+    """Hold an engine's last reported load and its time."""
 
     load: Load
     at: float
 
 
 class PoolState:
-    """Hold what the planner knows of one pool."""
+    """Hold the planner's state of one pool."""
 
     def __init__(self, pool: Pool, now: float) -> None:
         self.pool = pool
-        self.seen: dict[str, Seen] = {}
-        self.demand = Demand(now)
-        self.mix = Mix()
-        self.history = History()
+        self.reports: dict[str, TimedLoad] = {}
+        self.demand = DemandEstimator(now)
+        self.mix = MixTracker()
+        self.history = DemandHistory()
         self.speeds: dict[str, Speed] = {}
         self.last_change: float | None = None
 
-    def note_load(self, load: Load, now: float) -> None:
-        """Take in an engine's load."""
-        before = self.seen.get(load.host)
-        self.seen[load.host] = Seen(load, now)
+    def record_load(self, load: Load, now: float) -> None:
+        """Record an engine's load."""
+        before = self.reports.get(load.host)
+        self.reports[load.host] = TimedLoad(load, now)
         if before is not None and before.load.role != load.role:
             self.last_change = now
         if load.prefill_rate > 0 and load.decode_seconds > 0:
             decode = load.slots / load.decode_seconds
             self.speeds[load.role] = Speed(load.prefill_rate, decode)
 
-    def read_asked(self, now: float) -> DemandRates:
-        """Give what is asked of the pool, with what already waits."""
-        asked = self.demand.read(now)
+    def estimate_demand(self, now: float) -> DemandRates:
+        """Return the demand on the pool, including queued prefill."""
+        demand = self.demand.read(now)
         waiting = sum(
             item.load.prefill_backlog * item.load.prefill_rate
-            for item in self.seen.values()
+            for item in self.reports.values()
         )
-        prefill = asked.prefill_tokens + waiting / BACKLOG_SECONDS
-        return asked._replace(prefill_tokens=prefill)
+        prefill = demand.prefill_tokens + waiting / BACKLOG_SECONDS
+        return demand._replace(prefill_tokens=prefill)
 
 
 class Planner:
-    """Keep the view of a place's pools warm, and plan while holding the lease."""
+    """Track a place's pools, and plan role changes while holding the lease."""
 
     def __init__(self) -> None:
         self.pools: dict[Pool, PoolState] = {}
         self.policy = Policy()
         self.roles: dict[str, str] = {}
         self.fencing: int | None = None
-        """Fencing number of the lease while it is held."""
+        """Fencing token of the lease; None if it is not held."""
         self.plan: Plan | None = None
-        """Plan that stands in the table."""
+        """Plan as last read from or written to the table."""
         self.pending: WritePlan | None = None
-        """Plan whose write has not ended."""
-        self.awaited: dict[str, float] = {}
-        """Since when the plan is to be carried out, by host that does not show it."""
+        """Plan whose write is in flight."""
+        self.unconfirmed: dict[str, float] = {}
+        """Time since when a host's planned change has been unconfirmed."""
 
     def get_pool(self, pool: Pool, now: float) -> PoolState:
-        """Get what is known of a pool."""
+        """Return the state of a pool; create it if needed."""
         if pool not in self.pools:
             self.pools[pool] = PoolState(pool, now)
         return self.pools[pool]
 
     def find_load(self, host: str) -> Load | None:
-        """Find the last load of an engine."""
+        """Return the last load of an engine."""
         for state in self.pools.values():
-            if host in state.seen:
-                return state.seen[host].load
+            if host in state.reports:
+                return state.reports[host].load
         return None
 
     def is_changing(self, state: PoolState) -> bool:
-        """Tell whether a change of the pool may be under way."""
-        # A host that nobody reported on yet may be of any pool.
+        """Return whether a role change of the pool may be in progress."""
+        # A host without a report may belong to any pool.
         return any(
-            host in state.seen or self.find_load(host) is None for host in self.awaited
+            host in state.reports or self.find_load(host) is None
+            for host in self.unconfirmed
         )
 
-    def await_plan(self, now: float) -> None:
-        """Wait for the hosts that do not show yet what the plan wants of them."""
+    def track_unconfirmed(self, now: float) -> None:
+        """Track the hosts that do not yet report their planned role."""
         wanted = self.plan.wanted if self.plan is not None else {}
-        self.awaited = {
-            host: self.awaited.get(host, now)
+        self.unconfirmed = {
+            host: self.unconfirmed.get(host, now)
             for host, item in wanted.items()
-            if not shows_role(self.find_load(host), item.role)
+            if not reports_role(self.find_load(host), item.role)
         }
 
-    def drop_intentions(self) -> None:
-        """Forget what was planned or assumed: only the table tells the next holder."""
+    def reset_plan(self) -> None:
+        """Drop the plan and pending changes: the next lease holder reads the table."""
         self.plan = None
         self.pending = None
-        self.awaited = {}
+        self.unconfirmed = {}
 
     def describe_pool(self, state: PoolState, now: float) -> PoolView:
-        """Describe a pool for a decision."""
+        """Build the view of a pool that policies decide on."""
         return PoolView(
             pool=state.pool,
             engines=tuple(
                 self._view_engine(item.load)
-                for item in state.seen.values()
+                for item in state.reports.values()
                 if now - item.at < STALE_SECONDS
             ),
-            demand=state.read_asked(now),
+            demand=state.estimate_demand(now),
             speeds=complete_speeds(state.speeds),
             remaining=state.mix.predict_remaining(now),
             mix_length=state.mix.predict_length(now),
-            history=state.history.list_asked(),
-            span=state.history.find_span(now),
+            history=state.history.list_samples(),
+            history_seconds=state.history.measure_span(now),
             last_change=state.last_change,
             changing=self.pending is not None or self.is_changing(state),
         )
@@ -209,23 +216,23 @@
 
 @singledispatch
 def handle(event: object, planner: Planner, now: float) -> list[WritePlan]:
-    """Take in one event and return what is to be done."""
+    """Handle one event and return the commands to execute."""
     raise TypeError(f"unknown event: {type(event).__name__}")
 
 
 @handle.register
 def _(event: LoadReported, planner: Planner, now: float) -> list[WritePlan]:
     state = planner.get_pool(event.pool, now)
-    state.note_load(event.load, now)
-    state.demand.note(event.load.host, event.counts, now)
-    confirm(event.load, planner, state, now)
+    state.record_load(event.load, now)
+    state.demand.record_counters(event.load.host, event.counts, now)
+    confirm_change(event.load, planner, state, now)
     return []
 
 
 @handle.register
 def _(event: HostGone, planner: Planner, now: float) -> list[WritePlan]:
     for state in planner.pools.values():
-        state.seen.pop(event.host, None)
+        state.reports.pop(event.host, None)
         state.demand.forget(event.host)
     return []
 
@@ -239,30 +246,30 @@
 
 @handle.register
 def _(event: LeaseGained, planner: Planner, now: float) -> list[WritePlan]:
-    planner.drop_intentions()
+    planner.reset_plan()
     planner.fencing = event.fencing
     planner.plan = event.plan
-    # The former holder may have died in the middle of a change: it counts as under way
-    # until the engine's report shows it done.
-    planner.await_plan(now)
+    # The former holder may have crashed during a change, which counts as in progress
+    # until the engine reports its new role.
+    planner.track_unconfirmed(now)
     return []
 
 
 @handle.register
 def _(event: LeaseLost, planner: Planner, now: float) -> list[WritePlan]:
     planner.fencing = None
-    planner.drop_intentions()
+    planner.reset_plan()
     return []
 
 
 @handle.register
 def _(event: PlanWritten, planner: Planner, now: float) -> list[WritePlan]:
-    # The lease was lost meanwhile: what stands now is read when it is gained again.
+    # The lease was lost meanwhile; the stored plan is read when it is gained again.
     if planner.pending is None or planner.pending.fencing != event.plan.fencing:
         return []
     planner.pending = None
     planner.plan = event.plan
-    planner.await_plan(now)
+    planner.track_unconfirmed(now)
     return []
 
 
@@ -274,9 +281,9 @@
 
 @handle.register
 def _(event: Tick, planner: Planner, now: float) -> list[WritePlan]:
-    give_up_changes(planner, now)
+    drop_overdue_changes(planner, now)
     for state in planner.pools.values():
-        note_mix(state, now)
+        record_mix(state, now)
     for state in planner.pools.values():
         command = plan_pool(state, planner, now)
         if command is not None:
@@ -285,58 +292,58 @@
     return []
 
 
-def shows_role(load: Load | None, role: str) -> bool:
-    """Tell whether an engine reports to work in the role."""
+def reports_role(load: Load | None, role: str) -> bool:
+    """Return whether an engine reports to be active in the role."""
     return load is not None and load.role == role and not load.draining
 
 
-def confirm(load: Load, planner: Planner, state: PoolState, now: float) -> None:
-    """End the wait for an engine that shows what the plan wants of it."""
-    if load.host not in planner.awaited or planner.plan is None:
+def confirm_change(load: Load, planner: Planner, state: PoolState, now: float) -> None:
+    """Confirm the change of an engine that reports its planned role."""
+    if load.host not in planner.unconfirmed or planner.plan is None:
         return
-    if not shows_role(load, planner.plan.wanted[load.host].role):
+    if not reports_role(load, planner.plan.wanted[load.host].role):
         return
-    del planner.awaited[load.host]
+    del planner.unconfirmed[load.host]
     state.last_change = now
 
 
-def note_mix(state: PoolState, now: float) -> None:
-    """Follow the mix that is asked of the pool."""
+def record_mix(state: PoolState, now: float) -> None:
+    """Record the current mix and demand of the pool."""
     speeds = complete_speeds(state.speeds)
-    asked = state.demand.read(now)
-    if not speeds or not asked.requests:
+    demand = state.demand.read(now)
+    if not speeds or not demand.requests:
         return
-    state.mix.note(find_prefill_share(asked, speeds), now)
-    state.history.note(asked, now)
+    state.mix.record_share(compute_prefill_share(demand, speeds), now)
+    state.history.add_sample(demand, now)
 
 
-def give_up_changes(planner: Planner, now: float) -> None:
-    """Stop waiting for changes whose engines do not come back."""
-    # An engine that crashed within its change would block its pool for good. The plan
-    # stands: should the engine come back, it carries it out.
-    longest = planner.policy.drain_seconds + CHANGE_SECONDS
-    for host, since in list(planner.awaited.items()):
-        if now - since >= longest:
-            del planner.awaited[host]
-            note_given_up(host, planner, now)
+def drop_overdue_changes(planner: Planner, now: float) -> None:
+    """Stop waiting for changes that were not confirmed in time."""
+    # An engine that crashed during its change would block its pool forever. The plan
+    # stays in force: if the engine comes back, it carries the change out.
+    timeout = planner.policy.drain_seconds + CHANGE_TIMEOUT_SECONDS
+    for host, since in list(planner.unconfirmed.items()):
+        if now - since >= timeout:
+            del planner.unconfirmed[host]
+            record_abandoned_change(host, planner, now)
 
 
-def note_given_up(host: str, planner: Planner, now: float) -> None:
-    """Let the pool of the host dwell as after a change."""
+def record_abandoned_change(host: str, planner: Planner, now: float) -> None:
+    """Start the dwell time of the host's pool, as after a change."""
     for state in planner.pools.values():
-        if host in state.seen:
+        if host in state.reports:
             state.last_change = now
 
 
 def plan_pool(state: PoolState, planner: Planner, now: float) -> WritePlan | None:
-    """Decide on a pool, if this process may."""
+    """Plan a change of a pool, if this process holds the lease."""
     if planner.fencing is None or not state.speeds:
         return None
     decision = decide(planner.describe_pool(state, now), planner.policy, now)
     if decision is None:
         return None
     wanted = dict(planner.plan.wanted) if planner.plan is not None else {}
-    load = state.seen[decision.host].load
+    load = state.reports[decision.host].load
     as_is = Wanted(load.role, load.model, load.version, load.adapters)
     before = wanted.get(decision.host, as_is)
     wanted[decision.host] = before._replace(role=decision.role)
--- a/radishtally/planner/policies.py
+++ b/radishtally/planner/policies.py
@@ -5,71 +5,73 @@
 
 from radishtally.configuration.config import Policy
 from radishtally.links.messages import DECODE, MIXED, PREFILL
-from radishtally.planner.capacity import Speeds, count_roles, find_served
+from radishtally.planner.capacity import Speeds, compute_served_share, count_roles
 from radishtally.planner.demand import WINDOW_SECONDS, DemandRates
 
-SWITCH_SECONDS: Final = 5.0
-"""Time that an engine is gone for the change itself, about."""
+ROLE_CHANGE_SECONDS: Final = 5.0
+"""Approximate time that an engine is out of service for the change itself."""
 HYSTERESIS: Final = 1.25
-"""Gain over cost that a change needs: figures waver, and a change back costs again."""
-FOLLOWED_LAGS: Final = 3.0
-"""Lags that a mix must last to be worth following."""
+"""Required ratio of gain to cost: estimates fluctuate, and reverting costs again."""
+MIN_MIX_LAGS: Final = 3.0
+"""Number of lags that mixes must last to be worth following."""
 MIN_GAIN: Final = 0.01
-"""Gain in the served share below which the figures are not good enough."""
-BUSY: Final = 0.85
-IDLE: Final = 0.6
+"""Gain in the served share below which the estimates are too inaccurate."""
+BUSY_UTILIZATION: Final = 0.85
+"""Utilization above which a stage needs another engine."""
+IDLE_UTILIZATION: Final = 0.6
+"""Utilization below which a stage can spare an engine."""
 ROLES: Final = (MIXED, PREFILL, DECODE)
 
 
 class Pool(NamedTuple):
-    """Name the engines of one upstream in one place."""
+    """Identify the engines of one upstream in one place."""
 
     upstream: str
     place: str
 
 
 class EngineView(NamedTuple):
-    """Describe an engine as last reported."""
+    """Describe an engine by its last report."""
 
     host: str
     role: str
     model: str
     requests: int
-    """Running and queued."""
+    """Running and queued requests."""
     configured_role: str
-    """Role that the operators gave it; empty if they did not name it."""
+    """Role set by operators; empty if not configured."""
     draining: bool = False
 
 
 class PoolView(NamedTuple):
-    """Describe a pool as the planner sees it."""
+    """Describe the pool that a policy decides on."""
 
     pool: Pool
     engines: tuple[EngineView, ...]
     demand: DemandRates
     speeds: Speeds
-    """Of every role."""
+    """Speeds of every role."""
     remaining: float
-    """Seconds that the present mix will last."""
+    """Predicted seconds that the current mix will last."""
     mix_length: float
-    """Seconds that a mix lasts from end to end."""
+    """Predicted total length of a mix in seconds."""
     history: tuple[DemandRates, ...]
-    """What was asked in the last minutes, sampled."""
-    span: float
-    """Seconds that the history reaches back."""
+    """Samples of the demand of the last minutes."""
+    history_seconds: float
+    """Seconds that the history covers."""
     last_change: float | None
-    """When the last role change was confirmed or given up."""
+    """Time at which the last role change was confirmed or abandoned."""
     changing: bool
-    """A change is under way and not confirmed yet."""
+    """Whether a change is in progress and not confirmed yet."""
 
 
 class Decision(NamedTuple):
-    """Give an engine a role."""
+    """Assign a role to an engine."""
 
     host: str
     role: str
     cause: str
-    """Text with the figures, for operators."""
+    """Explanation with figures, for operators."""
 
 
 class Move(NamedTuple):
@@ -80,7 +82,7 @@
 
 
 class Estimate(NamedTuple):
-    """Estimate what a move brings."""
+    """Hold the estimated effects of a move."""
 
     served_now: float
     served_during: float
@@ -88,12 +90,12 @@
     gain: float
     """Requests saved once the move is done."""
     loss: float
-    """Requests lost while the engine is gone, and while the mix is over."""
+    """Requests lost while the engine is away and after the mix has ended."""
     seconds: float
-    """Time over which the move was weighed."""
+    """Time over which the move was evaluated."""
 
 
-class Split(NamedTuple):
+class MoveCounts(NamedTuple):
     """Count the engines of each role before, during and after a move."""
 
     now: dict[str, int]
@@ -103,31 +105,32 @@
 
 def decide(pool: PoolView, policy: Policy, now: float) -> Decision | None:
     """Decide on the next role change of a pool, if there should be one."""
-    # One change at a time: two engines gone at once is more than the estimate weighed,
-    # and until the first is confirmed the reports show a pool that is half changed.
+    # One change at a time: the estimate does not cover two engines being away, and
+    # until the first change is confirmed, reports show an intermediate state of the
+    # pool.
     if pool.changing:
         return None
-    # Right after a change the reports still show the old split; without a dwell the
-    # same shortage would be answered a second time.
+    # Right after a change, reports still show the old split. Without the dwell time,
+    # the same shortage would cause a second change.
     if is_dwelling(pool, policy, now):
         return None
     return POLICIES[policy.planning](pool, policy)
 
 
 def is_dwelling(pool: PoolView, policy: Policy, now: float) -> bool:
-    """Tell whether the last change is too young for another one."""
+    """Return whether the dwell time after the last change is not over."""
     if pool.last_change is None:
         return False
     return now - pool.last_change < policy.min_dwell_seconds
 
 
 def keep_all(pool: PoolView, policy: Policy) -> Decision | None:
-    """Leave every engine as it is."""
+    """Keep all roles as they are."""
     return None
 
 
 def restore_configured(pool: PoolView, policy: Policy) -> Decision | None:
-    """Bring engines back to their configured roles, one by one."""
+    """Return engines to their configured roles, one at a time."""
     for engine in sorted(pool.engines):
         wanted = engine.configured_role
         if not wanted or wanted == engine.role or not may_change(engine, pool):
@@ -139,10 +142,10 @@
 
 def follow_threshold(pool: PoolView, policy: Policy) -> Decision | None:
     """Move an engine from an idle stage to a busy one."""
-    prefill, decode = find_use(pool)
-    if prefill > BUSY and decode < IDLE:
+    prefill, decode = compute_utilization(pool)
+    if prefill > BUSY_UTILIZATION and decode < IDLE_UTILIZATION:
         order = (Move(DECODE, PREFILL), Move(MIXED, PREFILL))
-    elif decode > BUSY and prefill < IDLE:
+    elif decode > BUSY_UTILIZATION and prefill < IDLE_UTILIZATION:
         order = (Move(PREFILL, DECODE), Move(MIXED, DECODE))
     else:
         return None
@@ -154,12 +157,12 @@
     return None
 
 
-def weigh_cost(pool: PoolView, policy: Policy) -> Decision | None:
-    """Change a role where it saves clearly more requests than it costs."""
+def follow_cost(pool: PoolView, policy: Policy) -> Decision | None:
+    """Change a role if it saves clearly more requests than it costs."""
     best: tuple[float, Move, Estimate] | None = None
     for move in list_moves(pool):
         estimate = estimate_move(pool, move, policy)
-        net = weigh(estimate, policy)
+        net = compute_net_gain(estimate, policy)
         if net > 0 and (best is None or net > best[0]):
             best = (net, move, estimate)
     if best is None:
@@ -172,82 +175,86 @@
 
 
 def list_moves(pool: PoolView) -> list[Move]:
-    """List the moves for which there is an engine."""
+    """List the moves for which an engine is available."""
     moves = [Move(a, b) for a in ROLES for b in ROLES if a != b]
     return [move for move in moves if find_engine(pool, move) is not None]
 
 
 def estimate_move(pool: PoolView, move: Move, policy: Policy) -> Estimate:
     """Estimate the requests that a move saves and loses."""
-    split = count_split(pool, move)
-    # A mix that is over by the time the engines have followed it leaves them in the
-    # wrong split for the next one. Chased each minute, the pool served fewer requests
-    # than without any change; the best split for all the mixes together is wanted then.
-    if pool.mix_length < FOLLOWED_LAGS * find_lag(policy):
-        # A history no longer than the lag is no ground for a change either.
-        seconds = max(0.0, pool.span - find_lag(policy))
-        return estimate_over(pool.history, seconds, split, pool, policy)
-    estimate = estimate_over((pool.demand,), pool.remaining, split, pool, policy)
-    back = find_lag(policy) * rate_change(pool.history, split, pool)
-    return estimate._replace(loss=estimate.loss - min(0.0, back))
-
-
-def count_split(pool: PoolView, move: Move) -> Split:
+    split = count_move_roles(pool, move)
+    # If a mix ends before the engines have adapted to it, they have the wrong split for
+    # the next one. With a new mix each minute, following it served fewer requests than
+    # no change at all. The best split for all recent mixes together is chosen then.
+    if pool.mix_length < MIN_MIX_LAGS * compute_lag(policy):
+        # A history that is no longer than the lag does not justify a change either.
+        seconds = max(0.0, pool.history_seconds - compute_lag(policy))
+        return estimate_for_demand(pool.history, seconds, split, pool, policy)
+    estimate = estimate_for_demand((pool.demand,), pool.remaining, split, pool, policy)
+    history_gain = compute_lag(policy) * estimate_gain_rate(pool.history, split, pool)
+    return estimate._replace(loss=estimate.loss - min(0.0, history_gain))
+
+
+def count_move_roles(pool: PoolView, move: Move) -> MoveCounts:
     """Count the roles before, during and after a move."""
     counts = count_roles([item.role for item in pool.engines if not item.draining])
     during = {**counts, move.before: counts[move.before] - 1}
     after = {**during, move.after: during[move.after] + 1}
-    return Split(counts, during, after)
+    return MoveCounts(counts, during, after)
 
 
-def estimate_over(
+def estimate_for_demand(
     samples: Sequence[DemandRates],
     seconds: float,
-    split: Split,
+    split: MoveCounts,
     pool: PoolView,
     policy: Policy,
 ) -> Estimate:
-    """Estimate a move if what the samples ask goes on for some seconds."""
+    """Estimate a move, assuming that the sampled demand continues for some seconds."""
     rate = sum(item.requests for item in samples) / max(1, len(samples))
     now, during, after = (
-        find_mean_served(samples, counts, pool.speeds) for counts in split
+        compute_mean_served_share(samples, counts, pool.speeds) for counts in split
     )
-    away = find_away(policy)
-    gain = (after - now) * rate * max(0.0, seconds - away)
-    loss = (now - during) * rate * away
+    downtime = compute_downtime(policy)
+    gain = (after - now) * rate * max(0.0, seconds - downtime)
+    loss = (now - during) * rate * downtime
     return Estimate(now, during, after, gain, loss, seconds)
 
 
-def rate_change(samples: Sequence[DemandRates], split: Split, pool: PoolView) -> float:
-    """Find the requests a second that a move gains where the samples' mixes come."""
+def estimate_gain_rate(
+    samples: Sequence[DemandRates], split: MoveCounts, pool: PoolView
+) -> float:
+    """Return the requests per second that a move gains for the sampled demand."""
     rate = sum(item.requests for item in samples) / max(1, len(samples))
-    now = find_mean_served(samples, split.now, pool.speeds)
-    return rate * (find_mean_served(samples, split.after, pool.speeds) - now)
+    now = compute_mean_served_share(samples, split.now, pool.speeds)
+    return rate * (compute_mean_served_share(samples, split.after, pool.speeds) - now)
 
 
-def find_mean_served(
+def compute_mean_served_share(
     samples: Sequence[DemandRates], counts: Mapping[str, int], speeds: Speeds
 ) -> float:
-    """Find the served share of all requests of the samples."""
+    """Return the served share of all sampled requests."""
     requests = sum(item.requests for item in samples)
     if requests <= 0:
         return 1.0
-    served = sum(item.requests * find_served(item, counts, speeds) for item in samples)
+    served = sum(
+        item.requests * compute_served_share(item, counts, speeds) for item in samples
+    )
     return served / requests
 
 
-def find_away(policy: Policy) -> float:
-    """Find the seconds that a role change takes an engine away."""
-    return policy.drain_seconds + SWITCH_SECONDS
+def compute_downtime(policy: Policy) -> float:
+    """Return the seconds that a role change takes an engine out of service."""
+    return policy.drain_seconds + ROLE_CHANGE_SECONDS
 
 
-def find_lag(policy: Policy) -> float:
-    """Find the seconds from a turn of the mix to the end of the change it brings."""
-    return WINDOW_SECONDS + policy.min_dwell_seconds + find_away(policy)
+def compute_lag(policy: Policy) -> float:
+    """Return the seconds from a new mix to the end of the role change for it."""
+    return WINDOW_SECONDS + policy.min_dwell_seconds + compute_downtime(policy)
 
 
-def weigh(estimate: Estimate, policy: Policy) -> float:
-    """Weigh a move by the operators' policy; above 0 it is worth it."""
+def compute_net_gain(estimate: Estimate, policy: Policy) -> float:
+    """Return a move's net gain by the operators' policy; above 0 it is worthwhile."""
     if estimate.served_after - estimate.served_now < MIN_GAIN:
         return 0.0
     cost = policy.goodput_weight * estimate.loss + policy.role_change_cost
@@ -255,11 +262,11 @@
 
 
 def explain(pool: PoolView, move: Move, estimate: Estimate, policy: Policy) -> str:
-    """Tell why the move is worth it."""
-    asked = pool.demand
+    """Explain why the move is worthwhile."""
+    demand = pool.demand
     return (
-        f"{move.before} to {move.after}: asked {asked.requests:.1f} requests/s, "
-        f"{asked.prefill_tokens:.0f} prefill and {asked.decode_tokens:.0f} decode "
+        f"{move.before} to {move.after}: asked {demand.requests:.1f} requests/s, "
+        f"{demand.prefill_tokens:.0f} prefill and {demand.decode_tokens:.0f} decode "
         f"tokens/s; served {estimate.served_now:.0%} now, "
         f"{estimate.served_during:.0%} during, {estimate.served_after:.0%} after; "
         f"weighed over {estimate.seconds:.0f} s: saves {estimate.gain:.1f} "
@@ -268,8 +275,8 @@
     )
 
 
-def find_use(pool: PoolView) -> tuple[float, float]:
-    """Find how much of the prefill and decode engines' time is asked for."""
+def compute_utilization(pool: PoolView) -> tuple[float, float]:
+    """Return the utilization of prefill and decode capacity by the demand."""
     counts = count_roles([item.role for item in pool.engines if not item.draining])
     half_mixed = counts[MIXED] / 2
     mixed = pool.speeds[MIXED]
@@ -277,42 +284,43 @@
     prefill += half_mixed * mixed.prefill_tokens
     decode = counts[DECODE] * pool.speeds[DECODE].decode_tokens
     decode += half_mixed * mixed.decode_tokens
-    return divide(pool.demand.prefill_tokens, prefill), divide(
+    return compute_ratio(pool.demand.prefill_tokens, prefill), compute_ratio(
         pool.demand.decode_tokens, decode
     )
 
 
-def divide(asked: float, able: float) -> float:
-    """Divide what is asked by what can be done."""
-    if able > 0:
-        return asked / able
-    return float("inf") if asked > 0 else 0.0
+def compute_ratio(demand: float, capacity: float) -> float:
+    """Divide demand by capacity; infinite for demand without capacity."""
+    if capacity > 0:
+        return demand / capacity
+    return float("inf") if demand > 0 else 0.0
 
 
 def find_engine(pool: PoolView, move: Move) -> EngineView | None:
-    """Find the engine that the move disturbs least."""
-    able = [
+    """Return the engine that is least affected by the move."""
+    candidates = [
         item
         for item in pool.engines
         if item.role == move.before and may_change(item, pool)
     ]
     # An engine away from its configured role goes first.
     return min(
-        able,
+        candidates,
         key=lambda item: (item.configured_role != move.after, item.requests, item.host),
         default=None,
     )
 
 
 def may_change(engine: EngineView, pool: PoolView) -> bool:
-    """Tell whether the pool still serves everything without the engine."""
+    """Return whether the pool serves all models and stages without the engine."""
     if engine.draining:
         return False
     others = [
         item for item in pool.engines if item.host != engine.host and not item.draining
     ]
-    # While it changes the engine is gone: the last one of its model would leave every
-    # caller of it refused, the last one of its role would stop that stage.
+    # The engine is out of service during the change. Without the last engine of a
+    # model, all its callers would be refused; without the last of a role, its stage
+    # would stop.
     if not any(item.model == engine.model for item in others):
         return False
     if any(item.role == engine.role for item in others):
@@ -321,21 +329,21 @@
 
 
 def is_surplus_role(role: str, pool: PoolView, others: list[EngineView]) -> bool:
-    """Tell whether the pool does without a role.
+    """Return whether the pool can do without a role.
 
-    A role that the operators configured nowhere came from the planner alone. Its last
-    engine must be able to go back, as long as mixed engines do its stage too.
+    A role that is configured for no engine was introduced by the planner. Its last
+    engine must be able to return, as long as mixed engines also serve its stage.
     """
     if role == MIXED or any(item.configured_role == role for item in pool.engines):
         return False
     return any(item.role == MIXED for item in others)
 
 
-Rule = Callable[[PoolView, Policy], Decision | None]
+PlanningPolicy = Callable[[PoolView, Policy], Decision | None]
 
-POLICIES: Final[dict[str, Rule]] = {
+POLICIES: Final[dict[str, PlanningPolicy]] = {
     "off": keep_all,
     "static": restore_configured,
     "threshold": follow_threshold,
-    "cost": weigh_cost,
+    "cost": follow_cost,
 }
--- a/tests/planner/common.py
+++ b/tests/planner/common.py
@@ -1,4 +1,4 @@
-"""Builders of the planner's views and events."""
+"""Builders for the planner's views and events."""
 
 from typing import Any, Final
 
@@ -29,14 +29,14 @@
 
 
 def make_view(engines: tuple[EngineView, ...], **more: Any) -> PoolView:
-    """Make a view of a pool in a mix that lasts."""
+    """Make a view of a pool with a lasting mix."""
     defaults = {
         "demand": LONG_PROMPTS,
         "speeds": SPEEDS,
         "remaining": 600.0,
         "mix_length": 900.0,
         "history": (LONG_PROMPTS,),
-        "span": 60.0,
+        "history_seconds": 60.0,
         "last_change": None,
         "changing": False,
     }
@@ -44,7 +44,7 @@
 
 
 def make_load(host: str, role: str, **more: Any) -> Load:
-    """Make an engine's load."""
+    """Make the reported load of an engine."""
     slots = SLOTS[role]
     load = Load(
         host=host,
@@ -65,12 +65,12 @@
 
 
 def add_counts(
-    counts: WorkCounters, asked: DemandRates, seconds: float
+    counts: WorkCounters, demand: DemandRates, seconds: float
 ) -> WorkCounters:
-    """Count on by what is asked in some seconds."""
+    """Increase the counters by the demand of some seconds."""
     return WorkCounters(
-        counts.prompt_tokens + round(asked.prefill_tokens * seconds),
-        counts.output_tokens + round(asked.decode_tokens * seconds),
-        counts.requests + round(asked.requests * seconds),
-        counts.refused + round(asked.refused * seconds),
+        counts.prompt_tokens + round(demand.prefill_tokens * seconds),
+        counts.output_tokens + round(demand.decode_tokens * seconds),
+        counts.requests + round(demand.requests * seconds),
+        counts.refused + round(demand.refused * seconds),
     )
--- a/tests/planner/test_core.py
+++ b/tests/planner/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of the planner's core."""
+"""Tests of the planner."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from radishtally.configuration.config import Policy
 from radishtally.links.messages import DECODE, MIXED, PREFILL
 from radishtally.planner.core import (
-    CHANGE_SECONDS,
+    CHANGE_TIMEOUT_SECONDS,
     Configured,
     HostGone,
     LeaseGained,
@@ -40,36 +40,36 @@
         self.now = 0.0
         self.roles = {f"gown-{number}": role for number, role in enumerate(START)}
         self.counts = dict.fromkeys(self.roles, WorkCounters(0, 0, 0, 0))
-        self.orders: dict[str, tuple[float, str]] = {}
+        self.pending_changes: dict[str, tuple[float, str]] = {}
         self.commands = []
         self.changed_at: list[float] = []
-        self.obeys = True
+        self.carries_out_plans = True
         handle(Configured(policy, dict(self.roles)), self.planner, 0.0)
 
     def gain(self, plan: Plan | None = None) -> None:
         handle(LeaseGained(7, plan), self.planner, self.now)
 
-    def run(self, asked: DemandRates, seconds: int, write: bool = True) -> None:
+    def run(self, demand: DemandRates, seconds: int, write: bool = True) -> None:
         for _ in range(seconds):
             self.now += 1.0
             self._carry_out()
-            self._report(asked)
+            self._report(demand)
             for command in handle(Tick(), self.planner, self.now):
                 self.commands.append(command)
                 if write:
                     self._write(command)
 
     def _carry_out(self) -> None:
-        for host, (at, role) in list(self.orders.items()):
+        for host, (at, role) in list(self.pending_changes.items()):
             if self.now >= at:
                 self.roles[host] = role
-                del self.orders[host]
+                del self.pending_changes[host]
 
-    def _report(self, asked: DemandRates) -> None:
+    def _report(self, demand: DemandRates) -> None:
         share = 1.0 / len(self.roles)
         for host, role in self.roles.items():
-            self.counts[host] = add_counts(self.counts[host], asked, share)
-            load = make_load(host, role, draining=host in self.orders)
+            self.counts[host] = add_counts(self.counts[host], demand, share)
+            load = make_load(host, role, draining=host in self.pending_changes)
             handle(LoadReported(POOL, load, self.counts[host]), self.planner, self.now)
 
     def _write(self, command) -> None:
@@ -78,10 +78,13 @@
         )
         handle(PlanWritten(plan), self.planner, self.now)
         for host, wanted in command.wanted.items():
-            if wanted.role != self.roles[host] and host not in self.orders:
+            if wanted.role != self.roles[host] and host not in self.pending_changes:
                 self.changed_at.append(self.now)
-                if self.obeys:
-                    self.orders[host] = (self.now + SWITCH_SECONDS, wanted.role)
+                if self.carries_out_plans:
+                    self.pending_changes[host] = (
+                        self.now + SWITCH_SECONDS,
+                        wanted.role,
+                    )
 
 
 @pytest.fixture
@@ -91,18 +94,18 @@
     return fleet
 
 
-def test_a_mix_that_lasts_is_followed(fleet):
+def test_lasting_mix_is_followed(fleet):
     fleet.run(LONG_PROMPTS, 600)
     assert list(fleet.roles.values()).count(PREFILL) > 2
     assert 1 <= len(fleet.changed_at) <= 4
 
 
-def test_a_mix_that_swings_each_minute_is_not_chased(fleet):
-    """The mix swings each minute, and a change takes 8 seconds and more.
+def test_alternating_mix_is_not_followed(fleet):
+    """The mix alternates each minute, and a role change takes 8 seconds or more.
 
-    A planner that believes each swing changes a role in nearly every one, loses an
-    engine for a good part of it and is always in the split of the minute before. It
-    should find the split that is best for both mixes, and then leave it.
+    A planner that follows each mix changes a role in nearly every minute, lacks an
+    engine for much of it and always has the split of the minute before. It should find
+    the best split for both mixes and then keep it.
     """
     for _ in range(15):
         fleet.run(LONG_PROMPTS, 60)
@@ -111,7 +114,7 @@
     assert max(fleet.changed_at, default=0.0) < 300
 
 
-def test_changes_keep_the_dwell_and_come_one_by_one(fleet):
+def test_changes_are_sequential_and_respect_the_dwell_time(fleet):
     fleet.run(LONG_PROMPTS, 400)
     fleet.run(LONG_ANSWERS, 400)
     gaps = [b - a for a, b in zip(fleet.changed_at, fleet.changed_at[1:], strict=False)]
@@ -119,11 +122,11 @@
     assert min(gaps) >= COST.min_dwell_seconds + SWITCH_SECONDS - 1
 
 
-def test_without_the_lease_the_view_is_kept_warm_and_nothing_is_written():
-    """An entry without the lease hears the same reports as its holder.
+def test_without_lease_state_is_tracked_and_nothing_is_written():
+    """An entry without the lease receives the same reports as the holder.
 
-    The holder dies in a mix that has lasted; the next one decides at its first tick. A
-    cold start would have to see the mix for a minute before it knew that it lasts.
+    The holder crashes during a lasting mix, and the next one decides at its first tick.
+    A cold start would need a minute to know that the mix lasts.
     """
     fleet = Fleet()
     fleet.run(LONG_PROMPTS, 200)
@@ -133,10 +136,10 @@
     assert len(fleet.commands) == 1
 
 
-def test_losing_the_lease_drops_what_was_not_written(fleet):
-    """The lease is lost while a plan's write is under way.
+def test_losing_the_lease_drops_the_pending_plan(fleet):
+    """The lease is lost while a plan's write is in flight.
 
-    The next holder decides from the table; an intention kept here would come back as a
+    The next holder decides by the table. A plan that is kept here would lead to a
     conflicting order when the lease is gained again.
     """
     fleet.run(LONG_PROMPTS, 200, write=False)
@@ -152,7 +155,7 @@
     assert fleet.planner.pending is None
 
 
-def test_a_late_word_of_an_old_write_does_not_end_a_new_one(fleet):
+def test_late_result_of_an_old_write_does_not_end_a_new_one(fleet):
     fleet.run(LONG_PROMPTS, 200, write=False)
     old = Plan("howrah", 1, 6, "", {})
     handle(PlanWritten(old), fleet.planner, fleet.now)
@@ -160,7 +163,7 @@
     assert fleet.planner.plan is None
 
 
-def test_one_write_at_a_time_and_again_after_it_failed(fleet):
+def test_writes_are_sequential_and_retried_after_failure(fleet):
     fleet.run(LONG_PROMPTS, 200, write=False)
     assert len(fleet.commands) == 1
     handle(PlanNotWritten(), fleet.planner, fleet.now)
@@ -168,10 +171,10 @@
     assert len(fleet.commands) == 2
 
 
-def test_a_change_under_way_at_a_takeover_holds_back_others():
-    """The former holder died after writing a plan that no engine has carried out yet.
+def test_change_in_progress_at_takeover_blocks_others():
+    """The former holder crashed after writing a plan that is not carried out yet.
 
-    Two engines would be gone at once if the new holder planned on top of it.
+    If the new holder planned another change, two engines would be away at once.
     """
     fleet = Fleet()
     fleet.run(LONG_PROMPTS, 200)
@@ -188,18 +191,18 @@
     assert fleet.commands[0].previous.number == 3
 
 
-def test_an_engine_that_crashed_in_its_change_does_not_block_the_pool(fleet):
-    fleet.obeys = False
+def test_engine_crashed_during_its_change_does_not_block_the_pool(fleet):
+    fleet.carries_out_plans = False
     while not fleet.commands:
         fleet.run(LONG_PROMPTS, 1)
-    longest = int(COST.drain_seconds + CHANGE_SECONDS)
-    fleet.run(LONG_PROMPTS, longest - 1)
+    timeout = int(COST.drain_seconds + CHANGE_TIMEOUT_SECONDS)
+    fleet.run(LONG_PROMPTS, timeout - 1)
     assert len(fleet.commands) == 1
     fleet.run(LONG_PROMPTS, int(COST.min_dwell_seconds) + 2)
     assert len(fleet.commands) == 2
 
 
-def test_engines_that_went_silent_do_not_count(fleet):
+def test_silent_and_removed_engines_do_not_count(fleet):
     fleet.run(LONG_PROMPTS, 30)
     state = fleet.planner.pools[POOL]
     assert len(fleet.planner.describe_pool(state, fleet.now).engines) == 6
@@ -208,9 +211,11 @@
     assert len(fleet.planner.describe_pool(state, fleet.now).engines) == 5
 
 
-def test_waiting_prefill_counts_as_asked(fleet):
+def test_queued_prefill_counts_as_demand(fleet):
     fleet.run(DemandRates(1_000.0, 100.0, 1.0, 0.0), 30)
     state = fleet.planner.pools[POOL]
-    before = state.read_asked(fleet.now).prefill_tokens
-    state.note_load(make_load("gown-0", PREFILL, prefill_backlog=10.0), fleet.now)
-    assert state.read_asked(fleet.now).prefill_tokens == pytest.approx(before + 9_500)
+    before = state.estimate_demand(fleet.now).prefill_tokens
+    state.record_load(make_load("gown-0", PREFILL, prefill_backlog=10.0), fleet.now)
+    assert state.estimate_demand(fleet.now).prefill_tokens == pytest.approx(
+        before + 9_500
+    )
--- a/tests/planner/test_policies.py
+++ b/tests/planner/test_policies.py
@@ -1,4 +1,4 @@
-"""Tests of the policies that decide on roles."""
+"""Tests of the planning policies."""
 
 import pytest
 from hypothesis import given
@@ -6,7 +6,7 @@
 
 from radishtally.configuration.config import Policy
 from radishtally.links.messages import DECODE, MIXED, PREFILL
-from radishtally.planner.capacity import complete_speeds, find_served
+from radishtally.planner.capacity import complete_speeds, compute_served_share
 from radishtally.planner.demand import DemandRates
 from radishtally.planner.policies import decide
 from tests.planner.common import (
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "counts", "expected"),
+    ("demand", "counts", "expected"),
     [
         (DemandRates(5_950, 0, 1, 0), {MIXED: 1}, 1.0),
         (DemandRates(11_900, 0, 1, 0), {MIXED: 1}, 0.5),
@@ -33,11 +33,13 @@
         (DemandRates(0, 0, 0, 0), {}, 1.0),
     ],
 )
-def test_served_share(asked, counts, expected):
-    assert find_served(asked, counts, SPEEDS) == pytest.approx(expected, abs=1e-6)
+def test_served_share(demand, counts, expected):
+    assert compute_served_share(demand, counts, SPEEDS) == pytest.approx(
+        expected, abs=1e-6
+    )
 
 
-def test_speeds_of_absent_roles_are_guessed_from_present_ones():
+def test_speeds_of_absent_roles_are_estimated_from_others():
     speeds = complete_speeds({PREFILL: SPEEDS[PREFILL]})
     assert set(speeds) == {MIXED, PREFILL, DECODE}
     assert speeds[PREFILL] == SPEEDS[PREFILL]
@@ -71,18 +73,18 @@
         ),
     ],
 )
-def test_decides(policy, engines, more, expected):
+def test_decision(policy, engines, more, expected):
     decision = decide(make_view(engines, **more), policy, 100.0)
     assert (decision.role if decision else None) == expected
 
 
-def test_explains_with_figures():
+def test_cause_contains_figures():
     decision = decide(make_view(SPLIT), COST, 100.0)
     for part in ("asked 20.0 requests/s", "over 600 s", "saves", "a change costs 1.0"):
         assert part in decision.cause
 
 
-def test_the_least_busy_engine_goes():
+def test_least_busy_engine_is_moved():
     engines = tuple(
         engine._replace(requests=0 if number == 3 else 5)
         for number, engine in enumerate(SPLIT)
@@ -91,7 +93,7 @@
 
 
 def test_higher_cost_of_change_needs_a_longer_mix():
-    """Lagna weighs goodput, Brolga the number of changes: only the weights differ."""
+    """Lagna favours goodput, Brolga few changes; only the weights differ."""
     view = make_view(SPLIT, remaining=60.0)
     lagna = Policy(planning="cost", drain_seconds=5.0, goodput_weight=4.0)
     brolga = Policy(planning="cost", drain_seconds=5.0, role_change_cost=500.0)
@@ -106,26 +108,29 @@
     max_size=9,
 )
 RATES = st.floats(0.0, 100_000.0)
-ASKED = st.builds(DemandRates, RATES, RATES, st.floats(0.0, 200.0), st.just(0.0))
+DEMANDS = st.builds(DemandRates, RATES, RATES, st.floats(0.0, 200.0), st.just(0.0))
 PLANNING = st.sampled_from(["off", "static", "threshold", "cost"])
 
 
-@given(ENGINES, ASKED, PLANNING)
-def test_the_last_engine_of_a_role_or_model_never_goes(items, asked, planning):
-    """An engine that changes is gone for seconds.
+@given(ENGINES, DEMANDS, PLANNING)
+def test_last_engine_of_a_role_or_model_is_never_moved(items, demand, planning):
+    """An engine that changes its role is out of service for seconds.
 
-    Were it the last of its model, each caller of the model would be refused meanwhile;
-    were it the last of a role, requests of that stage would find nobody. The one role
-    that may end is one that no operator configured, where mixed engines do its stage.
+    Without the last engine of a model, all its callers would be refused; without the
+    last engine of a role, requests of its stage would find no host. Only a role that no
+    operator configured may end, if mixed engines serve its stage.
     """
     engines = tuple(
         make_engines(role)[0]._replace(
-            host=f"gown-{number}", model=model, configured_role=wanted, draining=gone
+            host=f"gown-{number}",
+            model=model,
+            configured_role=wanted,
+            draining=draining,
         )
-        for number, (role, wanted, model, gone) in enumerate(items)
+        for number, (role, wanted, model, draining) in enumerate(items)
     )
     policy = Policy(planning=planning, role_change_cost=0.0)
-    decision = decide(make_view(engines, demand=asked), policy, 100.0)
+    decision = decide(make_view(engines, demand=demand), policy, 100.0)
     if decision is None:
         return
     chosen = next(item for item in engines if item.host == decision.host)
@@ -135,18 +140,21 @@
     assert chosen.model in {item.model for item in others}
     roles = {item.role for item in others}
     configured = {item.configured_role for item in engines}
-    unneeded = chosen.role not in configured and MIXED in roles
-    assert chosen.role in roles or unneeded
+    is_surplus = chosen.role not in configured and MIXED in roles
+    assert chosen.role in roles or is_surplus
 
 
-@given(ENGINES, ASKED, st.floats(0.0, 30.0, exclude_max=True))
-def test_no_second_change_within_the_dwell(items, asked, passed):
+@given(ENGINES, DEMANDS, st.floats(0.0, 30.0, exclude_max=True))
+def test_no_second_change_within_the_dwell_time(items, demand, passed):
     engines = make_engines(*(role for role, _, _, _ in items))
-    view = make_view(engines, demand=asked, last_change=100.0)
+    view = make_view(engines, demand=demand, last_change=100.0)
     for planning in ("static", "threshold", "cost"):
         policy = Policy(planning=planning, role_change_cost=0.0)
         assert decide(view, policy, 100.0 + passed) is None
 
 
-def test_long_prompts_are_long():
-    assert find_served(LONG_PROMPTS, {PREFILL: 2, DECODE: 3, MIXED: 1}, SPEEDS) < 0.6
+def test_long_prompts_exceed_the_capacity():
+    assert (
+        compute_served_share(LONG_PROMPTS, {PREFILL: 2, DECODE: 3, MIXED: 1}, SPEEDS)
+        < 0.6
+    )
