--- a/radishtally/engines/state.py
+++ b/radishtally/engines/state.py
@@ -114,7 +114,7 @@
     """Mark of its start; 0 if unknown."""
     queue_order: QueueOrderEstimator = field(default_factory=QueueOrderEstimator)
     """Queue order observed at the engines of its upstream."""
-    start_rate: float = INITIAL_PREFILL_RATE
+    initial_rate: float = INITIAL_PREFILL_RATE
     """Prompt tokens per second until this engine has been timed."""
     timed_tokens: float = 0.0
     """Decaying sum of the tokens of timed busy periods."""
@@ -143,7 +143,7 @@
     @property
     def rate(self) -> float:
         """Return the estimated prefill rate in tokens per second."""
-        seconds = PRIOR_TOKENS / self.start_rate + self.timed_seconds
+        seconds = PRIOR_TOKENS / self.initial_rate + self.timed_seconds
         return (PRIOR_TOKENS + self.timed_tokens) / seconds
 
     def begin_prefill(
--- a/radishtally/planner/policies.py
+++ b/radishtally/planner/policies.py
@@ -184,7 +184,7 @@
     """Estimate the requests that a move saves and loses."""
     split = count_move_roles(pool, move)
     # If a mix ends before the engines have adapted to it, they have the wrong split for
-    # the next one. With a new mix each minute, following it served fewer requests than
+    # the next one. With a new mix each minute, following it serves fewer requests than
     # no change at all. The best split for all recent mixes together is chosen then.
     if pool.mix_length < MIN_MIX_LAGS * compute_lag(policy):
         # A history that is no longer than the lag does not justify a change either.
--- a/radishtally/stages/const.py
+++ b/radishtally/stages/const.py
@@ -16,7 +16,7 @@
 that restarts is back before another one could have changed its role."""
 DEMAND_SHIFT_SECONDS: Final = 5.0
 """Time that demand must favour other roles. With 2.5 s and a smaller margin, roles
-followed each burst and were wrong for the next one."""
+follow each burst and are wrong for the next one."""
 COOLDOWN_SECONDS: Final = 12.0
 """Minimum time between two changes caused by demand."""
 PENDING_SECONDS: Final = 4.0
@@ -37,8 +37,8 @@
 deviate by half, so that the ratio is then accurate to a sixth."""
 MIN_ENDED_SHARE: Final = 0.5
 """Share of the expected tokens whose answers must have ended before that ratio is used.
-When computed after 1.7 s while long answers take 3 s, the needs were 1.1 engines
-instead of 2.2, and two engines too many were moved to prefill."""
+If it is used after 1.7 s while long answers take 3 s, the needs come out as 1.1 decode
+engines instead of 2.2, and two engines too many are moved to prefill."""
 REPORT_INTERVAL_SECONDS: Final = 1.0
 """Interval of the demand reports to other gateways."""
 STALE_SECONDS: Final = 5.0
--- a/radishtally/stages/split.py
+++ b/radishtally/stages/split.py
@@ -50,7 +50,7 @@
 
     If events must not take longer than max_interval, so that long answers meet their
     deadlines, fewer answers can be decoded at a time. At least half a batch is assumed,
-    because the total rate falls with the number of concurrent answers.
+    because an engine with fewer concurrent answers has a lower total rate.
     """
     answers = float(slots)
     if pace.per_answer > 0:
--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -186,8 +186,8 @@
         """Send each gateway the open work of the others, with a delay."""
         read = [gateway.pop_parts_read() for gateway in self.gateways]
         for number, backlog in enumerate(self.list_backlogs()):
-            parts = [told for n, told in enumerate(read) if n != number]
-            parts = [item for told in parts for item in told]
+            parts = [items for n, items in enumerate(read) if n != number]
+            parts = [item for items in parts for item in items]
             self.schedule(
                 self.fleet.age / 2, self.receive_report, number, backlog, parts
             )
@@ -198,22 +198,22 @@
         self, number: int, backlog: Backlog, parts: list[PartsRead]
     ) -> None:
         self.gateways[number].record_backlog("collector", backlog, self.now)
-        for told in parts:
-            self.gateways[number].record_parts(told)
+        for item in parts:
+            self.gateways[number].record_parts(item)
 
     def list_backlogs(self) -> Iterator[Backlog]:
         """List, for each gateway, the open work of all others."""
         own = [self.count_own(gateway) for gateway in self.gateways]
         tokens, answers = Counter(), Counter()
-        for waiting, making in own:
+        for waiting, decoding in own:
             tokens.update(waiting)
-            answers.update(making)
-        for waiting, making in own:
+            answers.update(decoding)
+        for waiting, decoding in own:
             shares = [
                 EngineShare(
                     host,
                     (WaitingTokens(0, tokens[host] - waiting.get(host, 0)),),
-                    answers[host] - making.get(host, 0),
+                    answers[host] - decoding.get(host, 0),
                     0,
                 )
                 for host in self.hosts
