--- a/radishtally/links/codec.py
+++ b/radishtally/links/codec.py
@@ -23,8 +23,7 @@
 
 
 def decode_frame(frame: bytes) -> Result[list[Message], Fault]:
-    """Decode a frame; skip messages of unknown kinds, which a newer release may
-    send."""
+    """Decode a frame; skip messages of kinds that only newer releases know."""
     if len(frame) > MAX_FRAME_BYTES:
         return Error(Fault(f"frame of {len(frame)} bytes exceeds {MAX_FRAME_BYTES}"))
     try:
--- a/radishtally/links/hub.py
+++ b/radishtally/links/hub.py
@@ -86,8 +86,7 @@
                 await asyncio.wait_for(self._server.wait_closed(), DIAL_TIMEOUT_SECONDS)
 
     def dial(self, host: str, address: str) -> None:
-        """Dial a host, and redial it whenever its link ends, until dialling is
-        stopped."""
+        """Dial a host, and redial it whenever the link ends, until told to stop."""
         if host in self._dialers:
             if self._dialers[host][0] == address:
                 return
@@ -146,8 +145,7 @@
             self._links[host].close(reason)
 
     async def run_link(self, stream: object, leads: bool) -> Link:
-        """Run a link over a stream until it ends; the dialling end leads its
-        heartbeat."""
+        """Run a link over a stream until it ends; the dialling end sends the pings."""
         link = Link(
             stream,
             self._hello,
--- a/radishtally/links/messages.py
+++ b/radishtally/links/messages.py
@@ -282,8 +282,7 @@
 
 
 class ConfigurationFiles(NamedTuple):
-    """Send a configuration: the hashes of all files, and the files that the peer
-    lacks."""
+    """Send a configuration: hashes of all files, and the files that the peer lacks."""
 
     revision: int
     hashes: dict[str, str]
@@ -305,8 +304,7 @@
 
 
 class EngineShare(NamedTuple):
-    """Describe the requests that an entry has in flight at an engine it calls
-    itself."""
+    """Describe an entry's requests in flight at an engine that it calls itself."""
 
     host: str
     waiting: tuple[WaitingTokens, ...]
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -71,9 +71,9 @@
             self.request_newer_configuration(host, message.revision)
             return not isinstance(message, Ping)
         if isinstance(message, ConfigurationRequest):
-            given = self.keeper.answer(message)
-            if given is not None:
-                self.hub.send(host, given)
+            reply = self.keeper.answer(message)
+            if reply is not None:
+                self.hub.send(host, reply)
             return True
         if isinstance(message, ConfigurationFiles):
             self.apply_configuration(message, host)
@@ -82,13 +82,13 @@
 
     def request_newer_configuration(self, host: str, revision: int) -> None:
         """Request the configuration from a peer that has a newer revision."""
-        ask = self.keeper.note_peer(host, revision, time.monotonic())
-        if ask is not None:
-            self.hub.send(host, ask)
+        request = self.keeper.note_peer(host, revision, time.monotonic())
+        if request is not None:
+            self.hub.send(host, request)
 
-    def apply_configuration(self, given: ConfigurationFiles, source: str) -> None:
+    def apply_configuration(self, files: ConfigurationFiles, source: str) -> None:
         """Apply a configuration and announce its revision to all peers."""
-        outcome = self.keeper.take(given)
+        outcome = self.keeper.take(files)
         if outcome.is_error():
             log_message(
                 "configuration:refused", source=source, fault=str(outcome.error)
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -111,8 +111,8 @@
     for more, started_ms in (({}, 0), ({"born": 1_790_000_000_123}, 1_790_000_000_123)):
         instance = decode_instance("i-1", json.dumps({**entry, **more}).encode()).ok
         assert instance.started_ms == started_ms
-        said = json.dumps({"phase": "decode", "sequence": 2, **more}).encode()
-        report = PlatformUpstreams().read_report(said).ok
+        data = json.dumps({"phase": "decode", "sequence": 2, **more}).encode()
+        report = PlatformUpstreams().read_report(data).ok
         assert (report.sequence, report.started_ms) == (2, started_ms)
 
 
@@ -120,8 +120,8 @@
 def test_start_time_of_a_wrong_type_is_rejected(born: object) -> None:
     entry = {**ENTRY, "service": "x", "address": "10.0.0.1:80", "born": born}
     assert decode_instance("i-1", json.dumps(entry).encode()).is_error()
-    said = json.dumps({"phase": "decode", "born": born}).encode()
-    assert PlatformUpstreams().read_report(said).is_error()
+    data = json.dumps({"phase": "decode", "born": born}).encode()
+    assert PlatformUpstreams().read_report(data).is_error()
 
 
 def test_prompt_headers_are_parsed() -> None:
@@ -132,11 +132,11 @@
         ("X-Prompt-Prefix", "5c:800, 91:410,e4:250"),
         ("X-Deadline-Ms", "1500"),
     )
-    asked = PlatformCallers().read_request("/a/b?c", head).ok
-    assert asked.path == "/a/b"
-    assert asked.timeout == 1.5
-    assert (asked.prompt_tokens, asked.max_tokens) == (1460, 80)
-    assert asked.parts == tuple(
+    request = PlatformCallers().read_request("/a/b?c", head).ok
+    assert request.path == "/a/b"
+    assert request.timeout == 1.5
+    assert (request.prompt_tokens, request.max_tokens) == (1460, 80)
+    assert request.parts == tuple(
         PromptPart(*part) for part in (("5c", 800), ("91", 410), ("e4", 250))
     )
 
@@ -144,14 +144,14 @@
 @pytest.mark.parametrize("text", ["x", "x:", ":5", "x:-1", "x:9999999999999999"])
 def test_parsing_of_prompt_parts_ends_at_an_invalid_part(text: str) -> None:
     head = (*HEAD, ("X-Prompt-Prefix", f"a:1,{text},b:2"))
-    asked = PlatformCallers().read_request("/a/b", head).ok
-    assert asked.parts == (PromptPart("a", 1),)
+    request = PlatformCallers().read_request("/a/b", head).ok
+    assert request.parts == (PromptPart("a", 1),)
 
 
 def test_hop_by_hop_headers_are_not_forwarded() -> None:
     head = (*HEAD, ("Connection", "close, X-Mine"), ("X-Mine", "1"), ("TE", "x"))
-    asked = PlatformCallers().read_request("/a/b", head).ok
-    assert asked.headers == HEAD
+    request = PlatformCallers().read_request("/a/b", head).ok
+    assert request.headers == HEAD
 
 
 def make_offer(**more: object) -> Offer:
--- a/tests/adapter/test_eras.py
+++ b/tests/adapter/test_eras.py
@@ -20,10 +20,10 @@
 
 @asynccontextmanager
 async def connect(app: web.Application) -> AsyncIterator[StoreClient]:
-    """Run a client of a store, and record the era changes it reports in `told`."""
+    """Run a client of a store, and collect its reports in `era_changes`."""
     client = StoreClient(await serve(app))
-    client.told = []
-    client.on_era.append(lambda *eras: client.told.append((*eras, client.era)))
+    client.era_changes = []
+    client.on_era.append(lambda *eras: client.era_changes.append((*eras, client.era)))
     await client.start()
     async with asyncio.timeout(WAIT_SECONDS):
         yield client
@@ -77,7 +77,7 @@
             assert client.era == 0
             assert (await client.read_table("servers")).is_ok()
             assert (await client.read_table("servers")).is_ok()
-            assert client.told == [(0, 4, 4)]
+            assert client.era_changes == [(0, 4, 4)]
 
     run(play())
 
@@ -89,7 +89,7 @@
             assert (await client.read_table("servers")).is_ok()
             rows.restore(rows.take_copy())
             assert (await client.transact([], [], [])).ok.status == 200
-            assert (client.era, client.told) == (0, [])
+            assert (client.era, client.era_changes) == (0, [])
 
     run(play())
 
@@ -110,7 +110,7 @@
             assert (await calls[name]()).is_ok()
             rows.restore(rows.take_copy())
             assert is_unavailable(await calls[name]())
-            assert client.told == [(0, 1, 1), (1, 2, 2)]
+            assert client.era_changes == [(0, 1, 1), (1, 2, 2)]
             assert (await calls[name]()).is_ok()
 
     run(play())
@@ -137,13 +137,13 @@
 # Another call shows the new era, and has to abort all calls in flight.
 def test_calls_in_flight_are_aborted_when_the_era_changes() -> None:
     async def play() -> None:
-        silent, asked = asyncio.Event(), []
+        silent, paths = asyncio.Event(), []
 
         async def answer(request: web.Request) -> web.Response:
-            asked.append(request.path)
+            paths.append(request.path)
             if request.path != "/api/rows-get":
                 await silent.wait()
-            era = "1" if len(asked) == 1 else "2"
+            era = "1" if len(paths) == 1 else "2"
             return web.json_response(PAGE, headers={ERA_HEADER: era})
 
         app = web.Application()
@@ -154,10 +154,10 @@
                 asyncio.create_task(client.follow_table("servers", 1, 3600.0)),
                 asyncio.create_task(client.transact([], [], [])),
             ]
-            await wait_until(lambda: len(asked) == 3)
+            await wait_until(lambda: len(paths) == 3)
             assert is_unavailable(await client.read_table("op"))
             assert all(map(is_unavailable, await asyncio.gather(*out)))
-            assert client.told == [(0, 1, 1), (1, 2, 2)]
+            assert client.era_changes == [(0, 1, 1), (1, 2, 2)]
             assert (await client.read_table("op")).is_ok()
 
     run(play())
@@ -170,14 +170,14 @@
         late = asyncio.Event()
         app = build_scripted([("1", late), ("1", open_gate())])
         async with connect(app) as client:
-            asked = [
+            reads = [
                 asyncio.create_task(client.read_table(table))
                 for table in ("servers", "op")
             ]
             await wait_until(lambda: client.era)
             late.set()
-            assert all(read.is_ok() for read in await asyncio.gather(*asked))
-            assert client.told == [(0, 1, 1)]
+            assert all(read.is_ok() for read in await asyncio.gather(*reads))
+            assert client.era_changes == [(0, 1, 1)]
 
     run(play())
 
@@ -192,7 +192,7 @@
             assert (await client.read_table("servers")).is_ok()
             assert is_unavailable(await client.read_table("servers"))
             assert (await client.read_table("servers")).is_ok()
-            assert client.told == [(0, 2, 2)]
+            assert client.era_changes == [(0, 2, 2)]
 
     run(play())
     assert list_messages(logs, "store:era_outdated") == [
@@ -217,7 +217,7 @@
         async with connect(app) as client:
             for _ in range(4):
                 assert (await client.read_table("servers")).is_ok()
-            assert client.told == [(0, 1, 1)]
+            assert client.era_changes == [(0, 1, 1)]
 
     run(play())
     assert len(list_messages(logs, "store:era_unreadable")) == 1
@@ -234,9 +234,9 @@
             assert (await client.read_table("op")).is_ok()
             read_page = client._read_page
 
-            async def read_first(*asked):
+            async def read_first(*args):
                 client._read_page = read_page
-                page = await read_page(*asked)
+                page = await read_page(*args)
                 rows.restore(rows.take_copy())
                 if is_seen_between:
                     await client.read_table("op")
--- a/tests/adapter/test_eras_machine.py
+++ b/tests/adapter/test_eras_machine.py
@@ -24,7 +24,7 @@
 SERVERS = "servers"
 
 
-class Kept(NamedTuple):
+class Backup(NamedTuple):
     """Hold a copy of the store and the writes that were acknowledged by then."""
 
     copy: Copy
@@ -112,7 +112,7 @@
         """Id of the last acknowledged write of each row in this era."""
         self.clients: list[StoreClient] = []
         self.loop.run_until_complete(self._start())
-        self.kept = [Kept(self.rows.take_copy(), {})]
+        self.backups = [Backup(self.rows.take_copy(), {})]
 
     async def _start(self) -> None:
         address = await serve(self.rows.build_app())
@@ -203,24 +203,24 @@
     @rule()
     def copy(self) -> None:
         """Make a copy of the store."""
-        self.kept.append(Kept(self.rows.take_copy(), dict(self.acknowledged)))
+        self.backups.append(Backup(self.rows.take_copy(), dict(self.acknowledged)))
 
     @rule(data=st.data(), hosts=st.frozensets(HOSTS))
     def restore(self, data: st.DataObject, hosts: frozenset[str]) -> None:
         """Restore a copy; some hosts write their entries again."""
-        kept = data.draw(st.sampled_from(self.kept))
-        self._restore(kept)
+        backup = data.draw(st.sampled_from(self.backups))
+        self._restore(backup)
         self.rows.rewrite(Name(SERVERS, "", host) for host in hosts)
 
-    @rule(number=BOTH, key=KEYS, looks=st.booleans())
-    def overtake(self, number: int, key: Key, looks: bool) -> None:
+    @rule(number=BOTH, key=KEYS, lists_rows=st.booleans())
+    def overtake(self, number: int, key: Key, lists_rows: bool) -> None:
         """Lose a writer's last write in a restore, and have another write the row."""
         self.copy()
         self.write(number, key, is_late=False)
-        self._restore(self.kept[-1])
+        self._restore(self.backups[-1])
         self.read(1 - number, key)
         self.write(1 - number, key, is_late=False)
-        if looks:
+        if lists_rows:
             self.list_rows(number, key)
 
     @rule(number=BOTH)
@@ -228,15 +228,17 @@
         """Read changes, and check that the follower has the current entries."""
         follower = self.followers[number]
         self.loop.run_until_complete(follower.follow())
-        held = self.rows.take_copy().rows
+        current_rows = self.rows.take_copy().rows
         current = {
             name.key
-            for name, (_, value) in held.items()
+            for name, (_, value) in current_rows.items()
             if name.table == SERVERS and value
         }
         assert follower.hosts.keys() == current
         for host, value in follower.hosts.items():
-            expected = {"e30=": b"{}", "W10=": b"[]"}[held[Name(SERVERS, "", host)][1]]
+            expected = {"e30=": b"{}", "W10=": b"[]"}[
+                current_rows[Name(SERVERS, "", host)][1]
+            ]
             assert value == expected
 
     @invariant()
@@ -245,10 +247,10 @@
         for key, write_id in self.acknowledged.items():
             assert self._find_id(key) == write_id
 
-    def _restore(self, kept: Kept) -> None:
-        self.kept = self.kept[: self.kept.index(kept) + 1]
-        self.rows.restore(kept.copy)
-        self.acknowledged = dict(kept.acknowledged)
+    def _restore(self, backup: Backup) -> None:
+        self.backups = self.backups[: self.backups.index(backup) + 1]
+        self.rows.restore(backup.copy)
+        self.acknowledged = dict(backup.acknowledged)
 
     def _record(self, key: Key) -> None:
         """Record a stored write that was not acknowledged."""
@@ -257,10 +259,10 @@
             self.acknowledged[key] = found
 
     def _find_id(self, key: Key) -> str | None:
-        held = self.rows.take_copy().rows.get(Name(TABLE, key.pk, key.sk))
-        if held is None or held[1] is None:
+        row = self.rows.take_copy().rows.get(Name(TABLE, key.pk, key.sk))
+        if row is None or row[1] is None:
             return None
-        return json.loads(base64.b64decode(held[1]))["write_id"]
+        return json.loads(base64.b64decode(row[1]))["write_id"]
 
 
 TestEras = ErasMachine.TestCase
--- a/tests/adapter/test_outages.py
+++ b/tests/adapter/test_outages.py
@@ -22,7 +22,7 @@
 from radishtally.store.core import Unavailable
 from tests.gateway.common import ENTRY
 
-AWAY: Final = Error(Unavailable("away"))
+UNAVAILABLE: Final = Error(Unavailable("away"))
 HOSTS: Final = "abcdefgh"
 UPSTREAMS: Final = frozenset("ab"), frozenset("cdefgh")
 HEARTBEAT_SECONDS: Final = 1.2
@@ -112,7 +112,7 @@
             async with asyncio.timeout(wait + FEED_GRACE_SECONDS):
                 return await self._find_answer(after, wait)
         except TimeoutError:
-            return AWAY
+            return UNAVAILABLE
 
     async def _find_answer(self, after: int, wait: float) -> Result:
         loop = asyncio.get_running_loop()
@@ -122,7 +122,7 @@
             outage = self.find_outage()
             if outage is not None:
                 if outage.refuses:
-                    return AWAY
+                    return UNAVAILABLE
                 await asyncio.sleep(outage.end - loop.time())
                 continue
             rows = [row for row in self.rows.values() if row.version > after]
@@ -216,17 +216,17 @@
 
     def _check(self) -> None:
         now = self._loop.time()
-        held = {instance.host for instance in self._listener.members}
+        listed = {instance.host for instance in self._listener.members}
         serving = set(HOSTS) - self._removed_at.keys()
         for upstream in UPSTREAMS:
-            dropped = (serving & upstream) - held
+            dropped = (serving & upstream) - listed
             # A single lapsed entry can't be told from a host that left unannounced.
             assert len(dropped) <= max(1, MASS_REMOVAL_SHARE * len(upstream))
-            assert not dropped or held & upstream
+            assert not dropped or listed & upstream
         last = max((o.end for o in self._outages if o.start <= now), default=0.0)
         if now < last + STABLE_SECONDS:
             return
-        late = (host for host in held - serving)
+        late = (host for host in listed - serving)
         assert all(now < self._removed_at[host] + DRAIN_SECONDS for host in late)
 
 
--- a/tests/adapter/test_restored.py
+++ b/tests/adapter/test_restored.py
@@ -24,7 +24,7 @@
 from tests.adapter.test_outages import BOUNDS, ROUND_TRIP_SECONDS, simulated_time
 from tests.gateway.common import ENTRY, LIMITS, make_gateway, make_route
 
-AWAY: Final = Error(Unavailable("away"))
+UNAVAILABLE: Final = Error(Unavailable("away"))
 READS_PER_SECOND: Final = 2_000
 """Read calls a second that the store allows for all gateways together."""
 DRAIN_SECONDS: Final = 2.0
@@ -117,12 +117,12 @@
         try:
             await asyncio.wait({answer, ended}, return_when=asyncio.FIRST_COMPLETED)
             if not answer.done():
-                return AWAY
+                return UNAVAILABLE
             result = answer.result()
             if result.is_ok():
                 self._record_era(self.store.era)
             if result.is_error() or (sent and sent != self.era):
-                return AWAY
+                return UNAVAILABLE
             self.answered.append(FeedPosition(table, self.era, result.ok.version))
             return result
         finally:
@@ -144,7 +144,7 @@
         await asyncio.sleep(store.round_trip)
         while True:
             if store.is_unavailable() or (after is not None and era != store.era):
-                return AWAY
+                return UNAVAILABLE
             rows = [
                 row
                 for (name, _), row in store.rows.items()
@@ -255,7 +255,7 @@
 
 # Guards against refusing callers of a host that serves. It had registered after the
 # copy was made, and no entry lapses in an outage this short, so its missing entry was
-# taken for a removal. A host that does not register again must still be removed.
+# applied for a removal. A host that does not register again must still be removed.
 @pytest.mark.parametrize("gateways", [4, 330])
 def test_host_that_a_copy_lacks_is_kept_until_it_may_have_written_again(
     gateways: int,
@@ -287,34 +287,34 @@
 # old era, was answered.
 def test_answer_to_a_call_of_an_earlier_era_is_ignored() -> None:
     async def scenario(store: EraStore) -> None:
-        taken = []
+        applied = []
         clock = asyncio.get_running_loop().time
 
         class Client:
             async def read_table(self, table: str) -> Result:
-                asked.append("all")
-                if len(asked) == 3:
+                calls.append("all")
+                if len(calls) == 3:
                     return await asyncio.Event().wait()
-                return Ok(Page((StoredRow("k", b"v", len(asked)),), 5))
+                return Ok(Page((StoredRow("k", b"v", len(calls)),), 5))
 
             async def follow_table(self, table: str, after: int, wait: float) -> Result:
-                asked.append(f"after {after}")
+                calls.append(f"after {after}")
                 watch.enter_era()
                 return Ok(Page((StoredRow("k", b"old", 6),), 6))
 
-        asked: list[str] = []
+        calls: list[str] = []
         watch = TableWatch(
             Client(),
             "servers",
-            lambda rows, after: taken.append((rows[0].value, after)),
-            lambda rows, after: taken.append((rows[0].value, after)),
+            lambda rows, after: applied.append((rows[0].value, after)),
+            lambda rows, after: applied.append((rows[0].value, after)),
             clock=clock,
         )
         running = asyncio.create_task(watch.run())
-        await wait_until(lambda: len(asked) >= 3, 10.0)
+        await wait_until(lambda: len(calls) >= 3, 10.0)
         running.cancel()
-        assert asked == ["all", "after 5", "all"]
-        assert taken == [(b"v", False)]
+        assert calls == ["all", "after 5", "all"]
+        assert applied == [(b"v", False)]
 
     play(scenario)
 
@@ -322,11 +322,11 @@
 # Guards against overloading the store, which refuses calls with 429 then, so that
 # gateways have no host list for longer. All gateways notice a restore within half a
 # second, and each would read both tables at once.
-@pytest.mark.parametrize("away", [0.0, OUTAGE_SECONDS, 2.5])
+@pytest.mark.parametrize("outage", [0.0, OUTAGE_SECONDS, 2.5])
 @pytest.mark.parametrize("gateways", [68, 330])
 @pytest.mark.parametrize("lost", [False, True])
 def test_gateways_spread_their_reads_in_a_new_era(
-    gateways: int, away: float, lost: bool, monkeypatch: pytest.MonkeyPatch
+    gateways: int, outage: float, lost: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     seeds = itertools.count()
     seeded = SimpleNamespace(Random=lambda: Random(next(seeds)))
@@ -338,8 +338,8 @@
         if lost:
             store.write(const.HOSTS_TABLE, "d", make_entry("d"))
         await asyncio.sleep(2.0)
-        store.restore(copy, away)
-        await asyncio.sleep(away + 5.0)
+        store.restore(copy, outage)
+        await asyncio.sleep(outage + 5.0)
         assert all(listener.client.era == 2 for listener in listeners)
         since = [(at, era) for at, era in store.calls if at >= store.available_at]
         reads = [at for at, era in since if era == 2]
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -25,9 +25,9 @@
         await client.start()
         read_page = client._read_page
 
-        async def read_first(*asked):
+        async def read_first(*args):
             client._read_page = read_page
-            page = await read_page(*asked)
+            page = await read_page(*args)
             rows.write(Name("servers", "", "h0000"), None)
             return page
 
@@ -58,8 +58,8 @@
         client = StoreClient(await serve(app))
         await client.start()
         async with asyncio.timeout(WAIT_SECONDS):
-            asked = await client.follow_table("servers", 4, 0.0)
-        assert asked.is_error()
+            read = await client.follow_table("servers", 4, 0.0)
+        assert read.is_error()
         await client.stop()
 
     run(play())
--- a/tests/adapter/test_table.py
+++ b/tests/adapter/test_table.py
@@ -364,8 +364,8 @@
             client = store._client
             call, read = getattr(client, name), client.read_rows
 
-            async def call_late(*asked):
-                answer = await call(*asked)
+            async def call_late(*args):
+                answer = await call(*args)
                 rows.restore(rows.take_copy())
                 await read(TABLE, OTHER.pk, OTHER.sk, "", 1)
                 return answer
--- a/tests/adapter/test_watch.py
+++ b/tests/adapter/test_watch.py
@@ -30,7 +30,7 @@
 from tests.gateway.common import ENTRY, wait_until
 
 ROW = StoredRow("k", b"v", 1)
-AWAY = Error(Unavailable("away"))
+UNAVAILABLE = Error(Unavailable("away"))
 DESK = json.dumps({**ENTRY, "service": "desk", "address": "10.0.0.1:80"}).encode()
 """Entry of a host."""
 
@@ -42,7 +42,7 @@
         self.answers = list(answers)
         self.era = 0
         self.on_era: list[Callable[[int, int], None]] = []
-        self.asked: list[tuple[str, float]] = []
+        self.calls: list[tuple[str, float]] = []
 
     async def read_table(self, table: str) -> Result:
         return await self._give("all", 0.0)
@@ -51,7 +51,7 @@
         return await self._give(f"after {after}", wait)
 
     async def _give(self, what: str, wait: float) -> Result:
-        self.asked.append((what, wait))
+        self.calls.append((what, wait))
         if not self.answers:
             raise asyncio.CancelledError
         return self.answers.pop(0)
@@ -83,13 +83,13 @@
 
 def test_changes_follow_the_whole_table() -> None:
     store, seen = follow(Ok(Page((ROW,), 4)), Ok(Page((ROW,), 7)), Ok(Page((), 9)))
-    assert [what for what, _ in store.asked] == ["all", "after 4", "after 7", "after 9"]
+    assert [what for what, _ in store.calls] == ["all", "after 4", "after 7", "after 9"]
     assert [kind for kind, *_ in seen] == ["all", "changes"]
 
 
 def test_table_is_read_again_if_its_history_was_compacted() -> None:
     store, seen = follow(Ok(Page((), 4)), Ok(Compacted()), Ok(Page((ROW,), 30)))
-    assert [what for what, _ in store.asked] == ["all", "after 4", "all", "after 30"]
+    assert [what for what, _ in store.calls] == ["all", "after 4", "all", "after 30"]
     assert [kind for kind, *_ in seen] == ["all", "all"]
 
 
@@ -98,8 +98,10 @@
 # was taken for an entry that lapsed in the outage. A call without a wait shows the
 # store's return at once.
 def test_first_call_after_a_failure_does_not_wait_for_a_change() -> None:
-    store, _ = follow(Ok(Page((), 4)), AWAY, Ok(Page((), 4)), Ok(Page((ROW,), 5)))
-    waits = [wait for what, wait in store.asked if what != "all"]
+    store, _ = follow(
+        Ok(Page((), 4)), UNAVAILABLE, Ok(Page((), 4)), Ok(Page((ROW,), 5))
+    )
+    waits = [wait for what, wait in store.calls if what != "all"]
     assert waits == [FEED_WAIT_SECONDS, 0.0, FEED_WAIT_SECONDS, FEED_WAIT_SECONDS]
 
 
@@ -123,7 +125,7 @@
 
 
 def test_no_entry_lapses_in_a_short_outage() -> None:
-    _, seen = follow(Ok(Page((), 4)), AWAY, Ok(Page((ROW,), 5)))
+    _, seen = follow(Ok(Page((), 4)), UNAVAILABLE, Ok(Page((ROW,), 5)))
     assert seen[-1] == ("changes", (ROW,), False)
 
 
@@ -139,7 +141,7 @@
         waits.append(seconds)
 
     monkeypatch.setattr("adapter.watch.asyncio.sleep", record)
-    follow(Ok(Page((), 4)), *[AWAY] * 20, Ok(Page((), 4)))
+    follow(Ok(Page((), 4)), *[UNAVAILABLE] * 20, Ok(Page((), 4)))
     assert len(waits) == 20
     assert max(waits) <= longest
 
@@ -166,7 +168,7 @@
 
     monkeypatch.setattr(f"{__name__}.ScriptedStore", SilentStore)
     removed = StoredRow("k", None, 5)
-    answers = Ok(Page((ROW,), 4)), AWAY, Ok(Page((removed,), 5))
+    answers = Ok(Page((ROW,), 4)), UNAVAILABLE, Ok(Page((removed,), 5))
     _, seen = follow(*answers, clock=lambda: now)
     assert seen[-1] == ("changes", (removed,), True)
 
@@ -234,7 +236,7 @@
     listed, removed = StoredRow("a", DESK, 1), StoredRow("a", None, 5)
 
     async def play() -> None:
-        store = HostsStore(Ok(Page((listed,), 4)), AWAY, Ok(Page((removed,), 5)))
+        store = HostsStore(Ok(Page((listed,), 4)), UNAVAILABLE, Ok(Page((removed,), 5)))
         listener = Listener()
         StoreWatcher(store, listener).start()
         await wait_until(lambda: len(listener.changes) == 3)
@@ -263,8 +265,8 @@
 
     async def play() -> list[HostChange]:
         first, lapsed, back = Page(listed, 4), Page(removed, 5), Page(listed, 9)
-        away = [AWAY] * 4
-        store = HostsStore(Ok(first), AWAY, Ok(lapsed), *away, Ok(back))
+        failures = [UNAVAILABLE] * 4
+        store = HostsStore(Ok(first), UNAVAILABLE, Ok(lapsed), *failures, Ok(back))
         listener = Listener()
         StoreWatcher(store, listener).start()
         await wait_until(lambda: len(listener.changes) >= 6)
@@ -316,7 +318,7 @@
     monkeypatch.setattr("adapter.watch.MIN_OUTAGE_SECONDS", 0.0)
     good = tuple(StoredRow(host, DESK, 1) for host in "abcde")
     bad = StoredRow("a", b"{}", 5)
-    first = [Ok(Page(good, 4))] + [AWAY] * after_outage
+    first = [Ok(Page(good, 4))] + [UNAVAILABLE] * after_outage
     then = [Ok(Compacted())] * is_whole + [
         Ok(Page((bad, *good[1:]) if is_whole else (bad,), 6)),
         Ok(Page((StoredRow("a", DESK, 7),), 8)),
--- a/tests/common.py
+++ b/tests/common.py
@@ -209,8 +209,7 @@
 
 @asynccontextmanager
 async def answer_twice(first: bytes, second: bytes) -> AsyncIterator[str]:
-    """Serve answers that name no request on persistent connections, the first one
-    twice.
+    """Serve answers that name no request, the first one twice, on kept connections.
 
     The duplicate is sent together with the first answer's body, which is read apart
     from its head: the connection is already idle when the duplicate is found.
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -138,7 +138,7 @@
 
 async def free_kv(made: Deployment, instance: Instance) -> None:
     made.gateway.hosts.drop(KvRef(instance.host, instance.address, "h", 1))
-    await asyncio.gather(*made.gateway.hosts._tasks._kept)
+    await asyncio.gather(*made.gateway.hosts._tasks._detached)
 
 
 # Whatever a gateway asks a host, the answer says that it leaves: heard there alone, it
