--- a/bench/capacity/configurations.py
+++ b/bench/capacity/configurations.py
@@ -7,7 +7,7 @@
 from bench.capacity.figures import Figure, time_calls
 from bench.capacity.samples import make_letter_folder
 from bench.capacity.usage import read_resident
-from radishtally.distribution.core import Keeper, hash_files
+from radishtally.distribution.core import ConfigurationReplica, hash_files
 from radishtally.entry.callers import Directory
 from radishtally.links.codec import encode_frame
 from radishtally.links.messages import ConfigurationFiles, ConfigurationRequest
@@ -36,9 +36,9 @@
     at = {"files": len(files), "teams": 27_000}
     yield Figure("configuration, all files", total, "bytes", at)
     resident = read_resident()
-    keeper = Keeper()
+    keeper = ConfigurationReplica()
     given = ConfigurationFiles(1, hash_files(files), files)
-    cost = time_once(lambda: keeper.take(given))
+    cost = time_once(lambda: keeper.adopt(given))
     yield Figure("configuration, first taken", cost, "ms", at)
     held = read_resident() - resident
     yield Figure("configuration, held", held * 1e3 / len(files), "kB/file", at)
@@ -55,7 +55,9 @@
     yield from measure_change(keeper, files)
 
 
-def measure_change(keeper: Keeper, files: dict[str, str]) -> Iterator[Figure]:
+def measure_change(
+    keeper: ConfigurationReplica, files: dict[str, str]
+) -> Iterator[Figure]:
     """Measure one changed file, as it goes from a peer to a peer."""
     ask = ConfigurationRequest(keeper.revision, dict(keeper.current.hashes))
     costs = []
@@ -63,10 +65,10 @@
         changed = change_file(files, number + 1)
         hashes = hash_files(changed)
         given = ConfigurationFiles(2 + number, hashes, {CHANGED: changed[CHANGED]})
-        costs.append(time_once(lambda given=given: keeper.take(given)))
+        costs.append(time_once(lambda given=given: keeper.adopt(given)))
     at = {"files": len(files), "changed": 1}
     yield Figure("configuration, change taken", min(costs), "ms", at)
-    cost = time_calls(lambda: encode_frame([keeper.answer(ask)])) / 1e3
+    cost = time_calls(lambda: encode_frame([keeper.build_reply(ask)])) / 1e3
     yield Figure("change, answered by a peer", cost, "ms", at)
     yield Figure("change, asked for", len(encode_frame([ask])), "bytes", at)
     yield Figure("change, given", len(encode_frame([given])), "bytes", at)
--- a/radishtally/distribution/core.py
+++ b/radishtally/distribution/core.py
@@ -9,11 +9,11 @@
 from radishtally.links.messages import ConfigurationFiles, ConfigurationRequest
 from radishtally.outcome import Error, Fault, Ok, Result
 
-ASK_SECONDS: Final = 1.0
+REPLY_TIMEOUT_SECONDS: Final = 1.0
 """Time that a peer gets to give its files before another one is asked."""
 
 
-class InForce(NamedTuple):
+class ConfigurationInForce(NamedTuple):
     """Hold one revision of the configuration."""
 
     revision: int
@@ -22,7 +22,7 @@
     configuration: Configuration
 
 
-class Asked(NamedTuple):
+class FileRequest(NamedTuple):
     """Hold which peer was asked for the files of a revision, and when."""
 
     host: str
@@ -33,29 +33,29 @@
         """Tell whether this makes it needless to ask a peer."""
         if host == self.host or revision > self.revision:
             return False
-        return now - self.at < ASK_SECONDS
+        return now - self.at < REPLY_TIMEOUT_SECONDS
 
 
-class Keeper:
+class ConfigurationReplica:
     """Keep the highest revision that was ever seen, and never go back."""
 
     def __init__(self) -> None:
-        self.current: InForce | None = None
-        self.peers: dict[str, int] = {}
+        self.current: ConfigurationInForce | None = None
+        self.peer_revisions: dict[str, int] = {}
         """Revision in force at each peer, by its own word."""
         self.merge = Merger().merge
-        self._asked: Asked | None = None
+        self._asked: FileRequest | None = None
 
     @property
     def revision(self) -> int:
         """Give the revision in force, 0 for none."""
         return self.current.revision if self.current else 0
 
-    def note_peer(
+    def record_peer_revision(
         self, host: str, revision: int, now: float = 0.0
     ) -> ConfigurationRequest | None:
         """Take a peer's word on its revision; ask for the files if we are behind."""
-        self.peers[host] = revision
+        self.peer_revisions[host] = revision
         if revision <= self.revision:
             return None
         # All peers tell of a new revision within moments. Asked one and all, each
@@ -63,18 +63,18 @@
         asked = self._asked
         if asked is not None and asked.covers(host, revision, now):
             return None
-        self._asked = Asked(host, revision, now)
+        self._asked = FileRequest(host, revision, now)
         return ConfigurationRequest(
             self.revision, self.current.hashes if self.current else {}
         )
 
     def forget_peer(self, host: str) -> None:
         """Forget a peer that is gone."""
-        self.peers.pop(host, None)
+        self.peer_revisions.pop(host, None)
         if self._asked is not None and self._asked.host == host:
             self._asked = None
 
-    def answer(self, ask: ConfigurationRequest) -> ConfigurationFiles | None:
+    def build_reply(self, ask: ConfigurationRequest) -> ConfigurationFiles | None:
         """Give a peer the files that it lacks, if it is behind us."""
         if self.current is None or ask.revision >= self.revision:
             return None
@@ -86,7 +86,7 @@
         }
         return ConfigurationFiles(self.revision, self.current.hashes, files)
 
-    def take(self, given: ConfigurationFiles) -> Result[bool, Fault]:
+    def adopt(self, given: ConfigurationFiles) -> Result[bool, Fault]:
         """Bring a newer revision into force; tell whether it was newer."""
         if given.revision <= self.revision:
             return Ok(False)
@@ -103,12 +103,12 @@
         if merged.is_error():
             return merged
         hashes = dict(given.hashes)
-        self.current = InForce(given.revision, files, hashes, merged.ok)
+        self.current = ConfigurationInForce(given.revision, files, hashes, merged.ok)
         return Ok(True)
 
-    def find_behind(self, revision: int) -> list[str]:
+    def list_lagging_peers(self, revision: int) -> list[str]:
         """Find the peers that have not confirmed a revision."""
-        return sorted(h for h, known in self.peers.items() if known < revision)
+        return sorted(h for h, known in self.peer_revisions.items() if known < revision)
 
 
 def hash_text(text: str) -> str:
--- a/radishtally/entry/operators.py
+++ b/radishtally/entry/operators.py
@@ -178,8 +178,8 @@
 def _find_behind(entry: Entry, revision: int) -> list[str]:
     """Name the hosts that have not confirmed, those out of reach among them."""
     keeper = entry.process.keeper
-    behind = set(keeper.find_behind(revision))
-    behind |= set(entry.members.membership.members) - set(keeper.peers)
+    behind = set(keeper.list_lagging_peers(revision))
+    behind |= set(entry.members.membership.members) - set(keeper.peer_revisions)
     behind.discard(entry.settings.host)
     if keeper.revision < revision:
         behind.add(entry.settings.host)
--- a/radishtally/entry/reports.py
+++ b/radishtally/entry/reports.py
@@ -17,7 +17,7 @@
         "place": member.place,
         "upstream": member.upstream,
         "state": find_state(entry, host, now),
-        "revision": keeper.revision if own else keeper.peers.get(host),
+        "revision": keeper.revision if own else keeper.peer_revisions.get(host),
         **describe_load(entry, host),
     }
 
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -7,7 +7,7 @@
 from eliot import log_message
 
 from radishtally.audit.store import AuditLog
-from radishtally.distribution.core import Keeper
+from radishtally.distribution.core import ConfigurationReplica
 from radishtally.links.hub import LinkCallbacks, LinkHub
 from radishtally.links.messages import (
     ConfigurationFiles,
@@ -35,7 +35,7 @@
         self.settings = settings
         self.incarnation = secrets.token_hex(8)
         self.write_ids = WriteIds(self.incarnation)
-        self.keeper = Keeper()
+        self.keeper = ConfigurationReplica()
         self.table = HttpTable(settings.table.url, settings.table.name)
         self.objects = HttpObjects(settings.objects.url, settings.objects.bucket)
         self.host_list = HttpHostList(settings.host_list.url)
@@ -71,7 +71,7 @@
             self.request_newer_configuration(host, message.revision)
             return not isinstance(message, Ping)
         if isinstance(message, ConfigurationRequest):
-            given = self.keeper.answer(message)
+            given = self.keeper.build_reply(message)
             if given is not None:
                 self.hub.send(host, given)
             return True
@@ -82,13 +82,13 @@
 
     def request_newer_configuration(self, host: str, revision: int) -> None:
         """Request the configuration from a peer that has a newer revision."""
-        ask = self.keeper.note_peer(host, revision, time.monotonic())
+        ask = self.keeper.record_peer_revision(host, revision, time.monotonic())
         if ask is not None:
             self.hub.send(host, ask)
 
     def apply_configuration(self, given: ConfigurationFiles, source: str) -> None:
         """Apply a configuration and announce its revision to all peers."""
-        outcome = self.keeper.take(given)
+        outcome = self.keeper.adopt(given)
         if outcome.is_error():
             log_message(
                 "configuration:refused", source=source, fault=str(outcome.error)
--- a/tests/distribution/test_core.py
+++ b/tests/distribution/test_core.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from radishtally.distribution.core import Keeper, hash_files, hash_text
+from radishtally.distribution.core import ConfigurationReplica, hash_files, hash_text
 from radishtally.links.messages import ConfigurationFiles, ConfigurationRequest
 from tests.configuration.common import BASE, write_teams
 
@@ -17,54 +17,64 @@
 
 
 @pytest.fixture
-def keeper() -> Keeper:
+def keeper() -> ConfigurationReplica:
     """Hold revision 2."""
-    keeper = Keeper()
-    assert keeper.take(give(2, base=BASE, teams=TEAMS)).ok
+    keeper = ConfigurationReplica()
+    assert keeper.adopt(give(2, base=BASE, teams=TEAMS)).ok
     return keeper
 
 
 def test_a_keeper_without_configuration_asks_for_everything():
-    assert Keeper().note_peer("entry-1", 3) == ConfigurationRequest(0, {})
+    assert ConfigurationReplica().record_peer_revision(
+        "entry-1", 3
+    ) == ConfigurationRequest(0, {})
 
 
 @pytest.mark.parametrize("revision", [0, 1, 2])
-def test_a_peer_that_is_not_ahead_is_not_asked(keeper: Keeper, revision: int):
-    assert keeper.note_peer("entry-1", revision) is None
-    assert keeper.peers == {"entry-1": revision}
+def test_a_peer_that_is_not_ahead_is_not_asked(
+    keeper: ConfigurationReplica, revision: int
+):
+    assert keeper.record_peer_revision("entry-1", revision) is None
+    assert keeper.peer_revisions == {"entry-1": revision}
 
 
 @pytest.mark.parametrize("revision", [1, 2])
-def test_a_lower_or_equal_revision_changes_nothing(keeper: Keeper, revision: int):
+def test_a_lower_or_equal_revision_changes_nothing(
+    keeper: ConfigurationReplica, revision: int
+):
     before = keeper.current
-    assert keeper.take(give(revision, base=BASE)).ok is False
+    assert keeper.adopt(give(revision, base=BASE)).ok is False
     assert keeper.current is before
 
 
-def test_a_higher_revision_is_taken(keeper: Keeper):
-    assert keeper.take(give(5, base=BASE)).ok is True
+def test_a_higher_revision_is_taken(keeper: ConfigurationReplica):
+    assert keeper.adopt(give(5, base=BASE)).ok is True
     assert keeper.revision == 5
     assert set(keeper.current.files) == {"base.json"}
     assert keeper.current.configuration.teams == {}
 
 
-def test_only_changed_files_are_given_and_merged_with_the_known_ones(keeper: Keeper):
-    newer = Keeper()
-    newer.take(give(3, base=BASE, teams=OTHER_TEAMS))
-    given = newer.answer(keeper.note_peer("entry-2", 3))
+def test_only_changed_files_are_given_and_merged_with_the_known_ones(
+    keeper: ConfigurationReplica,
+):
+    newer = ConfigurationReplica()
+    newer.adopt(give(3, base=BASE, teams=OTHER_TEAMS))
+    given = newer.build_reply(keeper.record_peer_revision("entry-2", 3))
     assert set(given.files) == {"teams.json"}
-    assert keeper.take(given).ok is True
+    assert keeper.adopt(given).ok is True
     assert keeper.current.files == newer.current.files
     assert keeper.current.configuration == newer.current.configuration
 
 
 @pytest.mark.parametrize("revision", [2, 9])
-def test_a_peer_that_is_not_behind_is_given_nothing(keeper: Keeper, revision: int):
-    assert keeper.answer(ConfigurationRequest(revision, {})) is None
+def test_a_peer_that_is_not_behind_is_given_nothing(
+    keeper: ConfigurationReplica, revision: int
+):
+    assert keeper.build_reply(ConfigurationRequest(revision, {})) is None
 
 
 def test_an_unconfigured_keeper_gives_nothing():
-    assert Keeper().answer(ConfigurationRequest(0, {})) is None
+    assert ConfigurationReplica().build_reply(ConfigurationRequest(0, {})) is None
 
 
 FAULTY = {
@@ -83,16 +93,18 @@
 
 
 @pytest.mark.parametrize("fault", FAULTY)
-def test_what_is_faulty_never_comes_into_force(keeper: Keeper, fault: str):
+def test_what_is_faulty_never_comes_into_force(
+    keeper: ConfigurationReplica, fault: str
+):
     before = keeper.current
-    assert keeper.take(FAULTY[fault]).is_error()
+    assert keeper.adopt(FAULTY[fault]).is_error()
     assert keeper.current is before
-    assert keeper.take(give(3, base=BASE)).ok is True
+    assert keeper.adopt(give(3, base=BASE)).ok is True
 
 
-def test_peers_that_are_behind_are_named(keeper: Keeper):
+def test_peers_that_are_behind_are_named(keeper: ConfigurationReplica):
     for host, revision in {"a": 2, "b": 1, "c": 0}.items():
-        keeper.note_peer(host, revision)
+        keeper.record_peer_revision(host, revision)
     keeper.forget_peer("c")
-    assert keeper.find_behind(2) == ["b"]
-    assert keeper.find_behind(1) == []
+    assert keeper.list_lagging_peers(2) == ["b"]
+    assert keeper.list_lagging_peers(1) == []
