--- a/radishtally/configuration/head.py
+++ b/radishtally/configuration/head.py
@@ -43,7 +43,7 @@
 """Head of a system that has no configuration yet."""
 
 
-class Raced(NamedTuple):
+class EditConflict(NamedTuple):
     """Say that another operator changed the same file since the base revision."""
 
     name: str
@@ -85,7 +85,7 @@
 
 def plan_change(
     base: Head, head: Head, change: Mapping[str, str | None]
-) -> Result[Plan, Raced]:
+) -> Result[Plan, EditConflict]:
     """Rebase a change made on one revision onto the head."""
     changes: dict[str, str | None] = {}
     for name in sorted(change):
@@ -140,11 +140,11 @@
         return Error(f"broken head: {error}")
 
 
-def _describe_race(head: Head, name: str) -> Raced:
+def _describe_race(head: Head, name: str) -> EditConflict:
     entry = head.files.get(name) or head.removed.get(name)
     if entry is None:
-        return Raced(name, "", 0)
-    return Raced(name, entry.author, entry.revision)
+        return EditConflict(name, "", 0)
+    return EditConflict(name, entry.author, entry.revision)
 
 
 class HeadTracker:
--- a/radishtally/configuration/store.py
+++ b/radishtally/configuration/store.py
@@ -13,9 +13,9 @@
 from radishtally.configuration.folder import check_change, check_sizes
 from radishtally.configuration.head import (
     EMPTY,
+    EditConflict,
     Head,
     Plan,
-    Raced,
     Stamp,
     advance,
     decode_head,
@@ -49,7 +49,7 @@
 DEFAULT_APPLY_SECONDS: Final = 10.0
 
 LoadError = Fault | Unavailable | Invalid
-ApplyError = Fault | Raced | Unavailable | Unclear | Invalid
+ApplyError = Fault | EditConflict | Unavailable | Unclear | Invalid
 Merge = Callable[[Mapping[str, str]], Result[Configuration, Fault]]
 
 
@@ -191,7 +191,9 @@
             return read
         return _check_text(read.ok, sha256)
 
-    async def _explain(self, base: Head, head: Head, raced: Raced) -> Raced:
+    async def _explain(
+        self, base: Head, head: Head, raced: EditConflict
+    ) -> EditConflict:
         earlier = await self.read_revision(raced.revision)
         if earlier.is_ok():
             raced = raced._replace(cause=earlier.ok.cause)
--- a/radishtally/entry/faults.py
+++ b/radishtally/entry/faults.py
@@ -5,7 +5,7 @@
 
 from sanic.response import HTTPResponse
 
-from radishtally.configuration.head import Raced
+from radishtally.configuration.head import EditConflict
 from radishtally.entry.http import respond_json
 from radishtally.outcome import Fault
 from radishtally.store.core import Conflict, Invalid, Unavailable, Unclear
@@ -28,7 +28,7 @@
 
 
 @respond_fault.register
-def _(error: Raced) -> HTTPResponse:
+def _(error: EditConflict) -> HTTPResponse:
     return respond_error(
         409, str(error), kind="raced", file=error.name, by=error.author
     )
--- a/tests/configuration/test_head.py
+++ b/tests/configuration/test_head.py
@@ -7,9 +7,9 @@
 from radishtally.configuration import head as module
 from radishtally.configuration.head import (
     EMPTY,
+    EditConflict,
     HeadTracker,
     Plan,
-    Raced,
     Stamp,
     advance,
     decode_head,
@@ -41,11 +41,15 @@
         ({"a": "2", "b": "2"}, {"a.json": "2", "c.json": "3"}, {"c.json": "3"}),
         ({}, {"a.json": "1"}, {}),
         ({}, {"none.json": None}, {}),
-        ({"a": "2"}, {"a.json": "3"}, Raced("a.json", "mitali", 2)),
-        ({"a": "2"}, {"a.json": None}, Raced("a.json", "mitali", 2)),
-        ({"a": None}, {"a.json": "3"}, Raced("a.json", "mitali", 2)),
-        ({"c": "1"}, {"c.json": "2"}, Raced("c.json", "mitali", 2)),
-        ({"a": "2"}, {"a.json": "3", "b.json": "3"}, Raced("a.json", "mitali", 2)),
+        ({"a": "2"}, {"a.json": "3"}, EditConflict("a.json", "mitali", 2)),
+        ({"a": "2"}, {"a.json": None}, EditConflict("a.json", "mitali", 2)),
+        ({"a": None}, {"a.json": "3"}, EditConflict("a.json", "mitali", 2)),
+        ({"c": "1"}, {"c.json": "2"}, EditConflict("c.json", "mitali", 2)),
+        (
+            {"a": "2"},
+            {"a.json": "3", "b.json": "3"},
+            EditConflict("a.json", "mitali", 2),
+        ),
     ],
 )
 def test_plan(meanwhile, change, expected):
@@ -66,11 +70,13 @@
     monkeypatch.setattr(module, "MAX_REMOVED", 1)
     head = move(move(BASE, "mitali", a=None), "mitali", b=None)
     assert list(head.removed) == ["b.json"]
-    assert plan_change(BASE, head, {"a.json": "2"}).error == Raced("a.json", "", 0)
+    assert plan_change(BASE, head, {"a.json": "2"}).error == EditConflict(
+        "a.json", "", 0
+    )
 
 
 def test_message_names_the_other_operator():
-    raced = Raced("a.json", "mitali", 7, "bigger pool", "-1\n+2")
+    raced = EditConflict("a.json", "mitali", 7, "bigger pool", "-1\n+2")
     assert "mitali in revision 7 (bigger pool)" in str(raced)
     assert str(raced).endswith("-1\n+2")
 
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -14,7 +14,7 @@
     rule,
 )
 
-from radishtally.configuration.head import EMPTY, HeadTracker, Raced, get_content
+from radishtally.configuration.head import EMPTY, EditConflict, HeadTracker, get_content
 from radishtally.configuration.store import HEAD_KEY, ConfigurationStore
 from radishtally.outcome import Fault
 from radishtally.store import settle
@@ -80,7 +80,7 @@
     apply(table, objects, {"10.json": BASE}, 0)
     apply(table, objects, {"10.json": BASE + "// more\n"}, 1, "mitali", "note")
     raced = apply(table, objects, {"10.json": BASE + "// less\n"}, 1, "arnab").error
-    assert raced == Raced("10.json", "mitali", 2, "note", raced.diff)
+    assert raced == EditConflict("10.json", "mitali", 2, "note", raced.diff)
     assert "+// more" in raced.diff
 
 
@@ -217,7 +217,7 @@
         if isinstance(result.error, Unclear):
             return
         self.refused.add(cause)
-        if isinstance(result.error, Raced):
+        if isinstance(result.error, EditConflict):
             self.check_race(attempt, result.error)
 
     def check_race(self, attempt, raced):
