--- a/radishtally/audit/core.py
+++ b/radishtally/audit/core.py
@@ -4,7 +4,7 @@
 
 from radishtally.store.core import Key, Put, Row
 
-AUDIT: Final = "audit"
+AUDIT_PARTITION: Final = "audit"
 
 
 class AuditEntry(NamedTuple):
@@ -34,7 +34,7 @@
 ) -> Put:
     """Form the row that records a change, for the transaction that makes it."""
     entry = AuditEntry(now_ms, who, what, subject, cause, before, after, number)
-    key = Key(AUDIT, f"{now_ms:013d}-{who}-{number}")
+    key = Key(AUDIT_PARTITION, f"{now_ms:013d}-{who}-{number}")
     return Put(key, entry._asdict(), None)
 
 
--- a/radishtally/audit/store.py
+++ b/radishtally/audit/store.py
@@ -9,7 +9,12 @@
 
 import eliot
 
-from radishtally.audit.core import AUDIT, AuditEntry, make_audit_put, read_entry
+from radishtally.audit.core import (
+    AUDIT_PARTITION,
+    AuditEntry,
+    make_audit_put,
+    read_entry,
+)
 from radishtally.outcome import Ok, Result
 from radishtally.store.core import Invalid, Put, ReadError, Row, Table
 
@@ -123,7 +128,7 @@
         # The table's contract pages forwards only, so a filtered read of the newest
         # asks for one large page.
         rows = limit if subject is None else SCANNED_ROWS
-        result = await self._table.query(AUDIT, limit=rows, newest_first=True)
+        result = await self._table.query(AUDIT_PARTITION, limit=rows, newest_first=True)
         return result.map(lambda found: _select(found, subject)[:limit])
 
     async def _read_oldest(
@@ -132,7 +137,9 @@
         entries: list[AuditEntry] = []
         after = ""
         for _ in range(SCANNED_ROWS // PAGE_ROWS):
-            result = await self._table.query(AUDIT, after=after, limit=PAGE_ROWS)
+            result = await self._table.query(
+                AUDIT_PARTITION, after=after, limit=PAGE_ROWS
+            )
             if result.is_error():
                 return result
             rows = result.ok
--- a/tests/authority/test_plan_store.py
+++ b/tests/authority/test_plan_store.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from radishtally.audit.core import AUDIT, read_entry
+from radishtally.audit.core import AUDIT_PARTITION, read_entry
 from radishtally.authority.lease_driver import LeaseDriver
 from radishtally.authority.lease_events import LeaseTerms
 from radishtally.authority.plan import Drain, Wanted
@@ -131,7 +131,7 @@
         second = (await plans.write_plan(PLACE, first, OTHER, "drain", lease)).ok
         assert (second.number, second.fencing) == (2, 1)
         assert (await plans.read_plan(PLACE)).ok == second
-        rows = (await table.query(AUDIT)).ok
+        rows = (await table.query(AUDIT_PARTITION)).ok
         entry = read_entry(rows[-1])
         assert (entry.who, entry.what, entry.cause) == ("e1", "plan", "drain")
         assert entry.before["h1"]["role"] == "decode"
@@ -151,7 +151,7 @@
         result = await plans.write_plan(PLACE, None, WANTED, "mix", lease)
         assert result.is_error()
         assert (await plans.read_plan(PLACE)).ok is None
-        assert (await table.query(AUDIT)).ok == []
+        assert (await table.query(AUDIT_PARTITION)).ok == []
 
     run(play())
 
@@ -213,7 +213,7 @@
         await plans.write_drain("h1", False, "ana", "mended")
         expected = {"h1": Drain("h1", False, "ana", "mended")}
         assert (await plans.read_drains()).ok == expected
-        entries = [read_entry(row) for row in (await table.query(AUDIT)).ok]
+        entries = [read_entry(row) for row in (await table.query(AUDIT_PARTITION)).ok]
         assert [entry.what for entry in entries] == ["drain", "undrain"]
         assert entries[1].before["cause"] == "disk"
 
@@ -228,7 +228,7 @@
     async def play() -> None:
         assert (await plans.write_plan(PLACE, None, WANTED, "mix", lease)).is_ok()
         assert (await plans.write_plan("howrah", None, OTHER, "mix", lease)).is_ok()
-        entries = [read_entry(row) for row in (await table.query(AUDIT)).ok]
+        entries = [read_entry(row) for row in (await table.query(AUDIT_PARTITION)).ok]
         assert {entry.subject for entry in entries} == {PLACE, "howrah"}
 
     run(play())
