--- a/radishtally/configuration/__init__.py
+++ b/radishtally/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Keep what operators describe: the fleet, its teams and the policy."""
+"""Parse, check, merge and store the operators' configuration."""
--- a/radishtally/configuration/config.py
+++ b/radishtally/configuration/config.py
@@ -1,4 +1,4 @@
-"""Schema of the operators' configuration folder."""
+"""Define the schema of the operators' configuration folder."""
 
 from typing import Annotated, Final, Literal
 
@@ -18,17 +18,19 @@
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 
 
-class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Refuse unknown fields in every part of the configuration."""
+class StrictStruct(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
+):
+    """Base of all configuration structs: immutable, with unknown fields refused."""
 
 
-class Place(Part):
+class Place(StrictStruct):
     """Describe a data centre."""
 
     region: Name
 
 
-class Model(Part):
+class Model(StrictStruct):
     """Describe a model that engines may load."""
 
     version: ModelName
@@ -37,83 +39,83 @@
     max_output_tokens: Count = 4_096
 
 
-class Server(Part):
+class Server(StrictStruct):
     """Describe one host of an upstream."""
 
     place: Name
     role: Literal["mixed", "prefill", "decode"] = "mixed"
-    """Role to start with; the planner may change it."""
+    """Initial role; the planner may change it."""
 
 
-class Route(Part):
-    """Describe calls of a plain service."""
+class Route(StrictStruct):
+    """Describe a route of a plain service."""
 
     path: RoutePath
-    """Path below the service; a trailing * matches any rest."""
+    """Path relative to the service; a trailing * matches any suffix."""
     methods: tuple[Method, ...] = ("POST",)
     idempotent: bool = False
-    """Whether a call may be run again after an unclear outcome."""
+    """Whether a call may be retried after an unknown outcome."""
 
 
-class Engines(Part, tag_field="kind", tag="engine"):
+class Engines(StrictStruct, tag_field="kind", tag="engine"):
     """Describe a pool of model engines."""
 
     model: ModelName
     servers: dict[Name, Server]
     checks_fencing: bool = True
-    """Whether the engines refuse an order that carries an old fencing number."""
+    """Whether the engines refuse an order that carries a stale fencing token."""
 
 
-class Service(Part, tag_field="kind", tag="service"):
+class Service(StrictStruct, tag_field="kind", tag="service"):
     """Describe a plain service."""
 
     servers: dict[Name, Server]
     routes: tuple[Route, ...] = ()
-    """First match holds; a call that matches none is not idempotent."""
+    """The first match applies; a call without a match is not idempotent."""
     slots: Count = 32
-    """Calls that one server takes at once."""
+    """Concurrent calls per server."""
 
 
-class Team(Part):
-    """Describe callers that share keys and a fair share."""
+class Team(StrictStruct):
+    """Describe a group of callers that share API keys and a fair-share weight."""
 
     key_sha256: tuple[KeyHash, ...]
-    """SHA-256 hex of each API key in force."""
+    """SHA-256 hex digest of each valid API key."""
     share: Weight = 1.0
     priority: Literal["high", "normal", "low"] = "normal"
     upstreams: tuple[Name, ...] = ()
-    """Upstreams that the team may use; none listed means all."""
+    """Upstreams that the team may use; an empty list allows all."""
 
 
-class Policy(Part):
-    """Weigh what the decisions aim at."""
+class Policy(StrictStruct):
+    """Set limits and strategies of admission, retries, routing and planning."""
 
     deadline_seconds: Seconds = DEFAULT_DEADLINE_SECONDS
-    """Deadline of a request that names none."""
+    """Deadline of a request that sets none."""
     max_body_bytes: Count = DEFAULT_MAX_BODY_BYTES
     retry_budget: Weight = 0.1
-    """Retries allowed for each request that comes in."""
+    """Retries allowed per incoming request."""
     routing: Literal["rendezvous", "round_robin", "least_reported"] = "rendezvous"
-    """How hosts are chosen; the other two are there to be measured against."""
+    """How hosts are chosen; round_robin and least_reported are baselines."""
     planning: Literal["off", "static", "threshold", "cost"] = "off"
-    """How roles are decided: off leaves every engine as configured."""
+    """How engine roles are planned: off leaves every engine as configured."""
     goodput_weight: Weight = 1.0
     role_change_cost: Weight = 1.0
-    """Requests that one role change must save before it is worth it."""
+    """Requests that a role change must save to be worth making."""
     min_dwell_seconds: Seconds = 30.0
-    """Shortest time between two role changes of one pool."""
+    """Minimum time between two role changes of one pool."""
     drain_seconds: Seconds = 20.0
-    """Longest time that running answers get before they are handed over."""
+    """Maximum time that running answers get to finish before they are handed over."""
 
 
-class Operator(Part):
+class Operator(StrictStruct):
     """Describe an operator who may change the system."""
 
     key_sha256: tuple[KeyHash, ...]
 
 
-class Configuration(Part):
-    """Describe the whole: the folder's files merged in name order."""
+class Configuration(StrictStruct):
+    """Describe a whole configuration: the folder's files merged in name order."""
 
     deployment: Name
     places: dict[Name, Place]
--- a/radishtally/configuration/core.py
+++ b/radishtally/configuration/core.py
@@ -1,4 +1,4 @@
-"""Merge the folder's files and check what they say together."""
+"""Merge the folder's files and validate the result."""
 
 import hashlib
 from collections.abc import Iterator, Mapping
@@ -7,7 +7,7 @@
 from radishtally.configuration.config import Configuration, Engines
 from radishtally.configuration.schema import (
     KeyPath,
-    Misfit,
+    Violation,
     convert,
     format_path,
     parse_text,
@@ -15,12 +15,12 @@
 from radishtally.outcome import Error, Fault, Ok, Result
 from radishtally.store.core import ENTRY
 
-MERGED: Final = "merged folder"
-"""Place of a fault that no single file brought in."""
+MERGED_FOLDER: Final = "merged folder"
+"""Fault location if no single file wrote the faulty value."""
 
 
 class Origin:
-    """Remember which file wrote a value and which files changed parts of it."""
+    """Track which file set a value and which files overrode parts of it."""
 
     __slots__ = ("file", "parts")
 
@@ -29,14 +29,14 @@
         self.parts: dict[str, Origin | str] = {}
 
     def expand(self, name: str) -> "Origin":
-        """Give the part's own origin, so that parts of it may have others."""
+        """Return the part's own origin, so that its parts can be tracked in turn."""
         part = self.parts.get(name, self.file)
         if isinstance(part, str):
             part = self.parts[name] = Origin(part)
         return part
 
     def find(self, path: KeyPath) -> str:
-        """Name the file that wrote the value, or the nearest one above it."""
+        """Return the file that set the value at the path, or its nearest ancestor."""
         origin = self
         for name in path:
             part = origin.parts.get(str(name), origin.file)
@@ -47,9 +47,9 @@
 
 
 def merge_files(files: Mapping[str, str]) -> Result[Configuration, Fault]:
-    """Merge files in the order of their names and check the whole."""
+    """Merge files in the order of their names and validate the result."""
     merged: dict[str, Any] = {}
-    origin = Origin(MERGED)
+    origin = Origin(MERGED_FOLDER)
     for name in sorted(files):
         parsed = parse_text(files[name])
         if parsed.is_error():
@@ -61,13 +61,16 @@
 def merge_object(
     target: dict[str, Any], origin: Origin, source: dict[str, Any], file: str
 ) -> None:
-    """Merge an object into another; null removes, other values replace."""
+    """Merge an object into another in place, as a JSON merge patch (RFC 7396).
+
+    A null removes the field; any other value that is not an object replaces it.
+    """
     for name, value in source.items():
         present = target.get(name)
         if isinstance(value, dict) and isinstance(present, dict):
             merge_object(present, origin.expand(name), value, file)
             continue
-        # The origin of a removed value stays: a fault may come from its absence.
+        # Keep the origin of a removed value: its absence may cause a fault.
         origin.parts[name] = file
         if value is None:
             target.pop(name, None)
@@ -76,7 +79,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Hash an API key as the configuration holds it."""
+    """Return the SHA-256 hex digest by which the configuration lists an API key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -94,46 +97,50 @@
     if converted.is_error():
         return Error(_build_fault(converted.error, origin))
     configuration = converted.ok
-    misfit = find_misfit(configuration)
-    if misfit is not None:
-        return Error(_build_fault(misfit, origin))
+    violation = find_violation(configuration)
+    if violation is not None:
+        return Error(_build_fault(violation, origin))
     return Ok(configuration)
 
 
-def _build_fault(misfit: Misfit, origin: Origin) -> Fault:
-    path, message = misfit
+def _build_fault(violation: Violation, origin: Origin) -> Fault:
+    path, message = violation
     file = origin.find(path)
     return Fault(message, f"{file}: {format_path(path)}" if path else file)
 
 
-def find_misfit(configuration: Configuration) -> Misfit | None:
-    """Find something that does not fit the rest of the configuration."""
-    return next(_find_misfits(configuration), None)
+def find_violation(configuration: Configuration) -> Violation | None:
+    """Return the first inconsistency between parts of the configuration, if any."""
+    return next(_find_violations(configuration), None)
 
 
-def _find_misfits(configuration: Configuration) -> Iterator[Misfit]:
+def _find_violations(configuration: Configuration) -> Iterator[Violation]:
     yield from _check_servers(configuration)
     yield from _check_models(configuration)
     yield from _check_teams(configuration)
     yield from _check_keys(configuration)
 
 
-def _check_servers(configuration: Configuration) -> Iterator[Misfit]:
+def _check_servers(configuration: Configuration) -> Iterator[Violation]:
     owners: dict[str, str] = {}
     for name, upstream in configuration.upstreams.items():
         path: KeyPath = ("upstreams", name)
         if name == ENTRY:
-            yield Misfit(path, f"{ENTRY} is reserved for the entry hosts")
+            yield Violation(path, f"{ENTRY} is reserved for the entry hosts")
         for host, server in upstream.servers.items():
             here = (*path, "servers", host)
             if host in owners:
-                yield Misfit(here, f"server stands in upstream {owners[host]} already")
+                yield Violation(
+                    here, f"server belongs to upstream {owners[host]} already"
+                )
             owners[host] = name
             if server.place not in configuration.places:
-                yield Misfit((*here, "place"), _expect("a place", server.place))
+                yield Violation(
+                    (*here, "place"), _format_unknown_reference("a place", server.place)
+                )
 
 
-def _check_models(configuration: Configuration) -> Iterator[Misfit]:
+def _check_models(configuration: Configuration) -> Iterator[Violation]:
     owners = dict.fromkeys(configuration.models, "")
     for name, model in configuration.models.items():
         for index, adapter in enumerate(model.adapters):
@@ -141,32 +148,34 @@
             if adapter in owners:
                 owner = owners[adapter]
                 taken = f"an adapter of model {owner}" if owner else "a model"
-                yield Misfit(here, f"name {adapter} is taken by {taken}")
+                yield Violation(here, f"name {adapter} is taken by {taken}")
             owners[adapter] = name
     for name, upstream in configuration.upstreams.items():
         if isinstance(upstream, Engines) and upstream.model not in configuration.models:
             here = ("upstreams", name, "model")
-            yield Misfit(here, _expect("a model", upstream.model))
+            yield Violation(here, _format_unknown_reference("a model", upstream.model))
 
 
-def _check_teams(configuration: Configuration) -> Iterator[Misfit]:
+def _check_teams(configuration: Configuration) -> Iterator[Violation]:
     for name, team in configuration.teams.items():
         for index, upstream in enumerate(team.upstreams):
             if upstream not in configuration.upstreams:
                 here = ("teams", name, "upstreams", index)
-                yield Misfit(here, _expect("an upstream", upstream))
+                yield Violation(
+                    here, _format_unknown_reference("an upstream", upstream)
+                )
 
 
-def _check_keys(configuration: Configuration) -> Iterator[Misfit]:
+def _check_keys(configuration: Configuration) -> Iterator[Violation]:
     owners: dict[str, str] = {}
     for section in ("teams", "operators"):
         for name, holder in getattr(configuration, section).items():
             for index, digest in enumerate(holder.key_sha256):
                 if digest in owners:
                     here = (section, name, "key_sha256", index)
-                    yield Misfit(here, f"key is in use by {owners[digest]} already")
+                    yield Violation(here, f"key is in use by {owners[digest]} already")
                 owners[digest] = f"{section}.{name}"
 
 
-def _expect(what: str, name: str) -> str:
+def _format_unknown_reference(what: str, name: str) -> str:
     return f"expected {what} of the configuration, got {name}"
--- a/radishtally/configuration/folder.py
+++ b/radishtally/configuration/folder.py
@@ -7,20 +7,22 @@
 
 from radishtally.outcome import Error, Fault, Ok, Result
 
-PATTERN: Final = "*.json"
-NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,90}\.json")
+FILE_GLOB: Final = "*.json"
+FILE_NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,90}\.json")
 MAX_FILES: Final = 800
-"""Most files that the head's row has room for in the table's 400 KB."""
+"""The head's row lists every file and must fit into the table's limit of 400 KB."""
 MAX_FILE_BYTES: Final = 8 * 1024 * 1024
 MAX_TOTAL_BYTES: Final = 32 * 1024 * 1024
 
 
 def read_folder(path: str | Path) -> Result[dict[str, str], Fault]:
-    """Read the folder's files by their names."""
+    """Read a folder; return the text of each file by its name."""
     folder = Path(path)
     if not folder.is_dir():
         return Error(Fault("expected a folder", str(path)))
-    names = sorted(entry.name for entry in folder.glob(PATTERN) if _is_kept(entry))
+    names = sorted(
+        entry.name for entry in folder.glob(FILE_GLOB) if _is_configuration_file(entry)
+    )
     if len(names) > MAX_FILES:
         return Error(_build_count_fault(len(names)))
     files: dict[str, str] = {}
@@ -33,17 +35,17 @@
 
 
 def check_change(change: Mapping[str, str | None]) -> Result[None, Fault]:
-    """Refuse names and texts that can't be kept."""
+    """Refuse file names and texts that can't be stored."""
     for name, text in change.items():
-        if not NAME.fullmatch(name):
-            return Error(Fault(f"expected a file name like {NAME.pattern}", name))
+        if not FILE_NAME.fullmatch(name):
+            return Error(Fault(f"expected a file name like {FILE_NAME.pattern}", name))
         if text is not None and not _is_unicode(text):
-            return Error(Fault("expected text that UTF-8 can hold", name))
+            return Error(Fault("expected text that can be encoded as UTF-8", name))
     return Ok(None)
 
 
 def check_sizes(files: Mapping[str, str]) -> Result[None, Fault]:
-    """Refuse more or larger files than the system keeps."""
+    """Refuse too many or too large files."""
     if len(files) > MAX_FILES:
         return Error(_build_count_fault(len(files)))
     total = 0
@@ -57,7 +59,7 @@
     return Ok(None)
 
 
-def _is_kept(path: Path) -> bool:
+def _is_configuration_file(path: Path) -> bool:
     return path.is_file() and not path.name.startswith(".")
 
 
@@ -77,7 +79,7 @@
         return Ok(path.read_text(encoding="utf-8"))
     except UnicodeDecodeError as error:
         return Error(
-            Fault(f"expected UTF-8 text, byte {error.start} is not", path.name)
+            Fault(f"expected UTF-8 text, byte {error.start} is invalid", path.name)
         )
     except OSError as error:
         return Error(Fault(error.strerror or str(error), path.name))
--- a/radishtally/configuration/merger.py
+++ b/radishtally/configuration/merger.py
@@ -1,4 +1,4 @@
-"""Merge a folder again after a change without reading all of it anew."""
+"""Merge a folder incrementally: after a change, parse only the changed team files."""
 
 from collections.abc import Mapping
 from typing import Any, Final, NamedTuple
@@ -6,7 +6,7 @@
 import msgspec
 
 from radishtally.configuration.config import Configuration, Team
-from radishtally.configuration.core import find_misfit, merge_files
+from radishtally.configuration.core import find_violation, merge_files
 from radishtally.configuration.schema import convert, parse_text
 from radishtally.outcome import Fault, Ok, Result
 
@@ -14,65 +14,72 @@
 
 
 class TeamFile(NamedTuple):
-    """Hold a file that says nothing but what some teams are."""
+    """Cache a parsed file that defines whole teams and nothing else."""
 
     text: str
     teams: dict[str, Team]
 
 
 class Merger:
-    """Merge folders that mostly stay as they were.
+    """Merge successive versions of a folder, of which most files do not change.
 
-    Nearly all of a large folder is files of teams, each team in one file. Of these
-    only the changed ones are read; whatever else the folder holds takes the long way,
-    and so does a folder with a fault, which is then named as ever.
+    Nearly all files of a large folder define teams, each team in one file only. Of
+    these only the changed ones are parsed again. All other files are merged by
+    merge_files, and so is the whole folder if it has a fault, so that the fault is
+    reported in the same way.
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, TeamFile] = {}
+        self._team_files: dict[str, TeamFile] = {}
 
     def merge(self, files: Mapping[str, str]) -> Result[Configuration, Fault]:
-        """Merge files in the order of their names and check the whole."""
-        self._known = {
+        """Merge files in the order of their names and validate the result."""
+        self._team_files = {
             name: found
             for name, text in files.items()
-            if (found := self._read(name, text)) is not None
+            if (found := self._read_cached(name, text)) is not None
         }
-        short = self._merge_short(files)
-        return Ok(short) if short is not None else merge_files(files)
-
-    def _read(self, name: str, text: str) -> TeamFile | None:
-        known = self._known.get(name)
-        if known is not None and known.text == text:
-            return known
+        merged_incrementally = self._merge_incrementally(files)
+        return (
+            Ok(merged_incrementally)
+            if merged_incrementally is not None
+            else merge_files(files)
+        )
+
+    def _read_cached(self, name: str, text: str) -> TeamFile | None:
+        cached = self._team_files.get(name)
+        if cached is not None and cached.text == text:
+            return cached
         return read_team_file(text)
 
-    def _merge_short(self, files: Mapping[str, str]) -> Configuration | None:
-        rest = {name: text for name, text in files.items() if name not in self._known}
-        others = _list_teams(rest)
+    def _merge_incrementally(self, files: Mapping[str, str]) -> Configuration | None:
+        rest = {
+            name: text for name, text in files.items() if name not in self._team_files
+        }
+        other_teams = _list_mentioned_teams(rest)
         merged = merge_files(rest)
-        if others is None or merged.is_error():
+        if other_teams is None or merged.is_error():
             return None
         teams: dict[str, Team] = dict(merged.ok.teams)
-        for file in self._known.values():
+        for file in self._team_files.values():
             teams.update(file.teams)
-        count = sum(len(file.teams) for file in self._known.values())
-        # A team that two files name is merged from both in the order of the files.
-        if len(teams) != count + len(merged.ok.teams) or not others.isdisjoint(
-            _list_names(self._known)
+        count = sum(len(file.teams) for file in self._team_files.values())
+        # A team in more than one file has to be merged by merge_files, in file order.
+        if len(teams) != count + len(merged.ok.teams) or not other_teams.isdisjoint(
+            _list_cached_teams(self._team_files)
         ):
             return None
         configuration = msgspec.structs.replace(merged.ok, teams=teams)
-        return configuration if find_misfit(configuration) is None else None
+        return configuration if find_violation(configuration) is None else None
 
 
 def read_team_file(text: str) -> TeamFile | None:
-    """Read a file of nothing but whole teams; none if it is any other file."""
+    """Parse a file that defines only whole teams; return None for any other file."""
     parsed = parse_text(text)
     if parsed.is_error() or parsed.ok.keys() != {TEAMS}:
         return None
     teams = parsed.ok[TEAMS]
-    # A null takes away what an earlier file has said.
+    # A null removes a value of an earlier file.
     if not isinstance(teams, dict) or not all(map(_is_whole, teams.values())):
         return None
     converted = convert(teams, dict[str, Team])
@@ -83,8 +90,8 @@
     return isinstance(team, dict) and None not in team.values()
 
 
-def _list_teams(files: Mapping[str, str]) -> frozenset[str] | None:
-    """List the teams that files name, removed ones included; none if unreadable."""
+def _list_mentioned_teams(files: Mapping[str, str]) -> frozenset[str] | None:
+    """List the teams that files set or remove; return None if a file is invalid."""
     names: set[str] = set()
     for text in files.values():
         parsed = parse_text(text)
@@ -97,5 +104,5 @@
     return frozenset(names)
 
 
-def _list_names(files: Mapping[str, TeamFile]) -> set[str]:
+def _list_cached_teams(files: Mapping[str, TeamFile]) -> set[str]:
     return {name for file in files.values() for name in file.teams}
--- a/radishtally/configuration/schema.py
+++ b/radishtally/configuration/schema.py
@@ -1,4 +1,4 @@
-"""Check parsed JSON against a schema and name the key path of a fault."""
+"""Validate parsed JSON against a schema and find the key path of a fault."""
 
 import types
 import typing
@@ -12,22 +12,22 @@
 T = TypeVar("T")
 KeyPath = tuple[str | int, ...]
 
-FIELD_FAULTS: Final = {
+MSGSPEC_FIELD_MESSAGES: Final = {
     "Object missing required field ": "expected this field, got none",
     "Object contains unknown field ": "expected no such field",
 }
-"""Messages of msgspec that name a field, and what the operator is told at its path."""
+"""Prefixes of msgspec's messages about a field, and the messages for operators."""
 
 
-class Misfit(NamedTuple):
-    """Say where a value does not fit its schema."""
+class Violation(NamedTuple):
+    """Describe where and how a value violates its schema."""
 
     path: KeyPath
     message: str
 
 
 def parse_text(text: str) -> Result[dict[str, Any], str]:
-    """Parse one object in JSON with comments."""
+    """Parse a JSON5 text that holds one object."""
     try:
         data = pyjson5.loads(text)
     except pyjson5.Json5Exception as error:
@@ -37,16 +37,16 @@
     return Ok(data)
 
 
-def convert(value: Any, kind: type[T]) -> Result[T, Misfit]:
-    """Convert a parsed value into its type."""
+def convert(value: Any, kind: type[T]) -> Result[T, Violation]:
+    """Convert a parsed value to a type."""
     try:
         return Ok(msgspec.convert(value, kind))
     except msgspec.ValidationError:
-        return Error(_locate(value, kind, ()))
+        return Error(_locate_violation(value, kind, ()))
 
 
 def format_path(path: KeyPath) -> str:
-    """Write a key path as operators read it."""
+    """Format a key path for messages."""
     return ".".join(str(part) for part in path)
 
 
@@ -67,19 +67,19 @@
     return None
 
 
-# msgspec writes `[...]` for each key of an object, so the faulty one is searched for.
-def _locate(value: Any, kind: Any, path: KeyPath) -> Misfit:
-    for name, part, part_kind in _list_parts(value, kind):
+# msgspec's messages show `[...]` in place of an object's key, so search for the key.
+def _locate_violation(value: Any, kind: Any, path: KeyPath) -> Violation:
+    for name, part, part_kind in _list_children(value, kind):
         if _try_convert(part, part_kind) is not None:
-            return _locate(part, part_kind, (*path, name))
+            return _locate_violation(part, part_kind, (*path, name))
     message = _try_convert(value, kind)
     if message is None:
-        raise AssertionError(f"value fits at {format_path(path)}")
-    return _build_misfit(message, path)
+        raise AssertionError(f"value at {format_path(path)} matches its schema")
+    return _build_violation(message, path)
 
 
-def _list_parts(value: Any, kind: Any) -> list[tuple[str | int, Any, Any]]:
-    kind = _choose_kind(value, kind)
+def _list_children(value: Any, kind: Any) -> list[tuple[str | int, Any, Any]]:
+    kind = _resolve_union(value, kind)
     origin = typing.get_origin(kind)
     if origin is tuple and isinstance(value, list):
         part = typing.get_args(kind)[0]
@@ -101,7 +101,7 @@
     return keys + [(key, part, kind) for key, part in value.items()]
 
 
-def _choose_kind(value: Any, kind: Any) -> Any:
+def _resolve_union(value: Any, kind: Any) -> Any:
     if typing.get_origin(kind) is Annotated:
         kind = typing.get_args(kind)[0]
     if typing.get_origin(kind) not in (Union, types.UnionType):
@@ -114,11 +114,11 @@
     return kind
 
 
-def _build_misfit(message: str, path: KeyPath) -> Misfit:
+def _build_violation(message: str, path: KeyPath) -> Violation:
     text, _, rest = message.partition(" - at `")
     tail = rest.rstrip("`").removeprefix("$").lstrip(".")
     path = (*path, tail) if tail else path
-    for start, told in FIELD_FAULTS.items():
+    for start, reworded in MSGSPEC_FIELD_MESSAGES.items():
         if text.startswith(start):
-            return Misfit((*path, text.removeprefix(start).strip("`")), told)
-    return Misfit(path, text.replace("`", ""))
+            return Violation((*path, text.removeprefix(start).strip("`")), reworded)
+    return Violation(path, text.replace("`", ""))
--- a/tests/configuration/common.py
+++ b/tests/configuration/common.py
@@ -1,4 +1,4 @@
-"""Small configurations that the tests share."""
+"""Small configurations shared by the tests."""
 
 import json
 from typing import Any, Final
@@ -26,10 +26,10 @@
 
 
 def build_team(number: int, **more: Any) -> dict[str, Any]:
-    """Build a team with a key of its own."""
+    """Build a team with a key derived from its number."""
     return {"key_sha256": [f"{number:064x}"], **more}
 
 
 def write_teams(**teams: Any) -> str:
-    """Write a file that sets teams."""
+    """Return the text of a file that sets teams."""
     return json.dumps({"teams": teams})
--- a/tests/configuration/test_core.py
+++ b/tests/configuration/test_core.py
@@ -1,4 +1,4 @@
-"""Files merge in name order, and a fault names file, key path and expectation."""
+"""Tests of merging files in name order and of the faults that it reports."""
 
 import copy
 
@@ -32,7 +32,7 @@
     assert configuration.operators.keys() == operators
 
 
-def test_later_files_merge_replace_and_remove():
+def test_later_files_merge_replace_and_remove_values():
     files = {
         "20.json": '{"places": {"howrah": null}, "policy": {"retry_budget": 0.5}}',
         "10.json": BASE,
@@ -48,8 +48,8 @@
 KEYS = f'{{key_sha256: ["{DIGEST}"]}}'
 
 
-# An operator's file is wrong in one place. The message must lead to the file, the
-# key path and what was expected there.
+# One value of an operator's file is wrong. The fault must name the file, the key path
+# and what was expected there.
 @pytest.mark.parametrize(
     ("text", "path", "message"),
     [
@@ -138,13 +138,13 @@
         ("{models: {gown: null}}", "10.json: upstreams.gown-llm.model", "got gown"),
     ],
 )
-def test_missing_reference_names_the_file_that_refers(text, place, message):
+def test_unknown_reference_is_reported_in_the_file_that_refers(text, place, message):
     fault = merge_files({"10.json": BASE, "90.json": text}).error
     assert fault.place == place
     assert message in fault.message
 
 
-def test_fault_names_the_file_that_wrote_the_part():
+def test_fault_names_the_file_that_set_the_faulty_field():
     files = {
         "10.json": BASE,
         "20.json": write_teams(a=build_team(1, share=1)),
@@ -154,7 +154,7 @@
     assert merge_files(files).error.place == "30.json: teams.a.share"
 
 
-def test_nothing_is_not_a_configuration():
+def test_empty_folder_is_refused():
     assert merge_files({}).is_error()
 
 
@@ -168,8 +168,8 @@
 )
 
 
-def merge_plainly(target, patch):
-    """Merge as RFC 7396 writes it."""
+def merge_by_rfc_7396(target, patch):
+    """Merge by the pseudocode of RFC 7396."""
     if not isinstance(patch, dict):
         return patch
     target = dict(target) if isinstance(target, dict) else {}
@@ -177,7 +177,7 @@
         if value is None:
             target.pop(name, None)
         else:
-            target[name] = merge_plainly(target.get(name), value)
+            target[name] = merge_by_rfc_7396(target.get(name), value)
     return target
 
 
@@ -186,12 +186,12 @@
     merged, expected, origin = {}, {}, Origin("")
     for number, patch in enumerate(patches):
         merge_object(merged, origin, copy.deepcopy(patch), str(number))
-        expected = merge_plainly(expected, patch)
+        expected = merge_by_rfc_7396(expected, patch)
     assert merged == expected
 
 
 @given(st.permutations(range(6)), st.integers(1, 6))
-def test_split_of_teams_over_files_does_not_matter(order, per_file):
+def test_teams_merge_alike_however_they_are_split_over_files(order, per_file):
     teams = {f"t{number}": build_team(number) for number in range(6)}
     files = {"10.json": BASE}
     for start in range(0, 6, per_file):
--- a/tests/configuration/test_folder.py
+++ b/tests/configuration/test_folder.py
@@ -1,4 +1,4 @@
-"""A folder is read whole or refused with the file's name."""
+"""Tests that a folder is either read completely or refused with the file's name."""
 
 import pytest
 
@@ -29,7 +29,7 @@
     assert message in fault.message
 
 
-def test_too_many_or_too_much_is_refused(tmp_path, monkeypatch):
+def test_too_many_or_too_large_files_are_refused(tmp_path, monkeypatch):
     monkeypatch.setattr(folder, "MAX_FILES", 2)
     monkeypatch.setattr(folder, "MAX_TOTAL_BYTES", 10)
     for name in ("1.json", "2.json"):
@@ -46,5 +46,5 @@
 @pytest.mark.parametrize(
     "change", [{"../x.json": ""}, {"x": ""}, {"x.json": "\ud800"}, {"": None}]
 )
-def test_change_that_can_not_be_kept_is_refused(change):
+def test_change_that_can_not_be_stored_is_refused(change):
     assert check_change(change).is_error()
--- a/tests/configuration/test_head.py
+++ b/tests/configuration/test_head.py
@@ -1,34 +1,36 @@
-"""A change is rebased onto the head or refused with the other operator's name."""
+"""Tests that a change is rebased onto the head or refused as a conflict."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from radishtally.configuration import head as module
+from radishtally.configuration import head as head_module
 from radishtally.configuration.head import (
-    EMPTY,
+    EMPTY_HEAD,
+    ChangeMetadata,
     EditConflict,
     HeadTracker,
-    Plan,
-    Stamp,
-    advance,
+    RebasedChange,
+    build_next_head,
     decode_head,
     encode_head,
-    plan_change,
+    rebase_change,
 )
 
 
-def move(head, author, **changes):
-    """Advance the head; keyword a stands for file a.json."""
+def advance_head(head, author, **changes):
+    """Build the next head; keyword a stands for file a.json."""
     texts = {f"{name}.json": text for name, text in changes.items()}
-    return advance(head, Plan(texts), Stamp(author, f"{author}'s cause", "w", 0))
+    return build_next_head(
+        head, RebasedChange(texts), ChangeMetadata(author, f"{author}'s cause", "w", 0)
+    )
 
 
-BASE = move(EMPTY, "mitali", a="1", b="1")
+BASE = advance_head(EMPTY_HEAD, "mitali", a="1", b="1")
 
 
-# Arnab works on BASE; meanwhile Mitali moves the head. What he changes passes if the
-# files that he touches still have the content that he started from, or his own.
+# Arnab's change is based on BASE, and meanwhile Mitali advances the head. The change
+# passes if each file that it touches has the content of BASE or already Arnab's.
 @pytest.mark.parametrize(
     ("meanwhile", "change", "expected"),
     [
@@ -52,42 +54,42 @@
         ),
     ],
 )
-def test_plan(meanwhile, change, expected):
-    head = move(BASE, "mitali", **meanwhile) if meanwhile else BASE
-    planned = plan_change(BASE, head, change)
-    found = planned.error if planned.is_error() else planned.ok.changes
+def test_rebase(meanwhile, change, expected):
+    head = advance_head(BASE, "mitali", **meanwhile) if meanwhile else BASE
+    rebased = rebase_change(BASE, head, change)
+    found = rebased.error if rebased.is_error() else rebased.ok.changes
     assert found == expected
 
 
-def test_own_later_edit_is_not_lost_either():
-    # Mitali edits a file at two screens. The second apply does not know of the first
-    # edit, and must not undo it only because the author is the same.
-    head = move(BASE, "mitali", a="2")
-    assert plan_change(BASE, head, {"a.json": "3"}).is_error()
+def test_conflict_with_an_edit_of_the_same_author():
+    # Mitali edits a file in two folders. The second apply is not based on the first
+    # edit and must not revert it, though the author is the same.
+    head = advance_head(BASE, "mitali", a="2")
+    assert rebase_change(BASE, head, {"a.json": "3"}).is_error()
 
 
-def test_race_is_still_seen_when_the_removal_is_forgotten(monkeypatch):
-    monkeypatch.setattr(module, "MAX_REMOVED", 1)
-    head = move(move(BASE, "mitali", a=None), "mitali", b=None)
+def test_conflict_with_a_removal_that_the_head_no_longer_lists(monkeypatch):
+    monkeypatch.setattr(head_module, "MAX_REMOVED", 1)
+    head = advance_head(advance_head(BASE, "mitali", a=None), "mitali", b=None)
     assert list(head.removed) == ["b.json"]
-    assert plan_change(BASE, head, {"a.json": "2"}).error == EditConflict(
+    assert rebase_change(BASE, head, {"a.json": "2"}).error == EditConflict(
         "a.json", "", 0
     )
 
 
-def test_message_names_the_other_operator():
-    raced = EditConflict("a.json", "mitali", 7, "bigger pool", "-1\n+2")
-    assert "mitali in revision 7 (bigger pool)" in str(raced)
-    assert str(raced).endswith("-1\n+2")
+def test_conflict_message_names_the_other_operator():
+    conflict = EditConflict("a.json", "mitali", 7, "bigger pool", "-1\n+2")
+    assert "mitali in revision 7 (bigger pool)" in str(conflict)
+    assert str(conflict).endswith("-1\n+2")
 
 
-def test_head_comes_back_from_its_row():
-    head = move(BASE, "arnab", a=None, c="x")
+def test_head_survives_encoding_and_decoding():
+    head = advance_head(BASE, "arnab", a=None, c="x")
     assert decode_head(encode_head(head)).ok == head
 
 
 @pytest.mark.parametrize("value", [{}, {**encode_head(BASE), "revision": "x"}])
-def test_broken_row_is_an_error(value):
+def test_invalid_row_is_an_error(value):
     assert decode_head(value).is_error()
 
 
@@ -96,6 +98,6 @@
     tracker = HeadTracker()
     for revision in revisions:
         before = tracker.head.revision
-        taken = tracker.offer(EMPTY._replace(revision=revision))
-        assert taken == (revision > before)
+        accepted = tracker.accept_newer(EMPTY_HEAD._replace(revision=revision))
+        assert accepted == (revision > before)
         assert tracker.head.revision == max(before, revision)
--- a/tests/configuration/test_merger.py
+++ b/tests/configuration/test_merger.py
@@ -1,4 +1,4 @@
-"""Test merging a folder again after a change."""
+"""Tests of merging a folder incrementally after a change."""
 
 import json
 
@@ -50,27 +50,27 @@
 folder = st.dictionaries(st.sampled_from(FILES), text)
 
 
-def assert_same(merged, files):
-    whole = merge_files(files)
-    assert merged.is_ok() == whole.is_ok()
-    if whole.is_ok():
-        assert merged.ok == whole.ok
+def assert_same_result(merged, files):
+    expected = merge_files(files)
+    assert merged.is_ok() == expected.is_ok()
+    if expected.is_ok():
+        assert merged.ok == expected.ok
     else:
-        assert merged.error == whole.error
+        assert merged.error == expected.error
 
 
 @given(st.lists(folder, min_size=1, max_size=4))
-def test_a_folder_merges_as_it_would_in_one_go(folders):
-    # A merge that keeps parts of the last one might keep too much: a team that a file
-    # no longer names, or that another file has since changed or removed. The fleet
-    # would then go by a configuration that no operator ever wrote.
+def test_incremental_merge_equals_merge_from_scratch(folders):
+    # A merge that reuses cached files might reuse too much: a team that a file no
+    # longer defines, or that another file has since changed or removed. The fleet
+    # would then apply a configuration that no operator wrote.
     merger = Merger()
     for files in folders:
         files = {"10-base.json": BASE, **files}
-        assert_same(merger.merge(files), files)
+        assert_same_result(merger.merge(files), files)
 
 
-def test_only_changed_files_are_read_again(monkeypatch):
+def test_only_changed_files_are_parsed_again(monkeypatch):
     files = {"10-base.json": BASE, "20-x.json": make_file(a=make_team(1))}
     files["30-y.json"] = make_file(b=make_team(2))
     merger = Merger()
@@ -89,11 +89,11 @@
         make_file(a={"share": 4}),
         make_file(b=make_team(1)),
     ],
-    ids=["named twice", "removed", "changed in part", "key used twice"],
+    ids=["defined twice", "removed", "changed in part", "key used twice"],
 )
-def test_a_team_that_two_files_tell_of_is_merged_from_both(changed):
+def test_a_team_in_two_files_is_merged_from_both(changed):
     files = {"10-base.json": BASE, "20-x.json": make_file(a=make_team(1))}
     merger = Merger()
     assert merger.merge(files).is_ok()
     files["30-y.json"] = changed
-    assert_same(merger.merge(files), files)
+    assert_same_result(merger.merge(files), files)
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -1,4 +1,4 @@
-"""Operators race while the store loses replies: no edit is lost, nothing reverts."""
+"""Tests that no edit is lost or reverted by concurrent changes and store faults."""
 
 import asyncio
 import itertools
@@ -14,7 +14,12 @@
     rule,
 )
 
-from radishtally.configuration.head import EMPTY, EditConflict, HeadTracker, get_content
+from radishtally.configuration.head import (
+    EMPTY_HEAD,
+    EditConflict,
+    HeadTracker,
+    get_content_hash,
+)
 from radishtally.configuration.store import HEAD_KEY, ConfigurationStore
 from radishtally.outcome import Fault
 from radishtally.store import settle
@@ -38,7 +43,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_pause(monkeypatch):
+def no_backoff(monkeypatch):
     monkeypatch.setattr(settle, "INITIAL_BACKOFF_SECONDS", 0.0)
 
 
@@ -76,17 +81,17 @@
     assert table.rows[HEAD_KEY].rev == second.revision == 2
 
 
-def test_same_file_race_names_the_other_and_the_change(table, objects):
+def test_conflict_on_one_file_names_the_author_and_the_diff(table, objects):
     apply(table, objects, {"10.json": BASE}, 0)
     apply(table, objects, {"10.json": BASE + "// more\n"}, 1, "mitali", "note")
-    raced = apply(table, objects, {"10.json": BASE + "// less\n"}, 1, "arnab").error
-    assert raced == EditConflict("10.json", "mitali", 2, "note", raced.diff)
-    assert "+// more" in raced.diff
+    conflict = apply(table, objects, {"10.json": BASE + "// less\n"}, 1, "arnab").error
+    assert conflict == EditConflict("10.json", "mitali", 2, "note", conflict.diff)
+    assert "+// more" in conflict.diff
 
 
-def test_faulty_whole_is_refused_before_anything_is_stored(table, objects):
-    # Each file is right by itself, but both teams use one key. Nothing of the second
-    # may reach the store, and the operator is told where the clash is.
+def test_invalid_merge_result_is_refused_before_anything_is_stored(table, objects):
+    # Each file is valid by itself, but both teams use one key. Nothing of the second
+    # file may reach the store, and the fault names the place of the duplicate key.
     apply(table, objects, {"10.json": BASE}, 0)
     apply(table, objects, {"20.json": write_teams(a=build_team(1))}, 1)
     stored = dict(objects.objects)
@@ -96,9 +101,9 @@
     assert table.rows[HEAD_KEY].rev == 2
 
 
-def test_lost_reply_of_apply_may_be_repeated(table, objects):
-    # The change took effect, but its reply and those of the next attempts are lost,
-    # so the operator hears "unclear". The same apply again finds it in force.
+def test_apply_with_unknown_outcome_may_be_repeated(table, objects):
+    # The change is written, but its reply is lost and all later calls are throttled,
+    # so the outcome is reported as unclear. The same apply then finds it in force.
     table.faults = [REPLY_LOST] + [THROTTLED] * 500
     assert isinstance(apply(table, objects, {"10.json": BASE}, 0).error, Unclear)
     table.faults = []
@@ -106,11 +111,18 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "message"), [(None, "not there"), (b"{", "damaged"), (b"\xff", "damaged")]
+    ("body", "message"),
+    [
+        (None, "not found"),
+        (b"{", "differs from its hash"),
+        (b"\xff", "differs from its hash"),
+    ],
 )
-def test_damaged_object_never_comes_into_force(table, objects, body, message):
+def test_missing_or_corrupted_object_never_comes_into_force(
+    table, objects, body, message
+):
     head = apply(table, objects, {"10.json": BASE}, 0).ok
-    key = f"config/{get_content(head, '10.json')}"
+    key = f"config/{get_content_hash(head, '10.json')}"
     del objects.objects[key]
     if body is not None:
         objects.objects[key] = body
@@ -124,7 +136,7 @@
 
 
 class Attempt(NamedTuple):
-    """Remember what an operator tried."""
+    """Record a change that an operator tried to apply."""
 
     author: str
     base: int
@@ -138,12 +150,12 @@
     max_size=4,
 )
 names = st.sampled_from(NAMES)
-numbers = st.none() | st.integers(0, 3)
+team_numbers = st.none() | st.integers(0, 3)
 operators = st.sampled_from(OPERATORS)
 
 
 class ConfigurationRaces(RuleBasedStateMachine):
-    """Let operators race while the store fails and processes see heads in any order."""
+    """Apply concurrent changes while the store fails and heads arrive in any order."""
 
     def __init__(self):
         super().__init__()
@@ -153,19 +165,19 @@
         self.attempts = {}
         self.refused = set()
         self.trackers = [HeadTracker() for _ in range(PROCESSES)]
-        self.seen = [0] * PROCESSES
+        self.last_revisions = [0] * PROCESSES
 
     @initialize()
     def start(self):
         assert apply(self.table, self.objects, {"10.json": BASE}, 0, cause="0").is_ok()
         self.attempts["0"] = Attempt("mitali", 0, {"10.json": BASE})
 
-    @rule(author=operators, name=names, number=numbers, faults=faults)
+    @rule(author=operators, name=names, number=team_numbers, faults=faults)
     def edit(self, author, name, number, faults):
         self.table.faults = list(faults)
         run(self.try_change(author, name, number))
 
-    @rule(name=names, other=names, number=numbers, faults=faults)
+    @rule(name=names, other=names, number=team_numbers, faults=faults)
     def race(self, name, other, number, faults):
         async def both():
             await asyncio.gather(
@@ -177,7 +189,7 @@
         run(both())
 
     @rule(author=operators)
-    def pull(self, author):
+    def fetch_head(self, author):
         self.bases[author] = self.table.rows[HEAD_KEY].rev
 
     @rule(count=st.integers(1, 3))
@@ -189,13 +201,13 @@
         self.table.deliver_all()
 
     @rule(process=st.integers(0, PROCESSES - 1), back=st.integers(0, 3))
-    def hear(self, process, back):
+    def receive_head(self, process, back):
         history = self.read_history()
-        self.trackers[process].offer(history[max(0, len(history) - 1 - back)])
+        self.trackers[process].accept_newer(history[max(0, len(history) - 1 - back)])
 
     async def try_change(self, author, name, number):
-        # The three files use teams and keys of their own, but for number 3, where
-        # two files clash and the whole is refused.
+        # Each of the three files has its own team and key, except that with number 3
+        # all use the same key: two such files together are refused.
         text = None
         if number is not None:
             key = 99 if number == 3 else 10 * NAMES.index(name) + number
@@ -218,26 +230,26 @@
             return
         self.refused.add(cause)
         if isinstance(result.error, EditConflict):
-            self.check_race(attempt, result.error)
+            self.check_conflict(attempt, result.error)
 
-    def check_race(self, attempt, raced):
-        assert raced.name in attempt.change
-        assert raced.revision > attempt.base
-        head = self.read_history()[raced.revision]
-        assert raced.author == head.author
-        assert raced.name in head.changed
+    def check_conflict(self, attempt, conflict):
+        assert conflict.name in attempt.change
+        assert conflict.revision > attempt.base
+        head = self.read_history()[conflict.revision]
+        assert conflict.author == head.author
+        assert conflict.name in head.changed
 
     def read_history(self):
         keys = sorted(key for key in self.table.rows if key.pk == "head-history")
         store = open_store(self.table, self.objects)
-        heads = [run_now(store.read_revision(int(key.sk))) for key in keys]
-        return [EMPTY, *(head.ok for head in heads)]
+        heads = [run_without_loop(store.read_revision(int(key.sk))) for key in keys]
+        return [EMPTY_HEAD, *(head.ok for head in heads)]
 
     @invariant()
     def revision_in_force_never_goes_down(self):
         for process, tracker in enumerate(self.trackers):
-            assert tracker.head.revision >= self.seen[process]
-            self.seen[process] = tracker.head.revision
+            assert tracker.head.revision >= self.last_revisions[process]
+            self.last_revisions[process] = tracker.head.revision
 
     @invariant()
     def no_edit_is_lost(self):
@@ -247,9 +259,12 @@
             base = history[attempt.base]
             assert head.revision == before.revision + 1
             for name in attempt.change:
-                assert get_content(before, name) == get_content(base, name)
-            kept = (set(before.files) | set(head.files)) - set(attempt.change)
-            assert all(get_content(head, n) == get_content(before, n) for n in kept)
+                assert get_content_hash(before, name) == get_content_hash(base, name)
+            unchanged = (set(before.files) | set(head.files)) - set(attempt.change)
+            assert all(
+                get_content_hash(head, n) == get_content_hash(before, n)
+                for n in unchanged
+            )
         causes = [head.cause for head in history]
         assert len(set(causes)) == len(causes)
         assert not self.refused & set(causes)
@@ -263,8 +278,8 @@
             assert Key("head-history", f"{row.rev:012d}") in self.table.rows
 
 
-def run_now(coroutine):
-    """Run a coroutine that only yields, also while a loop is running."""
+def run_without_loop(coroutine):
+    """Run a coroutine that awaits no real I/O, even while an event loop is running."""
     while True:
         try:
             coroutine.send(None)
