--- a/radishtally/configuration/merger.py
+++ b/radishtally/configuration/merger.py
@@ -39,12 +39,8 @@
             for name, text in files.items()
             if (found := self._read_cached(name, text)) is not None
         }
-        merged_incrementally = self._merge_incrementally(files)
-        return (
-            Ok(merged_incrementally)
-            if merged_incrementally is not None
-            else merge_files(files)
-        )
+        merged = self._merge_incrementally(files)
+        return Ok(merged) if merged is not None else merge_files(files)
 
     def _read_cached(self, name: str, text: str) -> TeamFile | None:
         cached = self._team_files.get(name)
--- a/radishtally/distribution/__init__.py
+++ b/radishtally/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Bring every configuration that was accepted into force in every process."""
+"""Distribute every accepted configuration to all processes."""
--- a/radishtally/distribution/core.py
+++ b/radishtally/distribution/core.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force and give it to peers that are behind."""
+"""Track the configuration in force and send it to peers that lag behind."""
 
 import hashlib
 from collections.abc import Mapping
@@ -10,11 +10,11 @@
 from radishtally.outcome import Error, Fault, Ok, Result
 
 REPLY_TIMEOUT_SECONDS: Final = 1.0
-"""Time that a peer gets to give its files before another one is asked."""
+"""Time after which the files are requested from another peer."""
 
 
 class ConfigurationInForce(NamedTuple):
-    """Hold one revision of the configuration."""
+    """Hold a revision of the configuration: its files, their hashes and the result."""
 
     revision: int
     files: dict[str, str]
@@ -23,99 +23,102 @@
 
 
 class FileRequest(NamedTuple):
-    """Hold which peer was asked for the files of a revision, and when."""
+    """Record which peer the files of a revision were requested from, and when."""
 
     host: str
     revision: int
     at: float
 
     def covers(self, host: str, revision: int, now: float) -> bool:
-        """Tell whether this makes it needless to ask a peer."""
+        """Return whether this pending request makes one to another peer redundant."""
         if host == self.host or revision > self.revision:
             return False
         return now - self.at < REPLY_TIMEOUT_SECONDS
 
 
 class ConfigurationReplica:
-    """Keep the highest revision that was ever seen, and never go back."""
+    """Hold this process's copy of the configuration; its revision never decreases."""
 
     def __init__(self) -> None:
         self.current: ConfigurationInForce | None = None
         self.peer_revisions: dict[str, int] = {}
-        """Revision in force at each peer, by its own word."""
+        """Revision in force at each peer, as last reported by the peer."""
         self.merge = Merger().merge
-        self._asked: FileRequest | None = None
+        self._pending_request: FileRequest | None = None
 
     @property
     def revision(self) -> int:
-        """Give the revision in force, 0 for none."""
+        """Return the revision in force, 0 for none."""
         return self.current.revision if self.current else 0
 
     def record_peer_revision(
         self, host: str, revision: int, now: float = 0.0
     ) -> ConfigurationRequest | None:
-        """Take a peer's word on its revision; ask for the files if we are behind."""
+        """Record a peer's revision; return a request to send it if it is newer."""
         self.peer_revisions[host] = revision
         if revision <= self.revision:
             return None
-        # All peers tell of a new revision within moments. Asked one and all, each
-        # would send the files. One is asked, and another one if it does not answer.
-        asked = self._asked
-        if asked is not None and asked.covers(host, revision, now):
+        # All peers report a new revision at nearly the same time, and each peer that
+        # is asked sends the files. So only one is asked, and another one if that
+        # one does not reply in time.
+        request = self._pending_request
+        if request is not None and request.covers(host, revision, now):
             return None
-        self._asked = FileRequest(host, revision, now)
+        self._pending_request = FileRequest(host, revision, now)
         return ConfigurationRequest(
             self.revision, self.current.hashes if self.current else {}
         )
 
     def forget_peer(self, host: str) -> None:
-        """Forget a peer that is gone."""
+        """Remove a peer that has left, and the pending request to it."""
         self.peer_revisions.pop(host, None)
-        if self._asked is not None and self._asked.host == host:
-            self._asked = None
+        if self._pending_request is not None and self._pending_request.host == host:
+            self._pending_request = None
 
-    def build_reply(self, ask: ConfigurationRequest) -> ConfigurationFiles | None:
-        """Give a peer the files that it lacks, if it is behind us."""
-        if self.current is None or ask.revision >= self.revision:
+    def build_reply(self, request: ConfigurationRequest) -> ConfigurationFiles | None:
+        """Build the reply with the files that a peer lacks; None if it lacks none."""
+        if self.current is None or request.revision >= self.revision:
             return None
-        have = ask.hashes
+        known = request.hashes
         files = {
             name: text
             for name, text in self.current.files.items()
-            if have.get(name) != self.current.hashes[name]
+            if known.get(name) != self.current.hashes[name]
         }
         return ConfigurationFiles(self.revision, self.current.hashes, files)
 
-    def adopt(self, given: ConfigurationFiles) -> Result[bool, Fault]:
-        """Bring a newer revision into force; tell whether it was newer."""
-        if given.revision <= self.revision:
+    def adopt(self, received: ConfigurationFiles) -> Result[bool, Fault]:
+        """Bring a revision into force if it is newer; return whether it was."""
+        if received.revision <= self.revision:
             return Ok(False)
-        have = self.current.files if self.current else {}
+        known = self.current.files if self.current else {}
         files = {}
-        for name, digest in given.hashes.items():
-            text = given.files.get(name, have.get(name))
-            # A file that does not hash to its name was cut or mixed up on its way. It
-            # must not come into force: the peers would then disagree for good.
+        for name, digest in received.hashes.items():
+            text = received.files.get(name, known.get(name))
+            # A file that differs from its hash was truncated or mixed up in transit. If
+            # it came into force, peers with equal revisions would diverge permanently.
             if text is None or hash_text(text) != digest:
                 return Error(Fault("file is missing or differs from its hash", name))
             files[name] = text
         merged = self.merge(files)
         if merged.is_error():
             return merged
-        hashes = dict(given.hashes)
-        self.current = ConfigurationInForce(given.revision, files, hashes, merged.ok)
+        hashes = dict(received.hashes)
+        self.current = ConfigurationInForce(received.revision, files, hashes, merged.ok)
         return Ok(True)
 
     def list_lagging_peers(self, revision: int) -> list[str]:
-        """Find the peers that have not confirmed a revision."""
-        return sorted(h for h, known in self.peer_revisions.items() if known < revision)
+        """List the peers that have not reported a revision or a later one."""
+        return sorted(
+            h for h, confirmed in self.peer_revisions.items() if confirmed < revision
+        )
 
 
 def hash_text(text: str) -> str:
-    """Give the SHA-256 hex that a file is stored under."""
+    """Return the SHA-256 hex digest under which a file is stored."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def hash_files(files: Mapping[str, str]) -> dict[str, str]:
-    """Hash every file."""
+    """Return the hash of each file by its name."""
     return {name: hash_text(text) for name, text in files.items()}
--- a/tests/distribution/__init__.py
+++ b/tests/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Test how a configuration reaches every process."""
+"""Tests of distributing a configuration to every process."""
--- a/tests/distribution/test_process.py
+++ b/tests/distribution/test_process.py
@@ -1,11 +1,11 @@
-"""A broken invariant ends the process with its code, wherever it shows."""
+"""Tests that a broken invariant ends the process with its exit code."""
 
 import asyncio
 from collections.abc import Callable
 
 import pytest
 
-from radishtally import runtime as module
+from radishtally import runtime
 from radishtally.links.hub import LinkCallbacks
 from radishtally.process import Process
 from radishtally.runtime import EXIT_BROKEN, Waker
@@ -22,17 +22,17 @@
 WAIT_SECONDS = 10.0
 
 
-class Broken(Exception):
-    """Stand for a state that was held to be impossible."""
+class BrokenInvariant(Exception):
+    """Error: the process is in a state that was assumed to be impossible."""
 
 
 def fail(*_: object) -> None:
     """Break an invariant."""
-    raise Broken
+    raise BrokenInvariant
 
 
 def fail_in_task(process: Process) -> None:
-    """Break it in a task of the process."""
+    """Break an invariant in a task of the process."""
 
     async def work() -> None:
         fail()
@@ -41,49 +41,49 @@
 
 
 def fail_in_link(process: Process) -> None:
-    """Break it where a link hands a message over; the link swallows exceptions."""
-    with pytest.raises(Broken):
+    """Break an invariant in a message handler; the link swallows exceptions."""
+    with pytest.raises(BrokenInvariant):
         process.hub._callbacks.receive("entry-1", None)
 
 
 def fail_in_timer(process: Process) -> None:
-    """Break it when a timer calls back."""
+    """Break an invariant in a timer's callback."""
     Waker(fail).wake_at(0.0)
 
 
 def fail_in_guard(process: Process) -> None:
-    """Break it where a library would answer with an error page."""
-    with pytest.raises(Broken), process.guard():
+    """Break an invariant where a library would respond with an error page."""
+    with pytest.raises(BrokenInvariant), process.guard():
         fail()
 
 
 @pytest.mark.parametrize(
-    "break_it", [fail_in_task, fail_in_link, fail_in_timer, fail_in_guard]
+    "break_invariant", [fail_in_task, fail_in_link, fail_in_timer, fail_in_guard]
 )
 def test_a_broken_invariant_ends_the_process(
-    break_it: Callable[[Process], None], monkeypatch: pytest.MonkeyPatch
+    break_invariant: Callable[[Process], None], monkeypatch: pytest.MonkeyPatch
 ):
     logged = []
     monkeypatch.setattr(
-        module, "log_message", lambda name, **more: logged.append((name, more))
+        runtime, "log_message", lambda name, **more: logged.append((name, more))
     )
 
-    async def live() -> None:
+    async def main() -> None:
         process = make_process()
-        break_it(process)
+        break_invariant(process)
         async with asyncio.timeout(WAIT_SECONDS):
             await process.stopping.wait()
         with pytest.raises(SystemExit) as end:
             await process.unload()
         assert end.value.code == EXIT_BROKEN
 
-    run(live())
-    [(name, more)] = [one for one in logged if one[0] == "process:broken"]
-    assert "Broken" in more["error"] and "Traceback" in more["traceback"]
+    run(main())
+    [(name, more)] = [entry for entry in logged if entry[0] == "process:broken"]
+    assert "BrokenInvariant" in more["error"] and "Traceback" in more["traceback"]
 
 
-def test_an_error_of_a_library_ends_nothing():
-    async def live() -> None:
+def test_an_error_of_a_library_does_not_end_the_process():
+    async def main() -> None:
         process = make_process()
         loop = asyncio.get_running_loop()
         error = ConnectionResetError()
@@ -92,11 +92,11 @@
         assert not process.stopping.is_set()
         await process.unload()
 
-    run(live())
+    run(main())
 
 
 def make_process() -> Process:
-    """Make a process that listens nowhere."""
+    """Return a process that does not listen."""
     process = Process(parse_settings(SETTINGS, "s.json").ok)
     process.make_hub(LinkCallbacks(fail, fail, fail, fail))
     process.install_handlers()
