--- a/radishtally/audit/core.py
+++ b/radishtally/audit/core.py
@@ -1,4 +1,4 @@
-"""Form and read the rows of the audit trail."""
+"""Encode and decode the rows of the audit trail."""
 
 from typing import Any, Final, NamedTuple
 
@@ -8,10 +8,10 @@
 
 
 class AuditEntry(NamedTuple):
-    """Describe one change."""
+    """Describe who changed what and why, with the state before and after."""
 
     at_ms: int
-    """Wall clock, milliseconds since 1970; for people, nothing decides by it."""
+    """Wall clock, milliseconds since 1970; for people, no decision depends on it."""
     who: str
     what: str
     subject: str
@@ -19,7 +19,7 @@
     before: dict[str, Any]
     after: dict[str, Any]
     number: str
-    """Unique among the entries of the same writer and millisecond."""
+    """Distinguishes entries of the same writer within a millisecond."""
 
 
 def make_audit_put(
@@ -32,12 +32,12 @@
     after: dict[str, Any],
     number: str,
 ) -> Put:
-    """Form the row that records a change, for the transaction that makes it."""
+    """Build the write that records a change, for the transaction that makes it."""
     entry = AuditEntry(now_ms, who, what, subject, cause, before, after, number)
     key = Key(AUDIT_PARTITION, f"{now_ms:013d}-{who}-{number}")
     return Put(key, entry._asdict(), None)
 
 
 def read_entry(row: Row) -> AuditEntry:
-    """Read an entry back from its row."""
+    """Decode an entry from its row."""
     return AuditEntry(**row.value)
--- a/radishtally/configuration/head.py
+++ b/radishtally/configuration/head.py
@@ -34,7 +34,7 @@
     cause: str
     write_id: str
     at_ms: int
-    """Wall clock, milliseconds since 1970; for display only."""
+    """Wall clock, milliseconds since 1970; for people, no decision depends on it."""
     changed: tuple[str, ...] = ()
     """Files that this revision changed."""
 
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -1,4 +1,4 @@
-"""Test the audit trail."""
+"""Tests of the audit trail."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +26,7 @@
     return AuditLog(table, lambda: next(times))
 
 
-async def wait_for(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await asyncio.sleep(POLL_SECONDS)
 
@@ -52,42 +52,42 @@
 ) -> None:
     monkeypatch.setattr(store, "PAGE_ROWS", 2)
 
-    async def play() -> None:
+    async def main() -> None:
         for subject in ("h1", "h2", "h1", "h3", "h1"):
             record(log, subject)
-        assert await log.write_group()
+        assert await log.write_batch()
         assert await read_subjects(log, 2) == ["h1", "h3"]
         assert await read_subjects(log, 3, newest_first=False) == ["h1", "h2", "h1"]
         assert await read_subjects(log, 9, subject="h1") == ["h1"] * 3
         oldest = await read_subjects(log, 2, subject="h1", newest_first=False)
         assert oldest == ["h1"] * 2
 
-    run(play())
+    run(main())
 
 
 @pytest.mark.parametrize("fault", ["lose_replies", "drop_writes"])
-def test_unclear_write_adds_each_entry_once(
+def test_retry_of_unclear_write_adds_each_entry_once(
     table: MemoryTable, log: AuditLog, fault: str
 ) -> None:
-    async def play() -> None:
+    async def main() -> None:
         setattr(table, fault, 1)
         record(log, "h1")
-        assert not await log.write_group()
-        assert await log.write_group()
+        assert not await log.write_batch()
+        assert await log.write_batch()
         assert await read_subjects(log, 9) == ["h1"]
 
-    run(play())
+    run(main())
 
 
-def test_entries_wait_for_the_store_and_the_surplus_is_counted(
+def test_entries_are_buffered_up_to_the_limit_and_dropped_ones_counted(
     table: MemoryTable, log: AuditLog, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The store is away for long. The oldest entries wait in memory up to the bound,
-    # later ones are dropped and counted, and what waited is written afterwards.
-    monkeypatch.setattr(store, "BUFFERED_ENTRIES", 2)
+    # The store is unavailable for a long time. Entries are buffered up to the limit,
+    # later ones are dropped and counted, and the buffered ones are written afterwards.
+    monkeypatch.setattr(store, "MAX_BUFFERED_ENTRIES", 2)
     monkeypatch.setattr(store, "RETRY_SECONDS", POLL_SECONDS)
 
-    async def play() -> None:
+    async def main() -> None:
         table.down = True
         log.start()
         for subject in ("h1", "h2", "h3"):
@@ -95,18 +95,18 @@
         await asyncio.sleep(0)
         assert (log.waiting, log.dropped) == (2, 1)
         table.down = False
-        await wait_for(lambda: log.waiting == 0)
+        await wait_until(lambda: log.waiting == 0)
         assert await read_subjects(log, 9, newest_first=False) == ["h1", "h2"]
         await log.stop()
 
-    run(play())
+    run(main())
 
 
 @pytest.mark.parametrize(("down", "dropped"), [(False, 0), (True, 1)])
-def test_stop_writes_what_is_left(
+def test_stop_writes_remaining_entries(
     table: MemoryTable, log: AuditLog, down: bool, dropped: int
 ) -> None:
-    async def play() -> None:
+    async def main() -> None:
         table.down = down
         log.start()
         record(log, "h1")
@@ -114,11 +114,11 @@
         assert log.dropped == dropped
         assert len(table.rows.rows) == 1 - dropped
 
-    run(play())
+    run(main())
 
 
 class StrictTable(MemoryTable):
-    """Refuse what says too much, as a table does with rows over its bound."""
+    """Refuse entries with the subject "too long", as a table refuses oversized rows."""
 
     async def transact(
         self, writes: list[Write], write_id: str
@@ -128,19 +128,19 @@
         return await super().transact(writes, write_id)
 
 
-# Nothing that is done gets into the audit trail any more, by anybody at this process:
-# the table refuses one entry for good, and all others wait behind it.
-def test_entry_that_the_table_refuses_holds_up_no_others() -> None:
+# The table refuses one entry permanently. If that entry were retried forever, no later
+# entry of this process would be written.
+def test_entry_that_the_table_refuses_does_not_block_others() -> None:
     table = StrictTable()
     log = AuditLog(table, lambda: 1000)
 
-    async def play() -> None:
+    async def main() -> None:
         for subject in ("h1", "too long", "h2", "h3"):
             record(log, subject)
         for _ in range(10):
-            await log.write_group()
+            await log.write_batch()
         assert await read_subjects(log, 9, newest_first=False) == ["h1", "h2", "h3"]
         assert log.waiting == 0
         assert log.dropped == 1
 
-    run(play())
+    run(main())
