--- a/radishtally/command/__init__.py
+++ b/radishtally/command/__init__.py
@@ -1,1 +1,1 @@
-"""Let operators look at the system and change it."""
+"""Command-line tool with which operators inspect and change the system."""
--- a/radishtally/command/answer.py
+++ b/radishtally/command/answer.py
@@ -1,24 +1,24 @@
-"""What a command gives back: an answer to print, or a failure."""
+"""Result types of commands: an answer to print, or a failure."""
 
 from typing import Any, NamedTuple
 
-from radishtally.command.const import EXIT_FINE
+from radishtally.command.const import EXIT_OK
 
 
 class Answer(NamedTuple):
-    """Hold what a command found or did."""
+    """Hold the output of a successful command."""
 
     value: Any
-    """Printed as JSON if that was asked for."""
+    """Printed as JSON with --json."""
     lines: tuple[str, ...]
-    """Printed otherwise."""
+    """Printed without --json."""
     warnings: tuple[str, ...] = ()
     """Printed on standard error in either case."""
-    code: int = EXIT_FINE
+    code: int = EXIT_OK
 
 
 class Failure(NamedTuple):
-    """Say why a command did nothing, or can't tell what it did."""
+    """Describe why a command failed or why its outcome is unknown."""
 
     code: int
     message: str
--- a/radishtally/command/apply.py
+++ b/radishtally/command/apply.py
@@ -1,18 +1,18 @@
-"""Put an operator's changes of the folder in force."""
+"""Apply an operator's changes in a folder to the configuration in force."""
 
 from pathlib import Path
 
 from radishtally.command import const
 from radishtally.command.answer import Answer, Failure
 from radishtally.command.base import Base, write_base
-from radishtally.command.changes import Change, cut_diff, format_diff, hash_texts
+from radishtally.command.changes import Change, format_diff, hash_texts, truncate_diff
 from radishtally.command.client import Client
 from radishtally.command.comparison import (
-    HEAD,
+    CONFIGURATION_PATH,
     Comparison,
     compare,
-    warn_kept,
-    warn_raced,
+    format_conflict_warning,
+    list_missing_warnings,
 )
 from radishtally.command.replies import Accepted, Confirmed, RevisionRecord
 from radishtally.configuration.config import Configuration
@@ -28,49 +28,49 @@
     remove: bool = False,
     wait: float | None = None,
 ) -> Result[Answer, Failure]:
-    """Put the folder's changes in force."""
+    """Put the folder's changes in force, and wait for the hosts if asked to."""
     path = Path(folder)
     compared = compare(client, path, base, remove)
     if compared.is_error():
         return compared
-    local, in_force, change, based = compared.ok
-    if change.raced:
-        return Error(_describe_races(client, compared.ok))
+    local, in_force, change, has_base = compared.ok
+    if change.conflicts:
+        return Error(_describe_conflicts(client, compared.ok))
     revision = in_force.revision
     fault = _find_lockout(client.key, in_force.files, change)
     if fault is not None:
         return Error(fault)
     if change.files:
         body = {"base": revision, "files": change.files, "cause": cause}
-        posted = client.post(Accepted, HEAD, body)
+        posted = client.post(Accepted, CONFIGURATION_PATH, body)
         if posted.is_error():
             return posted
         revision = posted.ok["revision"]
-    warnings = warn_kept(change.kept)
-    # A base says of each file that the folder lacks that its owner removed it. While
-    # that is not so, the folder goes without one.
+    warnings = list_missing_warnings(change.kept)
+    # A base records that every file missing from the folder was removed on purpose.
+    # While files in force are missing without that intent, write no base.
     if not change.kept:
-        noted = write_base(path, Base(revision, hash_texts(local)))
-        warnings += [] if noted.is_ok() else [noted.error.message]
+        written_base = write_base(path, Base(revision, hash_texts(local)))
+        warnings += [] if written_base.is_ok() else [written_base.error.message]
     answer = _describe_apply(revision, change, tuple(warnings))
     return Ok(answer) if wait is None else _wait(client, answer, revision, wait)
 
 
 def _find_lockout(key: str, files: dict[str, str], change: Change) -> Failure | None:
-    """Refuse a change after which the operator's own key would open nothing."""
+    """Refuse a change that would revoke the key that the operator uses."""
     from radishtally.configuration.core import hash_key, merge_files
 
     changed = {**files, **change.files}
     after = merge_files({n: text for n, text in changed.items() if text is not None})
     before = merge_files(files)
-    # What can't be merged is for the entry to refuse, which may be newer than the tool.
+    # Leave invalid files to the entry: it may be newer than this tool.
     if before.is_error() or after.is_error():
         return None
     digest = hash_key(key)
     if not _has_key(before.ok, digest) or _has_key(after.ok, digest):
         return None
-    text = "nothing was changed: your own key would be refused afterwards"
-    return Failure(const.EXIT_REFUSED, f"{text}; remove a key by another one")
+    text = "nothing was changed: this would revoke your own key"
+    return Failure(const.EXIT_REFUSED, f"{text}; use another key to remove it")
 
 
 def _has_key(configuration: Configuration, digest: str) -> bool:
@@ -91,11 +91,13 @@
 def _wait(
     client: Client, answer: Answer, revision: int, seconds: float
 ) -> Result[Answer, Failure]:
-    """Wait for the hosts; the change stands whatever comes of it."""
+    """Wait until the hosts confirm; the change stays in force in any case."""
     query = {"revision": revision, "seconds": seconds}
-    read = client.get(Confirmed, f"{HEAD}/confirmed", query, seconds=seconds)
+    read = client.get(
+        Confirmed, f"{CONFIGURATION_PATH}/confirmed", query, seconds=seconds
+    )
     if read.is_error():
-        text = f"revision {revision} is accepted, its spread can't be followed"
+        text = f"revision {revision} is accepted, but can't read who confirmed it"
         warnings = (*answer.warnings, f"{text}: {read.error.message}")
         return Ok(answer._replace(warnings=warnings, code=const.EXIT_NOT_CONFIRMED))
     behind = read.ok["behind"]
@@ -108,19 +110,23 @@
     return Ok(answer._replace(warnings=warnings, code=const.EXIT_NOT_CONFIRMED))
 
 
-def _describe_races(client: Client, compared: Comparison) -> Failure:
-    local, in_force, change, based = compared
-    read = client.get(RevisionRecord, f"{HEAD}/revisions/{in_force.revision}")
+def _describe_conflicts(client: Client, compared: Comparison) -> Failure:
+    local, in_force, change, has_base = compared
+    read = client.get(
+        RevisionRecord, f"{CONFIGURATION_PATH}/revisions/{in_force.revision}"
+    )
     entries = read.ok["files"] if read.is_ok() else {}
-    lines = ["nothing was changed: " + warn_raced(change.raced[0], based)]
-    for name in change.raced:
+    lines = [
+        "nothing was changed: " + format_conflict_warning(change.conflicts[0], has_base)
+    ]
+    for name in change.conflicts:
         entry = entries.get(name)
         by = f" by {entry['author']}, revision {entry['revision']}" if entry else ""
-        lines.append(f"{name}: in force{by}, and as in the folder:")
+        lines.append(f"{name}: text in force{by}, compared with the folder:")
         diff = format_diff(name, in_force.files.get(name), local.get(name))
-        lines += cut_diff(diff)
+        lines += truncate_diff(diff)
     lines.append(
         "fetch with `radishtally config show --into FOLDER`, merge, and apply with "
-        f"--base {in_force.revision} to say that you have seen that revision"
+        f"--base {in_force.revision} to confirm that you have seen that revision"
     )
-    return Failure(const.EXIT_RACED, "\n".join(lines))
+    return Failure(const.EXIT_CONFLICT, "\n".join(lines))
--- a/radishtally/command/base.py
+++ b/radishtally/command/base.py
@@ -1,4 +1,4 @@
-"""Remember in a folder which configuration its edits are based on."""
+"""Store in a folder which configuration its edits are based on."""
 
 import json
 from pathlib import Path
@@ -10,11 +10,11 @@
 from radishtally.command.const import EXIT_FAILED, EXIT_USAGE
 from radishtally.outcome import Error, Ok, Result
 
-FILE: Final = ".radishtally-base.json"
+BASE_FILE: Final = ".radishtally-base.json"
 
 
 class Base(NamedTuple):
-    """Hold what the operator last saw of the configuration in force."""
+    """Record the configuration in force as the operator last saw it."""
 
     revision: int
     files: dict[str, str]
@@ -22,8 +22,8 @@
 
 
 def read_base(folder: Path) -> Result[Base | None, Failure]:
-    """Read the base, none if the folder has none."""
-    path = folder / FILE
+    """Read the folder's base; None if it has none."""
+    path = folder / BASE_FILE
     try:
         value = json.loads(path.read_text(encoding="utf-8"))
         fields = [value[name] for name in Base._fields]
@@ -31,18 +31,18 @@
     except FileNotFoundError:
         return Ok(None)
     except (OSError, ValueError, KeyError, TypeError, msgspec.MsgspecError) as error:
-        text = f"{path}: can't be read ({error}); fetch the configuration afresh"
+        text = f"{path}: can't be read ({error}); fetch the configuration again"
         return Error(Failure(EXIT_USAGE, text))
 
 
 def write_base(folder: Path, base: Base) -> Result[None, Failure]:
-    """Remember what the folder's files are now based on."""
+    """Store the base of the folder's files."""
     text = json.dumps(base._asdict(), indent=1, sort_keys=True) + "\n"
-    return write_file(folder, FILE, text)
+    return write_file(folder, BASE_FILE, text)
 
 
 def write_file(folder: Path, name: str, text: str | None) -> Result[None, Failure]:
-    """Write or remove a file; it is there whole or not at all."""
+    """Write a file atomically, or remove it if the text is None."""
     path = folder / name
     partial = folder / f".{name}.partial"
     try:
--- a/radishtally/command/client.py
+++ b/radishtally/command/client.py
@@ -1,4 +1,4 @@
-"""Ask the entries over HTTP."""
+"""HTTP client for the operators' API of the entries."""
 
 import json
 from collections.abc import Mapping
@@ -14,50 +14,50 @@
 
 T = TypeVar("T")
 
-CODES: Final = {
+EXIT_CODE_BY_STATUS: Final = {
     400: const.EXIT_USAGE,
     401: const.EXIT_KEY_REFUSED,
     404: const.EXIT_NOT_FOUND,
-    409: const.EXIT_RACED,
+    409: const.EXIT_CONFLICT,
     413: const.EXIT_REFUSED,
     422: const.EXIT_REFUSED,
-    503: const.EXIT_AWAY,
-    504: const.EXIT_AWAY,
+    503: const.EXIT_UNAVAILABLE,
+    504: const.EXIT_UNAVAILABLE,
 }
-"""Exit code by the status of an entry's refusal."""
-CONNECTIONS: Final = {"http": HTTPConnection, "https": HTTPSConnection}
+"""Exit code by the HTTP status of an entry's error response."""
+CONNECTION_TYPES: Final = {"http": HTTPConnection, "https": HTTPSConnection}
 
 
 class Target(NamedTuple):
-    """Say which entries to ask, and by which key."""
+    """Hold the entries' addresses and the operator's key."""
 
     urls: tuple[str, ...]
     key: str
 
 
 class Unreached(NamedTuple):
-    """Say that an entry surely did not get the request."""
+    """Error: the request was certainly not sent, as no connection was made."""
 
     failure: Failure
 
 
 class Unanswered(NamedTuple):
-    """Say that an entry may have got the request but gave no answer."""
+    """Error: the request may have arrived, but there was no answer."""
 
     failure: Failure
 
 
 class Refused(NamedTuple):
-    """Say that an entry refused the request."""
+    """Error: the entry responded with an error."""
 
     failure: Failure
 
 
-AskError = Unreached | Unanswered | Refused
+RequestError = Unreached | Unanswered | Refused
 
 
 def read_target(urls: str, key: str) -> Result[Target, Failure]:
-    """Check what the operator gave as addresses and key."""
+    """Parse the entries' addresses and check them and the key."""
     parts = tuple(part.strip().rstrip("/") for part in urls.split(",") if part.strip())
     if not parts:
         text = f"expected an entry's address in --url or {const.URL_VARIABLE}"
@@ -76,19 +76,19 @@
 
 
 def join_path(*parts: str) -> str:
-    """Join parts of a path that may hold any characters."""
+    """Join path segments, percent-encoding each."""
     return "/" + "/".join(quote(part, safe="") for part in parts)
 
 
 class Client:
-    """Ask the entries in turn until one answers."""
+    """Send requests to the entries in turn until one answers."""
 
     def __init__(self, target: Target) -> None:
         self._target = target
 
     @property
     def key(self) -> str:
-        """Give the operator's key."""
+        """Return the operator's key."""
         return self._target.key
 
     def get(
@@ -100,28 +100,33 @@
         seconds: float = 0.0,
         everywhere: bool = False,
     ) -> Result[T, Failure]:
-        """Read something, `everywhere` also where another entry did not find it."""
-        full = f"{path}?{urlencode(query)}" if query else path
-        passing = (const.EXIT_AWAY, *((const.EXIT_NOT_FOUND,) if everywhere else ()))
-        result: Result[Any, AskError] = self._ask(0, "GET", full, None, seconds)
-        for number in range(1, len(self._target.urls)):
-            if result.is_ok() or result.error.failure.code not in passing:
+        """Read a resource; with `everywhere`, also try the next entry on not found."""
+        full_path = f"{path}?{urlencode(query)}" if query else path
+        retryable = (
+            const.EXIT_UNAVAILABLE,
+            *((const.EXIT_NOT_FOUND,) if everywhere else ()),
+        )
+        result: Result[Any, RequestError] = self._send_request(
+            0, "GET", full_path, None, seconds
+        )
+        for index in range(1, len(self._target.urls)):
+            if result.is_ok() or result.error.failure.code not in retryable:
                 break
-            result = self._ask(number, "GET", full, None, seconds)
+            result = self._send_request(index, "GET", full_path, None, seconds)
         return result.map_error(lambda error: error.failure).bind(
             lambda value: check_shape(value, kind)
         )
 
     def post(self, kind: type[T], path: str, body: Any) -> Result[T, Failure]:
-        """Change something; sent again only if it surely did not arrive."""
-        # Failure: the reply to a change is lost. Symptom: sent again, it could undo
-        # what another operator did in between. So only a connection that was never
-        # made lets the next entry be asked.
-        result: Result[Any, AskError] = self._ask(0, "POST", path, body)
-        for number in range(1, len(self._target.urls)):
+        """Send a change; try the next entry only if no connection was made."""
+        # If the reply to a change is lost and the change is sent again, it may revert
+        # what another operator did in between. So a change is retried only if the
+        # connection failed, which means that the request was not sent.
+        result: Result[Any, RequestError] = self._send_request(0, "POST", path, body)
+        for index in range(1, len(self._target.urls)):
             if result.is_ok() or not isinstance(result.error, Unreached):
                 break
-            result = self._ask(number, "POST", path, body)
+            result = self._send_request(index, "POST", path, body)
         if result.is_error() and isinstance(result.error, Unanswered):
             failure = result.error.failure
             text = f"{failure.message}; the change may have been made, look before you"
@@ -130,28 +135,28 @@
             lambda value: check_shape(value, kind)
         )
 
-    def _ask(
-        self, number: int, method: str, path: str, body: Any, seconds: float = 0.0
-    ) -> Result[Any, AskError]:
-        url = self._target.urls[number]
+    def _send_request(
+        self, index: int, method: str, path: str, body: Any, seconds: float = 0.0
+    ) -> Result[Any, RequestError]:
+        url = self._target.urls[index]
         parts = urlsplit(url)
-        connection = CONNECTIONS[parts.scheme](
-            parts.hostname, parts.port, timeout=const.CONNECT_SECONDS
+        connection = CONNECTION_TYPES[parts.scheme](
+            parts.hostname, parts.port, timeout=const.CONNECT_TIMEOUT_SECONDS
         )
         try:
             connection.connect()
         except OSError as error:
             text = f"{url}: can't be reached: {error.strerror or error}"
-            return Error(Unreached(Failure(const.EXIT_AWAY, text)))
-        connection.sock.settimeout(const.REPLY_SECONDS + seconds)
+            return Error(Unreached(Failure(const.EXIT_UNAVAILABLE, text)))
+        connection.sock.settimeout(const.REPLY_TIMEOUT_SECONDS + seconds)
         try:
-            full = f"{parts.path}{const.BASE_PATH}{path}"
-            connection.request(method, full, _encode(body), self._make_headers())
+            full_path = f"{parts.path}{const.BASE_PATH}{path}"
+            connection.request(method, full_path, _encode(body), self._make_headers())
             reply = connection.getresponse()
             text = reply.read()
         except (OSError, HTTPException) as error:
             message = f"{url}: no answer: {error or type(error).__name__}"
-            return Error(Unanswered(Failure(const.EXIT_AWAY, message)))
+            return Error(Unanswered(Failure(const.EXIT_UNAVAILABLE, message)))
         finally:
             connection.close()
         return _read_reply(url, reply.status, text)
@@ -164,11 +169,11 @@
 
 
 def check_shape(value: Any, kind: type[T]) -> Result[T, Failure]:
-    """Give an answer as it came if it has the parts that the tool reads."""
+    """Return the answer unchanged if it has the fields that the tool reads."""
     try:
         msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        text = f"the entry's answer is not as expected, another version? ({error})"
+        text = f"unexpected answer, does the entry run another version? ({error})"
         return Error(Failure(const.EXIT_FAILED, text))
     return Ok(value)
 
@@ -176,7 +181,11 @@
 def _is_url(text: str) -> bool:
     try:
         parts = urlsplit(text)
-        return parts.scheme in CONNECTIONS and bool(parts.hostname) and parts.port != 0
+        return (
+            parts.scheme in CONNECTION_TYPES
+            and bool(parts.hostname)
+            and parts.port != 0
+        )
     except ValueError:
         return False
 
@@ -185,15 +194,17 @@
     return None if body is None else json.dumps(body).encode()
 
 
-def _read_reply(url: str, status: int, text: bytes) -> Result[Any, AskError]:
+def _read_reply(url: str, status: int, text: bytes) -> Result[Any, RequestError]:
     try:
         value = json.loads(text)
     except ValueError:
-        message = f"{url}: answered {status} without JSON, is it an entry's address?"
+        message = (
+            f"{url}: answered {status} without JSON; is this the address of an entry?"
+        )
         return Error(Refused(Failure(const.EXIT_FAILED, message)))
     if status == 200:
         return Ok(value)
     error = value.get("error") if isinstance(value, dict) else None
-    told = error.get("message") if isinstance(error, dict) else None
-    code = CODES.get(status, const.EXIT_FAILED)
-    return Error(Refused(Failure(code, told or f"{url}: answered {status}")))
+    reason = error.get("message") if isinstance(error, dict) else None
+    code = EXIT_CODE_BY_STATUS.get(status, const.EXIT_FAILED)
+    return Error(Refused(Failure(code, reason or f"{url}: answered {status}")))
--- a/radishtally/command/commands.py
+++ b/radishtally/command/commands.py
@@ -1,4 +1,4 @@
-"""Name the commands of `radishtally` and what each one takes."""
+"""Define the commands of `radishtally` and their parameters."""
 
 import os
 from collections.abc import Callable, Sequence
@@ -18,40 +18,40 @@
 from radishtally.command.client import Client, read_target
 from radishtally.outcome import Error, Result
 
-Run = Callable[[], Result[Answer, Failure]]
-Ask = Callable[[Client], Result[Answer, Failure]]
+Runner = Callable[[], Result[Answer, Failure]]
+Operation = Callable[[Client], Result[Answer, Failure]]
 
 
 class Command:
-    """Hold a command until the whole line is known to be good."""
+    """Defer a command until the whole command line has been parsed."""
 
-    # Failure: the library calls a function before it looks at the words that follow.
-    # Symptom: a line with a typing error at its end is carried out and only then
-    # refused. So functions give this, it has no parts to be named, and it runs last.
+    # Fire calls a function before it parses the words that follow, so a line with a
+    # typing error at its end would be executed before it is refused. Therefore the
+    # functions return a Command, which runs after parsing. It shows no attributes, as
+    # Fire would take them as subcommands.
     __slots__ = ("as_json", "run")
 
-    def __init__(self, run: Run, as_json: object) -> None:
+    def __init__(self, run: Runner, as_json: object) -> None:
         self.run = run
         self.as_json = as_json
 
     def __dir__(self) -> list[str]:
-        """Hide everything from the library."""
+        """Hide all attributes from Fire."""
         return []
 
 
 @SetParseFns(url=str, key=str)
 class Tool:
-    """Drive a radishtally system.
+    """Operate a radishtally system.
 
-    Asks the entry at --url (or the variable RADISHTALLY_URL; several addresses are
-    separated by commas, the next is asked if one can't be reached) with the
-    operator's key in --key (or RADISHTALLY_KEY, which keeps it out of the list of
-    processes). With --json prints JSON, else lines and tables. These three go with
-    every command.
+    Three flags work with every command. --url (or the variable RADISHTALLY_URL) sets
+    the address of an entry; separate several addresses by commas, and the next one is
+    tried if one can't be reached. --key (or RADISHTALLY_KEY, which keeps the key out
+    of the process list) sets the operator's key. --json prints JSON instead of text.
 
-    Exit codes: 0 fine, 1 other fault, 2 usage, 3 configuration refused, 4 raced with
-    another operator, 5 entry or store away, 6 not confirmed everywhere in time, 7 not
-    found, 8 key refused.
+    Exit codes: 0 success, 1 other error, 2 usage error, 3 configuration refused, 4
+    conflict with another operator, 5 entry or store unavailable, 6 not confirmed by
+    all hosts in time, 7 not found, 8 key refused.
     """
 
     def __init__(self, url: str = "", key: str = "", json: bool = False) -> None:
@@ -64,48 +64,52 @@
 
     def status(self) -> Command:
         """Show the fleet as one entry sees it."""
-        return self._ask(fleet.read_status)
+        return self._make_command(fleet.read_status)
 
     @SetParseFns(subject=str)
     def audit(self, subject: str | None = None, limit: int = 20) -> Command:
-        """List the latest changes: when, who, what and why.
+        """List the most recent changes: when, who, what and why.
 
         Parameters
         ----------
         subject : str
-            Only changes of this: a host, a place, or `configuration`.
+            List only changes of this subject: a host, a place, or `configuration`.
         limit : int
-            Number of changes, the newest first.
+            Maximum number of changes, newest first.
         """
-        return self._ask(
+        return self._make_command(
             lambda client: fleet.read_audit(client, subject, limit), check_limit(limit)
         )
 
-    def _ask(self, ask: Ask, *faults: str | None) -> Command:
-        return Command(lambda: self._run(ask, faults), self._json)
+    def _make_command(self, operation: Operation, *usage_errors: str | None) -> Command:
+        return Command(lambda: self._run(operation, usage_errors), self._json)
 
-    def _run(self, ask: Ask, faults: Sequence[str | None]) -> Result[Answer, Failure]:
-        fault = next((fault for fault in faults if fault), None)
-        if fault is not None:
-            return Error(Failure(const.EXIT_USAGE, fault))
+    def _run(
+        self, operation: Operation, usage_errors: Sequence[str | None]
+    ) -> Result[Answer, Failure]:
+        usage_error = next(
+            (usage_error for usage_error in usage_errors if usage_error), None
+        )
+        if usage_error is not None:
+            return Error(Failure(const.EXIT_USAGE, usage_error))
         target = read_target(self._url, self._key)
-        return target.bind(lambda found: ask(Client(found)))
+        return target.bind(lambda checked: operation(Client(checked)))
 
 
 class ConfigCommands:
-    """Check, compare, change and show the configuration folder."""
+    """Check, compare, apply and show the configuration."""
 
     def __init__(self, tool: Tool) -> None:
         self._tool = tool
 
     @SetParseFns(folder=str)
     def check(self, folder: str) -> Command:
-        """Check a folder offline.
+        """Check a folder without contacting an entry.
 
         Parameters
         ----------
         folder : str
-            Folder of files in JSON with comments, merged in the order of their names.
+            Folder of JSON files, with comments allowed, merged in order of their names.
         """
         return Command(lambda: configuration.check(folder), self._tool._json)
 
@@ -113,18 +117,18 @@
     def diff(
         self, folder: str, base: int | None = None, remove: bool = False
     ) -> Command:
-        """Show what `config apply` would change; changes nothing.
+        """Show what `config apply` would change, without changing it.
 
         Parameters
         ----------
         folder : str
             Folder to compare with the configuration in force.
         base : int
-            Revision that the edits were made on, as for `config apply`.
+            Revision that the edits are based on, as for `config apply`.
         remove : bool
-            Count files that the folder lacks as removed.
+            Treat files that are missing from the folder as removed.
         """
-        return self._tool._ask(
+        return self._tool._make_command(
             lambda client: configuration.diff(client, folder, base, remove),
             check_base(base),
             check_switch("--remove", remove),
@@ -143,26 +147,26 @@
         """Put a folder's changes in force.
 
         Sends only the files that were changed, added or removed since the folder was
-        fetched with `config show --into` or last applied. Changes of other operators
-        to other files stay in force. If another operator changed the same file, nothing
+        fetched with `config show --into` or last applied. Other operators' changes to
+        other files stay in force. If another operator changed the same file, nothing
         is changed and the exit code is 4.
 
         Parameters
         ----------
         folder : str
-            Folder whose changes are to come into force.
+            Folder whose changes to apply.
         cause : str
-            Reason of the change, for the history and the audit trail.
+            Reason for the change, for the history and the audit trail.
         wait : float
-            Seconds to wait until every host confirms; exit code 6 if some did not.
+            Seconds to wait until all hosts confirm; exit code 6 if some did not.
         base : int
-            Revision that the edits were made on: you say that you have seen it. Needed
-            where the folder's own record is missing or was overtaken.
+            Revision that the edits are based on; confirms that you have seen it. Needed
+            if the folder's own record of its base is missing or out of date.
         remove : bool
-            Remove files that the folder lacks. Not needed for files that you deleted
-            from a folder that was fetched or applied before.
+            Remove files that are missing from the folder. Not needed for files that
+            you deleted after the folder was fetched or applied.
         """
-        return self._tool._ask(
+        return self._tool._make_command(
             lambda client: apply.apply(
                 client, folder, cause, base=base, remove=remove, wait=wait
             ),
@@ -179,35 +183,35 @@
         Parameters
         ----------
         into : str
-            Folder to bring to the configuration in force. Your own edits in it stay;
-            its record of what they are based on is kept in .radishtally-base.json.
+            Folder to update to the configuration in force. Your own edits are kept; the
+            record of what they are based on is stored in .radishtally-base.json.
         """
         if into is None:
-            return self._tool._ask(configuration.show)
-        return self._tool._ask(lambda client: fetch.fetch(client, into))
+            return self._tool._make_command(configuration.show)
+        return self._tool._make_command(lambda client: fetch.fetch(client, into))
 
     def history(self, limit: int = 20) -> Command:
-        """List the latest revisions: when, who, why and which files.
+        """List the most recent revisions: when, who, why and which files.
 
         Parameters
         ----------
         limit : int
-            Number of revisions, the newest first.
+            Maximum number of revisions, newest first.
         """
-        return self._tool._ask(
+        return self._tool._make_command(
             lambda client: configuration.history(client, limit), check_limit(limit)
         )
 
 
 class HostCommands:
-    """Take hosts out of use and back."""
+    """Drain hosts and end drains."""
 
     def __init__(self, tool: Tool) -> None:
         self._tool = tool
 
     @SetParseFns(host=str, cause=str)
     def drain(self, host: str, *, cause: str) -> Command:
-        """Give a host no new work; running answers are finished or handed over.
+        """Stop new work for a host; running answers are finished or handed over.
 
         Parameters
         ----------
@@ -220,7 +224,7 @@
 
     @SetParseFns(host=str, cause=str)
     def undrain(self, host: str, *, cause: str) -> Command:
-        """Take a drain back.
+        """End the drain of a host.
 
         Parameters
         ----------
@@ -232,7 +236,7 @@
         return self._drain(host, False, cause)
 
     def _drain(self, host: str, drained: bool, cause: str) -> Command:
-        return self._tool._ask(
+        return self._tool._make_command(
             lambda client: fleet.drain(client, host, drained, cause),
             check_cause(cause),
             check_name("host", host),
@@ -240,7 +244,7 @@
 
 
 class ExplainCommands:
-    """Tell why the system did what it did."""
+    """Explain requests and the state of hosts and places."""
 
     def __init__(self, tool: Tool) -> None:
         self._tool = tool
@@ -249,20 +253,20 @@
     def request(self, id: str) -> Command:
         """List the steps of a request.
 
-        Entries remember the requests they took, so name all of them in --url.
+        Each entry only remembers its own requests, so list all entries in --url.
 
         Parameters
         ----------
         id : str
-            Id from the answer's X-Request-Id header.
+            Request id from the X-Request-Id header of the response.
         """
-        return self._tool._ask(
+        return self._tool._make_command(
             lambda client: fleet.explain_request(client, id), check_name("id", id)
         )
 
     @SetParseFns(name=str)
     def host(self, name: str) -> Command:
-        """Tell whether a host gets work, and why not.
+        """Show whether a host gets work, and if not, why.
 
         Parameters
         ----------
@@ -273,7 +277,7 @@
 
     @SetParseFns(name=str)
     def place(self, name: str) -> Command:
-        """Tell the plan of a place and what it is based on.
+        """Show the plan of a place and what it is based on.
 
         Parameters
         ----------
@@ -283,6 +287,6 @@
         return self._explain("place", name)
 
     def _explain(self, kind: str, name: str) -> Command:
-        return self._tool._ask(
+        return self._tool._make_command(
             lambda client: fleet.explain(client, kind, name), check_name("name", name)
         )
--- a/radishtally/command/fetch.py
+++ b/radishtally/command/fetch.py
@@ -12,12 +12,12 @@
 
 
 def fetch(client: Client, folder: str) -> Result[Answer, Failure]:
-    """Bring a folder to the configuration in force, but for the operator's edits."""
+    """Update a folder to the configuration in force, keeping the operator's edits."""
     path = Path(folder)
     try:
         path.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        text = f"{path}: can't be made: {error.strerror}"
+        text = f"{path}: can't be created: {error.strerror}"
         return Error(Failure(const.EXIT_USAGE, text))
     local = read_local(folder)
     if local.is_error():
@@ -28,30 +28,30 @@
     in_force = read_in_force(client, base.ok)
     if in_force.is_error():
         return in_force
-    known = base.ok.files if base.ok is not None else {}
-    update = find_update(local.ok, known, in_force.ok.files)
+    base_hashes = base.ok.files if base.ok is not None else {}
+    update = find_update(local.ok, base_hashes, in_force.ok.files)
     for name, text in update.files.items():
         written = write_file(path, name, text)
         if written.is_error():
             return written
-    noted = write_base(path, Base(in_force.ok.revision, update.known))
-    return noted.map(lambda _: _describe_update(in_force.ok, update))
+    written_base = write_base(path, Base(in_force.ok.revision, update.base_hashes))
+    return written_base.map(lambda _: _describe_update(in_force.ok, update))
 
 
 def _describe_update(in_force: Revision, update: Update) -> Answer:
     lines = [f"the folder is based on revision {in_force.revision}"]
     for name, text in update.files.items():
         lines.append(f"  {'removed' if text is None else 'written'}: {name}")
-    lines += [f"  your edit stays: {name}" for name in update.edited]
+    lines += [f"  edit kept: {name}" for name in update.edited]
     value = {
         "revision": in_force.revision,
         "written": sorted(update.files),
         "edited": update.edited,
-        "raced": update.raced,
+        "raced": update.conflicts,
     }
     warnings = tuple(
-        f"{name}: edited here and changed by another operator; your text stays"
-        for name in update.raced
+        f"{name}: also changed by another operator; your edit is kept"
+        for name in update.conflicts
     )
-    code = const.EXIT_RACED if update.raced else const.EXIT_FINE
+    code = const.EXIT_CONFLICT if update.conflicts else const.EXIT_OK
     return Answer(value, tuple(lines), warnings, code)
--- a/radishtally/command/fleet.py
+++ b/radishtally/command/fleet.py
@@ -1,4 +1,4 @@
-"""Look at the fleet, drain hosts, and ask why."""
+"""Commands on the fleet's status, drains, the audit trail and explanations."""
 
 from typing import Any
 
@@ -39,7 +39,7 @@
 def drain(
     client: Client, host: str, drained: bool, cause: str
 ) -> Result[Answer, Failure]:
-    """Drain a host or take the drain back."""
+    """Drain a host or end its drain."""
     path = join_path("hosts", host, "drain")
     done = client.post(Drained, path, {"drained": drained, "cause": cause})
     text = "gets no new work" if drained else "may get work again"
@@ -49,23 +49,23 @@
 def read_audit(
     client: Client, subject: str | None, limit: int
 ) -> Result[Answer, Failure]:
-    """List the latest changes of every kind."""
+    """List the most recent entries of the audit trail."""
     query = (
         {"limit": limit} if subject is None else {"limit": limit, "subject": subject}
     )
     read = client.get(list[AuditRecord], "/audit", query)
-    return read.map(lambda trail: Answer(trail, tuple(_format_audit(trail))))
+    return read.map(lambda entries: Answer(entries, tuple(_format_audit(entries))))
 
 
 def explain_request(client: Client, request: str) -> Result[Answer, Failure]:
-    """Tell the steps of a request, from whichever entry took it."""
+    """List the steps of a request, from the entry that received it."""
     path = join_path("explain", "request", request)
     read = client.get(RequestSteps, path, everywhere=True)
     return read.map(lambda found: Answer(found, tuple(_format_steps(found["steps"]))))
 
 
 def explain(client: Client, kind: str, name: str) -> Result[Answer, Failure]:
-    """Tell why a host or a place is used as it is."""
+    """Show why a host or a place is used as it is."""
     read = client.get(dict[str, Any], join_path("explain", kind, name))
     return read.map(lambda found: Answer(found, tuple(format_pairs(found))))
 
@@ -100,7 +100,7 @@
     )
 
 
-def _format_audit(trail: list[AuditRecord]) -> list[str]:
+def _format_audit(entries: list[AuditRecord]) -> list[str]:
     rows = [
         (
             format_time(one["at_ms"] / 1000),
@@ -109,7 +109,7 @@
             one["subject"],
             one["cause"],
         )
-        for one in trail
+        for one in entries
     ]
     return format_table(("WHEN", "WHO", "WHAT", "SUBJECT", "CAUSE"), rows)
 
--- a/radishtally/command/replies.py
+++ b/radishtally/command/replies.py
@@ -1,16 +1,16 @@
-"""Shapes of the entries' answers, so far as the tool reads them."""
+"""Types of the entries' answers, limited to the fields that the tool reads."""
 
 from typing import NotRequired, TypedDict
 
 
 class Lease(TypedDict):
-    """Tell whether the entry plans for a place."""
+    """Describe whether the entry holds a place's planner lease."""
 
     holds_lease: bool
 
 
 class AuditState(TypedDict):
-    """Tell how the entry's audit entries fare."""
+    """Count the entry's buffered and dropped audit entries."""
 
     waiting: int
     dropped: int
@@ -44,7 +44,7 @@
     hosts: dict[str, HostStatus]
 
 
-class InForce(TypedDict):
+class ConfigurationInForce(TypedDict):
     """Hold the configuration in force."""
 
     revision: int
@@ -52,7 +52,7 @@
 
 
 class FileRecord(TypedDict):
-    """Describe a file's last change."""
+    """Describe a file and its last change."""
 
     sha256: str
     author: str
@@ -77,20 +77,20 @@
 
 
 class Accepted(TypedDict):
-    """Tell the revision that a change made."""
+    """Describe an accepted change."""
 
     revision: int
 
 
 class Confirmed(TypedDict):
-    """Tell who has not confirmed a revision."""
+    """List the hosts that have not confirmed a revision."""
 
     behind: list[str]
     seconds: float
 
 
 class Drained(TypedDict):
-    """Tell what became of a drain."""
+    """Describe the result of a drain or undrain."""
 
     host: str
     drained: bool
@@ -114,6 +114,6 @@
 
 
 class RequestSteps(TypedDict):
-    """Tell the steps of a request."""
+    """List the steps of a request."""
 
     steps: list[Step]
--- a/radishtally/command/tables.py
+++ b/radishtally/command/tables.py
@@ -1,33 +1,33 @@
-"""Format what people read on a terminal."""
+"""Format tables and values for a terminal."""
 
 import time
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Final
 
-GAP: Final = "  "
+COLUMN_GAP: Final = "  "
 
 
 def format_table(titles: Sequence[str], rows: Iterable[Sequence[Any]]) -> list[str]:
-    """Line columns up below their titles."""
+    """Format rows as aligned columns below their titles."""
     texts = [list(titles), *([_format_cell(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
     return [_format_row(row, widths) for row in texts]
 
 
 def format_pairs(pairs: Mapping[str, Any], indent: str = "") -> list[str]:
-    """Write a tree of names and values, one a line."""
+    """Format nested names and values, one per line."""
     lines = []
     for name, value in pairs.items():
         if isinstance(value, dict) and value:
             lines.append(f"{indent}{name}:")
-            lines += format_pairs(value, indent + GAP)
+            lines += format_pairs(value, indent + COLUMN_GAP)
             continue
         lines.append(f"{indent}{name}: {_format_cell(value)}")
     return lines
 
 
 def format_time(seconds: float) -> str:
-    """Write a wall clock time in UTC."""
+    """Format a wall-clock time in UTC."""
     return time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(seconds))
 
 
@@ -45,4 +45,4 @@
 
 def _format_row(cells: Sequence[str], widths: Sequence[int]) -> str:
     padded = [cell.ljust(width) for cell, width in zip(cells, widths, strict=True)]
-    return GAP.join(padded).rstrip()
+    return COLUMN_GAP.join(padded).rstrip()
