--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -16,7 +16,7 @@
 from radishtally.agent.core import handle_event as handle_agent_event
 from radishtally.configuration.core import merge_files
 from radishtally.entry.callers import Directory
-from radishtally.entry.explain import Steps
+from radishtally.entry.explain import RequestSteps
 from radishtally.links.messages import Cancel, Offer
 from radishtally.serving import events
 from radishtally.serving.core import DispatchCore, handle_event
@@ -51,14 +51,14 @@
     """Build an entry's open requests, each with half an answer of 229 tokens."""
     core = DispatchCore("entry-1", "place-0", random.Random(1))
     add_host(core, "host-1", "place-0", "pool-0")
-    steps, replies = Steps(), Replies()
+    steps, replies = RequestSteps(), Replies()
     for number in range(count):
         name = f"{number:032}"
         body = bytes(bytearray(4_000))
         work = make_work(name, "pool-0")._replace(body=body)
         for command in handle_event(events.Arrived(work, 30.0, True), core, 0.0):
             if isinstance(command, events.RecordStep):
-                steps.note(name, command.text)
+                steps.record(name, command.text)
         replies.open(name)
         core.requests[name].received += ANSWER[: len(ANSWER) // 2]
     return core, steps, replies
@@ -66,11 +66,11 @@
 
 def build_steps(count: int) -> object:
     """Build the remembered steps of ended requests."""
-    steps = Steps()
+    steps = RequestSteps()
     for number in range(count):
         for step in range(4):
             text = f"attempt {step} accepted by host-{number}"
-            steps.note(f"{number:032}", text)
+            steps.record(f"{number:032}", text)
     return steps
 
 
--- a/radishtally/entry/core.py
+++ b/radishtally/entry/core.py
@@ -5,7 +5,7 @@
 from radishtally.authority.plan_store import PlanStore
 from radishtally.configuration.store import ConfigurationStore
 from radishtally.entry.callers import Directory
-from radishtally.entry.explain import Steps
+from radishtally.entry.explain import RequestSteps
 from radishtally.entry.members import Members
 from radishtally.entry.places import PlanningBoard
 from radishtally.process import Process
@@ -30,7 +30,7 @@
     configurations: ConfigurationStore
     plans: PlanStore
     planning: PlanningBoard
-    steps: Steps
+    steps: RequestSteps
     watcher: HeadReader
 
     @property
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -24,7 +24,7 @@
 from radishtally.claims.store import ClaimStore
 from radishtally.configuration.store import ConfigurationStore
 from radishtally.entry.callers import Directory, TokenRatio
-from radishtally.entry.explain import Steps
+from radishtally.entry.explain import RequestSteps
 from radishtally.entry.http import make_app
 from radishtally.entry.members import Members
 from radishtally.entry.operators import add_operator_routes
@@ -56,7 +56,7 @@
         self.process.on_configuration = self._configure
         self.directory: Directory | None = None
         self.ratio = TokenRatio()
-        self.steps = Steps()
+        self.steps = RequestSteps()
         self.replies = Replies()
         self.core = DispatchCore(settings.host, settings.place, random.Random())
         self.waker = Waker(lambda: self.handle(events.Tick()))
@@ -153,7 +153,7 @@
         queue = self.replies.open(work.request)
         self.process.metrics.incr("requests")
         log_message("request:arrived", request=work.request, team=work.team)
-        self.steps.note(work.request, f"arrived from team {work.team}")
+        self.steps.record(work.request, f"arrived from team {work.team}")
         self.handle(events.Arrived(work, now + timeout, streamed))
         return queue
 
@@ -164,7 +164,7 @@
         self.process.metrics.timing("answer", seconds * 1000)
         log_message("request:closed", request=request, seconds=round(seconds, 4))
         if not done:
-            self.steps.note(request, "the caller closed its connection")
+            self.steps.record(request, "the caller closed its connection")
             self.handle(events.CallerGone(request))
 
     def handle(self, event: events.Event) -> None:
@@ -203,13 +203,13 @@
 
     @_execute.register
     def _(self, command: events.Finish) -> None:
-        self.steps.note(command.request, "answered whole")
+        self.steps.record(command.request, "answered whole")
         self.process.metrics.incr("answered")
         self.replies.put(command)
 
     @_execute.register
     def _(self, command: events.End) -> None:
-        self.steps.note(command.request, "answered whole")
+        self.steps.record(command.request, "answered whole")
         self.process.metrics.incr("answered")
         self.replies.put(command)
 
@@ -222,13 +222,15 @@
             code=refusal.code,
             ran=refusal.ran,
         )
-        self.steps.note(command.request, f"refused: {refusal.code}, ran {refusal.ran}")
+        self.steps.record(
+            command.request, f"refused: {refusal.code}, ran {refusal.ran}"
+        )
         self.process.metrics.incr(f"refused.{refusal.code}")
         self.replies.put(command)
 
     @_execute.register
     def _(self, command: events.RecordStep) -> None:
-        self.steps.note(command.request, command.text)
+        self.steps.record(command.request, command.text)
 
     async def _claim(self, work: Work) -> None:
         outcome = await self._ask_claim(work)
--- a/radishtally/entry/explain.py
+++ b/radishtally/entry/explain.py
@@ -17,14 +17,14 @@
     text: str
 
 
-class Steps:
+class RequestSteps:
     """Keep the steps of the latest requests."""
 
     def __init__(self, clock: Callable[[], float] = time.time) -> None:
         self._clock = clock
         self._requests: OrderedDict[str, list[Step]] = OrderedDict()
 
-    def note(self, request: str, text: str) -> None:
+    def record(self, request: str, text: str) -> None:
         """Add a step."""
         steps = self._requests.setdefault(request, [])
         if len(steps) < MAX_STEPS:
