--- a/tests/entry/common.py
+++ b/tests/entry/common.py
@@ -36,7 +36,7 @@
             self.core.set_host(host, "howrah", POOL, True)
             self.link_up(host)
 
-    def give(self, event: events.Event) -> list[events.Command]:
+    def handle(self, event: events.Event) -> list[events.Command]:
         """Give an event; return the commands but the notes."""
         commands = [
             c
@@ -47,10 +47,12 @@
         return commands
 
     def link_up(self, host: str, incarnation: str = "1") -> list[events.Command]:
-        return self.give(events.LinkUp(Hello(host, "howrah", "agent", incarnation, 0)))
+        return self.handle(
+            events.LinkUp(Hello(host, "howrah", "agent", incarnation, 0))
+        )
 
     def receive(self, host: str, message: Message) -> list[events.Command]:
-        return self.give(events.Received(host, message))
+        return self.handle(events.Received(host, message))
 
     def pass_time(self, seconds: float) -> list[events.Command]:
         """Let time pass, with ticks where the core asks for them."""
@@ -58,14 +60,14 @@
         commands = []
         while self.core.next_wake() <= until:
             self.now = max(self.now, self.core.next_wake())
-            commands += self.give(events.Tick())
+            commands += self.handle(events.Tick())
         self.now = until
         return commands
 
     def open(
         self, work: Work, seconds: float = 30.0, streamed: bool = True
     ) -> list[events.Command]:
-        return self.give(events.Arrived(work, self.now + seconds, streamed))
+        return self.handle(events.Arrived(work, self.now + seconds, streamed))
 
     def wait_for_offer(self, seconds: float = 40.0) -> tuple[str, Offer]:
         """Let time pass until there is one more offer."""
@@ -93,14 +95,14 @@
             if isinstance(c, events.Send) and isinstance(c.message, kind)
         ]
 
-    def list_of(self, kind: type | tuple[type, ...]) -> list[events.Command]:
+    def list_commands(self, kind: type | tuple[type, ...]) -> list[events.Command]:
         return [c for c in self.log if isinstance(c, kind)]
 
     def list_refusals(self) -> list[events.Refuse | events.AbortAnswer]:
-        return self.list_of((events.Refuse, events.AbortAnswer))
+        return self.list_commands((events.Refuse, events.AbortAnswer))
 
     def list_ends(self) -> list[events.Finish | events.End]:
-        return self.list_of((events.Finish, events.End))
+        return self.list_commands((events.Finish, events.End))
 
     @property
     def refusal(self) -> Refusal:
@@ -112,7 +114,7 @@
     def answer(self) -> bytes:
         """Give the one whole answer as its caller has it."""
         (end,) = self.list_ends()
-        delivered = b"".join(part.data for part in self.list_of(events.Deliver))
+        delivered = b"".join(part.data for part in self.list_commands(events.Deliver))
         if isinstance(end, events.End):
             return delivered
         assert not delivered
--- a/tests/entry/test_calls.py
+++ b/tests/entry/test_calls.py
@@ -36,8 +36,8 @@
     """Hold a granted call that is offered."""
     made = Driver()
     made.open(KEYED, streamed=False)
-    assert made.list_of(Claim) and not made.list_offers()
-    made.give(Granted(KEYED))
+    assert made.list_commands(Claim) and not made.list_offers()
+    made.handle(Granted(KEYED))
     return made
 
 
@@ -46,7 +46,7 @@
     # remembers every attempt for long, knows nothing of this one and will refuse it
     # if it still comes: it surely did not run.
     host, _ = driver.find_offer()
-    driver.give(LinkDown(host))
+    driver.handle(LinkDown(host))
     driver.link_up(host)
     assert driver.list_sent(Attach) == [(host, Attach("r", 1, 0))]
     driver.receive(host, Lost("r", 1, Ran.NO, NOT_KNOWN, 0))
@@ -59,13 +59,13 @@
     # remember: the call may have run long ago, and "not known" proves nothing.
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
-    driver.give(LinkDown(host))
+    driver.handle(LinkDown(host))
     driver.now += const.NOT_RUN_TRUST_SECONDS
     driver.link_up(host)
     driver.receive(host, Lost("r", 1, Ran.NO, NOT_KNOWN, 0))
     assert driver.refusal.ran == Ran.UNKNOWN
     assert len(driver.list_offers()) == 1
-    assert not driver.list_of(Release)
+    assert not driver.list_commands(Release)
 
 
 def test_agents_remember_longer_than_entries_rely_on() -> None:
@@ -109,7 +109,7 @@
 def test_withdrawal_is_repeated_over_a_new_link(driver: Driver) -> None:
     host, _ = driver.find_offer()
     driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
-    driver.give(LinkDown(host))
+    driver.handle(LinkDown(host))
     driver.pass_time(const.CANCEL_TIMEOUT_SECONDS)
     assert not driver.list_refusals()
     driver.link_up(host)
@@ -123,16 +123,16 @@
     # new one knows nothing of what its predecessor began and can't speak for it.
     host, _ = driver.find_offer()
     driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
-    driver.give(LinkDown(host))
+    driver.handle(LinkDown(host))
     driver.link_up(host, "2")
     assert driver.refusal.ran == Ran.UNKNOWN
     assert len(driver.list_offers()) == 1
-    assert not driver.list_of(Release)
+    assert not driver.list_commands(Release)
 
 
 def test_restart_is_seen_on_a_host_that_was_forgotten(driver: Driver) -> None:
     host, _ = driver.find_offer()
-    driver.give(LinkDown(host))
+    driver.handle(LinkDown(host))
     driver.core.forget_host(host)
     driver.core.set_host(host, "howrah", "other", True)
     driver.link_up(host, "2")
@@ -146,15 +146,15 @@
     driver.open(KEYED, seconds=1.0)
     driver.pass_time(1.0)
     assert driver.refusal.ran == Ran.NO
-    assert not driver.list_of(Release)
-    assert driver.give(Granted(KEYED)) == [Release(KEYED)]
+    assert not driver.list_commands(Release)
+    assert driver.handle(Granted(KEYED)) == [Release(KEYED)]
 
 
 def test_claim_is_given_back_if_its_caller_has_gone() -> None:
     driver = Driver()
     driver.open(KEYED)
-    driver.give(CallerGone("r"))
-    assert driver.give(Granted(KEYED)) == [Release(KEYED)]
+    driver.handle(CallerGone("r"))
+    assert driver.handle(Granted(KEYED)) == [Release(KEYED)]
     assert not driver.core.requests
 
 
@@ -169,8 +169,8 @@
 def test_claim_decided_for_a_gone_caller_is_dropped(event: Denied | Repeated) -> None:
     driver = Driver()
     driver.open(KEYED)
-    driver.give(CallerGone("r"))
-    assert driver.give(event) == []
+    driver.handle(CallerGone("r"))
+    assert driver.handle(event) == []
     assert not driver.core.requests
 
 
@@ -179,13 +179,13 @@
     # gets the first answer: the entry goes on to wait for the outcome and keeps it.
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
-    driver.give(LinkDown(host))
+    driver.handle(LinkDown(host))
     driver.pass_time(const.CALL_RECONNECT_GRACE_SECONDS)
     assert driver.refusal.ran == Ran.UNKNOWN
     driver.link_up(host)
     driver.receive(host, make_chunk("r", 1, 0, b"sent"))
     driver.receive(host, make_finished("r", 1, b"sent"))
-    assert [s.body for s in driver.list_of(Settle)] == [b"sent"]
+    assert [s.body for s in driver.list_commands(Settle)] == [b"sent"]
     assert not driver.list_ends()
 
 
@@ -199,7 +199,7 @@
     assert (driver.refusal.status, driver.refusal.ran) == (504, Ran.UNKNOWN)
     driver.receive(host, Refused("r", 1, "late", 1.0))
     assert len(driver.list_offers()) == 1
-    assert driver.list_of(Release) == [Release(KEYED)]
+    assert driver.list_commands(Release) == [Release(KEYED)]
 
 
 def test_outcome_is_not_awaited_for_ever(driver: Driver) -> None:
@@ -208,7 +208,7 @@
     driver.pass_time(30.0 + const.OUTCOME_WAIT_SECONDS)
     assert not driver.core.requests
     assert driver.core.hosts[host].in_flight == 0
-    assert not driver.list_of(Release)
+    assert not driver.list_commands(Release)
 
 
 def test_lost_call_keeps_its_claim(driver: Driver) -> None:
@@ -217,7 +217,7 @@
     host, _ = driver.find_offer()
     driver.receive(host, Lost("r", 1, Ran.UNKNOWN, "reset", 0))
     assert (driver.refusal.status, driver.refusal.ran) == (502, Ran.UNKNOWN)
-    assert not driver.list_of(Release)
+    assert not driver.list_commands(Release)
     assert len(driver.list_offers()) == 1
 
 
@@ -226,7 +226,7 @@
     driver.receive(host, make_chunk("r", 1, 0, b"senX"))
     driver.receive(host, make_finished("r", 1, b"sent"))
     assert driver.refusal.ran == Ran.UNKNOWN
-    assert not driver.list_of(Release)
+    assert not driver.list_commands(Release)
 
 
 def test_reused_key_is_refused_and_not_run(driver: Driver) -> None:
@@ -251,6 +251,6 @@
     work: Work = make_call()
     driver.open(work)
     host, _ = driver.find_offer()
-    assert driver.give(CallerGone("r"))[0].message == Cancel("r", 1)
+    assert driver.handle(CallerGone("r"))[0].message == Cancel("r", 1)
     assert not driver.core.requests
     assert driver.core.hosts[host].in_flight == 0
--- a/tests/entry/test_leaving.py
+++ b/tests/entry/test_leaving.py
@@ -17,7 +17,7 @@
     host, offer = driver.find_offer()
     if is_taken:
         driver.receive(host, Accepted("r", offer.attempt, 0.0))
-    driver.give(events.Shutdown())
+    driver.handle(events.Shutdown())
     assert (driver.refusal.status, driver.refusal.ran) == (503, Ran.UNKNOWN)
     assert driver.list_sent(Cancel) == [(host, Cancel("r", offer.attempt))]
     assert not driver.core.requests
@@ -29,7 +29,7 @@
     host, offer = driver.find_offer()
     driver.core.requests["r"].hold_until = driver.now + 10.0
     driver.receive(host, Refused("r", offer.attempt, "full", 1.0))
-    driver.give(events.Shutdown())
+    driver.handle(events.Shutdown())
     assert (driver.refusal.status, driver.refusal.ran) == (503, Ran.NO)
     assert not driver.list_sent(Cancel)
 
@@ -37,6 +37,6 @@
 def test_answered_request_gets_no_second_answer() -> None:
     driver = Driver()
     driver.open(make_call())
-    driver.give(events.CallerGone("r"))
-    driver.give(events.Shutdown())
+    driver.handle(events.CallerGone("r"))
+    driver.handle(events.Shutdown())
     assert not driver.list_refusals()
--- a/tests/entry/test_retries.py
+++ b/tests/entry/test_retries.py
@@ -157,12 +157,12 @@
     driver.open(make_text())
     host, _ = driver.find_offer()
     driver.receive(host, make_chunk("r", 1, 0, b"ab"))
-    driver.give(LinkDown(host))
+    driver.handle(LinkDown(host))
     driver.link_up(host)
     driver.receive(host, make_chunk("r", 1, 0, b"ab"))
     driver.receive(host, make_chunk("r", 1, 1, b"bc"))
     assert driver.core.requests["r"].tokens == 3
-    assert b"".join(d.data for d in driver.list_of(Deliver)) == b"abc"
+    assert b"".join(d.data for d in driver.list_commands(Deliver)) == b"abc"
 
 
 def test_missing_part_is_asked_for_at_each_attempt() -> None:
@@ -197,7 +197,7 @@
     host, _ = driver.find_offer()
     end = Finished("r", 1, 0, 0xEF46DB3751D8E999, 400, "prompt too long", 0, 0)
     driver.receive(host, end)
-    (finish,) = driver.list_of(Finish)
+    (finish,) = driver.list_commands(Finish)
     assert (finish.end.status, finish.end.finish_reason) == (400, "prompt too long")
 
 
@@ -230,7 +230,7 @@
     # The caller is told at once that nobody is in reach. An offer put on no link
     # would only be given up a second later, and then its outcome would be unclear.
     driver = Driver(hosts=1)
-    driver.give(LinkDown("agent-0"))
+    driver.handle(LinkDown("agent-0"))
     driver.open(make_text())
     assert (driver.refusal.status, driver.refusal.ran) == (503, Ran.NO)
     assert not driver.list_offers()
@@ -249,7 +249,7 @@
     # nothing of it and is the only host: the host has refused nothing.
     driver = Driver(hosts=1)
     driver.open(make_text())
-    driver.give(LinkDown("agent-0"))
+    driver.handle(LinkDown("agent-0"))
     driver.link_up("agent-0")
     driver.receive("agent-0", Lost("r", 1, Ran.NO, NOT_KNOWN, 0))
     _, offer = driver.find_offer()
--- a/tests/serving/test_stream_delivery.py
+++ b/tests/serving/test_stream_delivery.py
@@ -61,7 +61,7 @@
     driver.receive(host, Chunk("r", 1, 0, b"data: x\n\n", 0))
     driver.receive(host, Lost("r", 1, Ran.UNKNOWN, "reset", 0))
     assert len(driver.list_offers()) == 1
-    assert driver.list_of(events.AbortAnswer)
+    assert driver.list_commands(events.AbortAnswer)
 
 
 class StreamDelivery(RuleBasedStateMachine):
@@ -140,12 +140,12 @@
 
     @rule()
     def leave(self) -> None:
-        self.driver.give(events.Shutdown())
+        self.driver.handle(events.Shutdown())
 
     @invariant()
     def caller_gets_one_consistent_answer(self) -> None:
         """Check the order and the content of the replies to the caller."""
-        replies = self.driver.list_of(REPLIES)
+        replies = self.driver.list_commands(REPLIES)
         if not replies:
             return
         first, *rest = replies
@@ -167,7 +167,7 @@
     @invariant()
     def request_is_closed_by_its_final_reply(self) -> None:
         ends = (events.Refuse, events.Finish, events.AbortAnswer, events.End)
-        assert (self.request is None) == bool(self.driver.list_of(ends))
+        assert (self.request is None) == bool(self.driver.list_commands(ends))
 
 
 TestStreamDelivery = StreamDelivery.TestCase
