--- a/radishtally/entry/__init__.py
+++ b/radishtally/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Take callers' requests, route them, and stream their answers back."""
+"""Accept requests from callers, route them to hosts and stream the answers back."""
--- a/radishtally/entry/callers.py
+++ b/radishtally/entry/callers.py
@@ -1,4 +1,4 @@
-"""Check who asks for what, and make work of it."""
+"""Authenticate callers, check their requests and build work from them."""
 
 import fnmatch
 import hashlib
@@ -21,20 +21,20 @@
 from radishtally.outcome import Error, Ok, Refusal, Result
 from radishtally.routing.core import hash_prefix
 
-ATTR_KEY: Final = "idempotency-key"
-ATTR_TIMEOUT: Final = "x-request-timeout"
+HEADER_KEY: Final = "idempotency-key"
+HEADER_TIMEOUT: Final = "x-request-timeout"
 MAX_KEY_LENGTH: Final = 255
 MAX_TIMEOUT_SECONDS: Final = 3600.0
 PRIORITIES: Final = {"high": -1, "normal": 0, "low": 1}
 DOT_SEGMENTS: Final = frozenset({".", ".."})
-PASSED_ON: Final = frozenset({"content-type", "accept", "accept-language"})
-START_RATIO: Final = 0.25
-"""Tokens a character, until the engine has counted some."""
-RATIO_WEIGHT: Final = 0.05
+FORWARDED_HEADERS: Final = frozenset({"content-type", "accept", "accept-language"})
+INITIAL_TOKENS_PER_CHARACTER: Final = 0.25
+"""Estimate used for a model until an engine has reported a token count."""
+RATIO_SMOOTHING: Final = 0.05
 
 
 class Caller(NamedTuple):
-    """Name the team that a request comes from."""
+    """Identify the team that sent a request."""
 
     name: str
     team: Team
@@ -42,21 +42,24 @@
 
 @dataclass(slots=True)
 class TokenRatio:
-    """Learn from the engines' counts how many tokens a character makes."""
+    """Track the tokens per character of each model from the engines' counts."""
 
     by_model: dict[str, float] = field(default_factory=dict)
 
     def estimate(self, model: str, characters: int) -> int:
-        """Estimate the tokens of a text."""
-        return max(1, round(characters * self.by_model.get(model, START_RATIO)))
+        """Estimate the number of tokens in a text."""
+        return max(
+            1,
+            round(characters * self.by_model.get(model, INITIAL_TOKENS_PER_CHARACTER)),
+        )
 
-    def learn(self, model: str, characters: int, tokens: int) -> None:
-        """Take an engine's count."""
+    def record_count(self, model: str, characters: int, tokens: int) -> None:
+        """Update a model's moving average with an engine's token count."""
         if not characters or not tokens:
             return
         seen = tokens / characters
         known = self.by_model.get(model, seen)
-        self.by_model[model] = known + RATIO_WEIGHT * (seen - known)
+        self.by_model[model] = known + RATIO_SMOOTHING * (seen - known)
 
 
 class Directory:
@@ -76,18 +79,18 @@
         }
 
     def find_caller(self, headers: Mapping[str, str]) -> Result[Caller, Refusal]:
-        """Find the team whose key a request carries."""
+        """Find the team by the key in a request's headers."""
         caller = self._teams.get(hash_bearer(headers))
         if caller is None:
-            return Error(Refusal(401, "invalid_api_key", "the API key is not known"))
+            return Error(Refusal(401, "invalid_api_key", "the API key is unknown"))
         return Ok(caller)
 
     def find_operator(self, headers: Mapping[str, str]) -> str | None:
-        """Find the operator whose key a request carries."""
+        """Find the operator by the key in a request's headers."""
         return self._operators.get(hash_bearer(headers))
 
     def find_model(self, name: str) -> tuple[str, str, Model] | None:
-        """Find a model by its own name or an adapter's: model, adapter, description."""
+        """Find a model by its name or an adapter's; return model, adapter, settings."""
         models = self.configuration.models
         if name in models:
             return name, "", models[name]
@@ -104,57 +107,57 @@
         return None
 
     def find_service(self, name: str) -> Service | None:
-        """Find a plain service."""
+        """Find a plain service by its name."""
         found = self.configuration.upstreams.get(name)
         return found if isinstance(found, Service) else None
 
 
-class Envelope(NamedTuple):
-    """Hold what a request's headers say beside its body."""
+class RequestOptions(NamedTuple):
+    """Hold the idempotency key and the timeout given in a request's headers."""
 
     key: str
     timeout: float
 
 
 def hash_bearer(headers: Mapping[str, str]) -> str:
-    """Hash the key of the Authorization header, as the configuration keeps keys."""
+    """Hash the key of the Authorization header; the configuration stores hashes."""
     scheme, _, key = headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer":
         return ""
-    # Bytes that are no UTF-8 come as lone surrogates: they are just a wrong key.
+    # Bytes that are not UTF-8 arrive as lone surrogates; they make a wrong key.
     return hashlib.sha256(key.strip().encode(errors="surrogateescape")).hexdigest()
 
 
-def read_envelope(
+def read_options(
     headers: Mapping[str, str], default_timeout: float
-) -> Result[Envelope, Refusal]:
-    """Check the idempotency key and the deadline."""
-    key = headers.get(ATTR_KEY, "")
+) -> Result[RequestOptions, Refusal]:
+    """Read and validate the idempotency key and the timeout."""
+    key = headers.get(HEADER_KEY, "")
     if len(key) > MAX_KEY_LENGTH or not key.isprintable():
-        text = f"{ATTR_KEY}: expected at most {MAX_KEY_LENGTH} printable characters"
+        text = f"{HEADER_KEY}: expected at most {MAX_KEY_LENGTH} printable characters"
         return Error(Refusal(400, "invalid_request", text))
-    text = headers.get(ATTR_TIMEOUT, "")
+    text = headers.get(HEADER_TIMEOUT, "")
     if not text:
-        return Ok(Envelope(key, default_timeout))
+        return Ok(RequestOptions(key, default_timeout))
     try:
         timeout = float(text)
     except ValueError:
         timeout = 0.0
     if not 0 < timeout <= MAX_TIMEOUT_SECONDS:
-        text = f"{ATTR_TIMEOUT}: expected seconds up to {MAX_TIMEOUT_SECONDS:g}"
+        text = f"{HEADER_TIMEOUT}: expected seconds up to {MAX_TIMEOUT_SECONDS:g}"
         return Error(Refusal(400, "invalid_request", text))
-    return Ok(Envelope(key, timeout))
+    return Ok(RequestOptions(key, timeout))
 
 
-def make_generation(
+def make_generation_work(
     caller: Caller,
     generation: Generation,
     body: bytes,
-    envelope: Envelope,
+    options: RequestOptions,
     directory: Directory,
     ratio: TokenRatio,
 ) -> Result[Work, Refusal]:
-    """Make work of a request for generated text."""
+    """Build work from a request for generated text."""
     found = directory.find_model(generation.model)
     if found is None:
         text = f"the model {generation.model!r} does not exist"
@@ -167,12 +170,12 @@
     if not may_use(caller, upstream):
         return Error(refuse_upstream(upstream))
     prompt_tokens = ratio.estimate(model_name, len(generation.text))
-    # The estimate may be off: only what is surely too long is refused here, the
-    # rest is for the engine to say.
+    # The token count is an estimate, so only prompts of more than twice the limit
+    # are refused here. The engine checks the exact limit.
     if prompt_tokens > 2 * model.max_prompt_tokens:
         text = f"the prompt has about {prompt_tokens} tokens, over the model's limit"
         return Error(Refusal(400, "context_length_exceeded", text))
-    wanted = generation.max_tokens or DEFAULT_MAX_TOKENS
+    token_limit = generation.max_tokens or DEFAULT_MAX_TOKENS
     return Ok(
         Work(
             make_request_id(),
@@ -182,11 +185,11 @@
             body,
             model_name,
             adapter,
-            key=envelope.key,
+            key=options.key,
             priority=PRIORITIES[caller.team.priority],
             share=caller.team.share,
             prompt_tokens=prompt_tokens,
-            max_tokens=min(wanted, model.max_output_tokens),
+            max_tokens=min(token_limit, model.max_output_tokens),
             prefix=hash_prefix(generation.text),
         )
     )
@@ -199,10 +202,10 @@
     path: str,
     headers: Mapping[str, str],
     body: bytes,
-    envelope: Envelope,
+    options: RequestOptions,
     directory: Directory,
 ) -> Result[Work, Refusal]:
-    """Make work of a call of a plain service."""
+    """Build work from a call of a plain service."""
     service = directory.find_service(name)
     if service is None:
         text = f"the service {name!r} does not exist"
@@ -210,13 +213,15 @@
     if not may_use(caller, name):
         return Error(refuse_upstream(name))
     plain_path = unquote(path.partition("?")[0])
-    # Failure: `/slots/../reminders` matches a route of `/slots*`, but what goes out is
-    # `/reminders`. Symptom: a call that may not be repeated counts as idempotent and
-    # runs twice. Without dot segments the path matched is the path called.
+    # `/slots/../reminders` matches a route for `/slots*` but is sent as `/reminders`.
+    # A call that must not be repeated would then count as idempotent and could run
+    # twice. Without dot segments the path that is matched is the path that is sent.
     if not DOT_SEGMENTS.isdisjoint(plain_path.split("/")):
         text = "the path has a segment `.` or `..`"
         return Error(Refusal(400, "invalid_request", text))
-    passed = [(str(k), str(v)) for k, v in headers.items() if k.lower() in PASSED_ON]
+    passed = [
+        (str(k), str(v)) for k, v in headers.items() if k.lower() in FORWARDED_HEADERS
+    ]
     return Ok(
         Work(
             make_request_id(),
@@ -227,7 +232,7 @@
             method=method,
             path=path,
             headers=tuple(passed),
-            key=envelope.key,
+            key=options.key,
             idempotent=is_idempotent(service.routes, method, plain_path),
             priority=PRIORITIES[caller.team.priority],
             share=caller.team.share,
@@ -236,7 +241,10 @@
 
 
 def is_idempotent(routes: tuple[Route, ...], method: str, path: str) -> bool:
-    """Tell whether a call may be run again; one that no route names may not."""
+    """Return whether a call may be repeated.
+
+    Without a matching route only GET and HEAD may be repeated.
+    """
     for route in routes:
         if method in route.methods and fnmatch.fnmatchcase(path, route.path):
             return route.idempotent
@@ -244,15 +252,17 @@
 
 
 def may_use(caller: Caller, upstream: str) -> bool:
-    """Tell whether a team may use an upstream."""
+    """Return whether a team may use an upstream."""
     return not caller.team.upstreams or upstream in caller.team.upstreams
 
 
 def refuse_upstream(upstream: str) -> Refusal:
-    """Refuse a team an upstream that is not for it."""
-    return Refusal(403, "upstream_not_allowed", f"{upstream!r} is not for this team")
+    """Return the refusal for an upstream that the team may not use."""
+    return Refusal(
+        403, "upstream_not_allowed", f"{upstream!r} is not open to this team"
+    )
 
 
 def make_request_id() -> str:
-    """Make an id that no other process makes."""
+    """Return a random request id that is unique across processes."""
     return f"req-{secrets.token_hex(12)}"
--- a/radishtally/entry/core.py
+++ b/radishtally/entry/core.py
@@ -1,4 +1,4 @@
-"""Contract of what the parts of an entry read of it."""
+"""Define the interface of an entry that its operator routes and pollers use."""
 
 from typing import Protocol
 
@@ -6,33 +6,33 @@
 from radishtally.configuration.store import ConfigurationStore
 from radishtally.entry.callers import Directory
 from radishtally.entry.explain import RequestSteps
-from radishtally.entry.members import Members
-from radishtally.entry.places import PlanningBoard
+from radishtally.entry.members import MembershipDriver
+from radishtally.entry.places import PlacePlanners
 from radishtally.process import Process
 from radishtally.serving.core import DispatchCore
 from radishtally.settings.config import Settings
 
 
 class HeadReader(Protocol):
-    """Look at the configuration's head out of turn."""
+    """Read the configuration's head outside the regular polls."""
 
     async def read_head(self) -> None:
-        """Bring a newer configuration into force, if the table has one."""
+        """Apply the configuration in the table if it is newer."""
 
 
 class Entry(Protocol):
-    """Be what operators are told of and what the platform is watched for."""
+    """Provide the state of an entry to the operator routes and the watcher."""
 
     settings: Settings
     process: Process
-    members: Members
+    members: MembershipDriver
     core: DispatchCore
     configurations: ConfigurationStore
     plans: PlanStore
-    planning: PlanningBoard
+    planning: PlacePlanners
     steps: RequestSteps
     watcher: HeadReader
 
     @property
     def directory(self) -> Directory | None:
-        """Give who may call, once a configuration is in force."""
+        """Return the directory of callers; None until a configuration is in force."""
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -1,4 +1,4 @@
-"""Run the entry's core: turn callers and links into events, commands into calls."""
+"""Run an entry: feed requests and link events to its core, execute its commands."""
 
 import asyncio
 import hashlib
@@ -26,10 +26,10 @@
 from radishtally.entry.callers import Directory, TokenRatio
 from radishtally.entry.explain import RequestSteps
 from radishtally.entry.http import make_app
-from radishtally.entry.members import Members
+from radishtally.entry.members import MembershipDriver
 from radishtally.entry.operators import add_operator_routes
-from radishtally.entry.places import PlanningBoard
-from radishtally.entry.planning import Parts
+from radishtally.entry.places import PlacePlanners
+from radishtally.entry.planning import PlannerDependencies
 from radishtally.entry.watch import Watcher
 from radishtally.limits.retries import RetryBudgets
 from radishtally.links.hub import LinkCallbacks
@@ -44,11 +44,11 @@
 from radishtally.serving.replies import Replies, Reply
 from radishtally.settings.config import Settings
 
-LEAVE_POLL_SECONDS: Final = 0.02
+SHUTDOWN_POLL_SECONDS: Final = 0.02
 
 
 class EntryDaemon:
-    """Hold one entry's parts together."""
+    """Run the HTTP server, core, planners and links of one entry."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -63,7 +63,7 @@
         hub = self.process.make_hub(
             LinkCallbacks(self._link_up, self._link_down, self._receive, self._is_busy)
         )
-        self.members = Members(settings, hub, self.core)
+        self.members = MembershipDriver(settings, hub, self.core)
         self.configurations = ConfigurationStore(
             self.process.table, self.process.objects, merge=self.process.keeper.merge
         )
@@ -72,8 +72,8 @@
         self.plans = PlanStore(
             self.process.table, settings.host, self.process.write_ids
         )
-        self.planning = PlanningBoard(
-            Parts(
+        self.planning = PlacePlanners(
+            PlannerDependencies(
                 settings.host,
                 self.process.write_ids,
                 self.process.table,
@@ -89,7 +89,7 @@
         self._closed = False
 
     async def run(self) -> None:
-        """Serve until a planned stop."""
+        """Serve until the process is asked to stop, then shut down."""
         self.process.install_handlers()
         await self.process.hub.start(self.settings.address)
         self.process.audit.start()
@@ -100,7 +100,7 @@
         await self.process.stopping.wait()
         await self.planning.stop()
         if not self.process.broken:
-            await self._leave(server)
+            await self._shut_down(server)
         self.waker.stop()
         await self.watcher.stop()
         await self.claims.stop()
@@ -109,9 +109,9 @@
     async def _serve_http(self) -> AsyncioServer:
         app = make_app(self, self.settings.host, self.settings.caller_seconds)
         add_operator_routes(app, self)
-        app.register_middleware(self._end_keep_alive, "response")
-        # sanic's own runner would start further processes; its server alone runs on
-        # our loop.
+        app.register_middleware(self._disable_keep_alive, "response")
+        # sanic's runner would start more processes, so only its server is used, on the
+        # running event loop.
         ip, port = self.settings.http_address.rsplit(":", 1)
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -121,33 +121,33 @@
         await server.start_serving()
         return server
 
-    def _end_keep_alive(self, request: Request, response: HTTPResponse) -> None:
-        """Tell callers of a stopping entry to bring their next request elsewhere."""
+    def _disable_keep_alive(self, request: Request, response: HTTPResponse) -> None:
+        """Close the connection after the response if this entry is stopping."""
         if self.process.stopping.is_set():
             request.stream.keep_alive = False
 
-    async def _leave(self, server: AsyncioServer) -> None:
-        """Leave in good order: red to the balancer, then closed, then out."""
+    async def _shut_down(self, server: AsyncioServer) -> None:
+        """Report not ready, then refuse new requests, then wait for open ones."""
         log_message("entry:leaving", open=len(self.replies))
         await asyncio.sleep(self.settings.ready_delay)
         self._closed = True
         server.close()
         until = time.monotonic() + self.settings.stop_seconds
-        while _close_idle(server) and time.monotonic() < until:
-            await asyncio.sleep(LEAVE_POLL_SECONDS)
+        while _close_idle_connections(server) and time.monotonic() < until:
+            await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
         if server.connections:
             log_message("entry:stopped_with_work", open=len(self.replies))
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send requests here."""
+        """Return whether the load balancer should send requests here."""
         return self.directory is not None and not self.process.stopping.is_set()
 
     def is_closed(self) -> bool:
-        """Tell whether new requests are refused, as the process stops."""
+        """Return whether new requests are refused because the process is stopping."""
         return self._closed
 
     def open(self, work: Work, timeout: float, streamed: bool) -> asyncio.Queue[Reply]:
-        """Bring a request in."""
+        """Dispatch a request and return the queue of its replies."""
         now = time.monotonic()
         self._started[work.request] = now
         queue = self.replies.open(work.request)
@@ -158,7 +158,7 @@
         return queue
 
     def close(self, request: str, done: bool) -> None:
-        """Say that the caller has its answer, or is gone."""
+        """End a request: its caller has the answer or has disconnected."""
         self.replies.close(request)
         seconds = time.monotonic() - self._started.pop(request, time.monotonic())
         self.process.metrics.timing("answer", seconds * 1000)
@@ -168,7 +168,7 @@
             self.handle(events.CallerGone(request))
 
     def handle(self, event: events.Event) -> None:
-        """Give the core an event and carry out its commands."""
+        """Pass an event to the core and execute its commands."""
         with self.process.guard():
             for command in handle_event(event, self.core, time.monotonic()):
                 self._execute(command)
@@ -176,7 +176,7 @@
 
     @singledispatchmethod
     def _execute(self, command: events.Command) -> None:
-        raise TypeError(f"no way to carry out {type(command)}")
+        raise TypeError(f"no handler for a command of type {type(command)}")
 
     @_execute.register
     def _(self, command: events.Send) -> None:
@@ -233,18 +233,18 @@
         self.steps.record(command.request, command.text)
 
     async def _claim(self, work: Work) -> None:
-        outcome = await self._ask_claim(work)
+        outcome = await self._request_claim(work)
         for wait in const.OUTCOME_POLL_DELAYS:
-            # The first call may still run, or its outcome may be on its way to the
-            # table: a repeat that came right behind it would be told "unknown" just
-            # before the answer is there.
+            # The first call may still be running, or its outcome is being written to
+            # the table. Polling avoids an "unknown" for a repeat that arrives just
+            # before the outcome does.
             if not isinstance(outcome, UnknownOutcome):
                 break
             await asyncio.sleep(wait)
-            outcome = await self._ask_claim(work)
-        self.handle(_read_claim(outcome, work))
+            outcome = await self._request_claim(work)
+        self.handle(_convert_claim_outcome(outcome, work))
 
-    async def _ask_claim(self, work: Work) -> ClaimOutcome:
+    async def _request_claim(self, work: Work) -> ClaimOutcome:
         digest = hash_call(work)
         return await self.claims.claim(work.team, work.key, work.request, digest)
 
@@ -268,26 +268,26 @@
         self.handle(events.LinkDown(host))
 
     def _receive(self, host: str, message: Message) -> None:
-        self.members.heard(host)
+        self.members.record_traffic(host)
         if self.process.handle_common_message(host, message):
             return
         if isinstance(message, Leaving):
-            self.members.left(host, message.reason)
+            self.members.record_leave(host, message.reason)
             return
         if isinstance(message, Load) and host in self.core.hosts:
             known = self.core.hosts[host]
-            self.planning.report(known.upstream, known.place, message)
+            self.planning.record_load(known.upstream, known.place, message)
         self.handle(events.Received(host, message))
 
     def _is_busy(self, host: str) -> bool:
         return self.core.is_busy(host)
 
 
-def _close_idle(server: AsyncioServer) -> bool:
-    """Close connections that carry no request; tell whether others are left.
+def _close_idle_connections(server: AsyncioServer) -> bool:
+    """Close idle connections and return whether any others are left.
 
-    An answer is out only when its connection has sent it: counting the requests alone
-    would end the process between an answer's making and its last byte.
+    Connections are counted instead of requests because a request can be closed before
+    the last byte of its answer is sent. The process must not end in between.
     """
     for connection in list(server.connections):
         connection.close_if_idle()
@@ -295,14 +295,17 @@
 
 
 def hash_call(work: Work) -> str:
-    """Hash what a repeat of an idempotency key must have in common."""
+    """Hash the method, upstream, path and body of a call.
+
+    A repeat under the same idempotency key must have the same hash.
+    """
     digest = hashlib.sha256(f"{work.method}\0{work.upstream}\0{work.path}\0".encode())
     digest.update(work.body)
     return digest.hexdigest()
 
 
-def _read_claim(outcome: ClaimOutcome, work: Work) -> events.Event:
-    """Say what the outcome of a claim means for its request."""
+def _convert_claim_outcome(outcome: ClaimOutcome, work: Work) -> events.Event:
+    """Convert the outcome of a claim to the core's event for its request."""
     request = work.request
     match outcome:
         case Granted():
@@ -312,16 +315,16 @@
                 request, answer.status, tuple(map(tuple, answer.headers)), answer.body
             )
         case Repeated():
-            text = "the call ran before; its answer was too large to be kept"
+            text = "the call has run before; its answer was too large to store"
             refusal = Refusal(409, const.CODE_OUTCOME_UNKNOWN, text, Ran.UNKNOWN)
         case UnknownOutcome():
-            text = "a call with this key was begun before; its outcome is not known"
+            text = "an earlier call with this key was started; its outcome is unknown"
             refusal = Refusal(409, const.CODE_OUTCOME_UNKNOWN, text, Ran.UNKNOWN)
         case KeyReused():
             text = "the idempotency key was used with another request"
             refusal = Refusal(422, const.CODE_KEY_REUSED, text)
         case StoreAway():
-            text = "the call can't be made safe while the store is away"
+            text = "the idempotency key can't be claimed: the store is unavailable"
             refusal = Refusal(
                 503, const.CODE_STORE_UNAVAILABLE, text, Ran.NO, const.STORE_RETRY_AFTER
             )
--- a/radishtally/entry/faults.py
+++ b/radishtally/entry/error_responses.py
@@ -1,4 +1,4 @@
-"""Tell operators what went wrong with what they asked for."""
+"""Turn errors into HTTP responses for operators."""
 
 from functools import singledispatch
 from typing import Any
@@ -12,13 +12,13 @@
 
 
 def respond_error(status: int, message: str, **more: Any) -> HTTPResponse:
-    """Answer with an error."""
+    """Return an error response in JSON."""
     return respond_json({"error": {"message": message, **more}}, status)
 
 
 @singledispatch
 def respond_fault(error: object) -> HTTPResponse:
-    """Answer with what a fault means to the operator."""
+    """Return the error response for a fault, by its type."""
     return respond_error(500, str(error))
 
 
--- a/radishtally/entry/explain.py
+++ b/radishtally/entry/explain.py
@@ -1,4 +1,4 @@
-"""Remember the steps of recent requests, to explain what became of them."""
+"""Record the steps of recent requests for the explain command."""
 
 import time
 from collections import OrderedDict
@@ -10,22 +10,22 @@
 
 
 class Step(NamedTuple):
-    """Hold one step of a request."""
+    """Describe one step of a request."""
 
     at: float
-    """Wall clock, seconds since 1970; for people, nothing decides by it."""
+    """Wall clock in seconds since 1970; for display only."""
     text: str
 
 
 class RequestSteps:
-    """Keep the steps of the latest requests."""
+    """Keep the steps of the most recent requests, up to a bound."""
 
     def __init__(self, clock: Callable[[], float] = time.time) -> None:
         self._clock = clock
         self._requests: OrderedDict[str, list[Step]] = OrderedDict()
 
     def record(self, request: str, text: str) -> None:
-        """Add a step."""
+        """Record a step and evict the oldest request if there are too many."""
         steps = self._requests.setdefault(request, [])
         if len(steps) < MAX_STEPS:
             steps.append(Step(self._clock(), text))
@@ -33,5 +33,5 @@
             self._requests.popitem(last=False)
 
     def read(self, request: str) -> list[Step]:
-        """Give a request's steps, none if it is not remembered."""
+        """Return the steps of a request; an empty list if it is not known."""
         return list(self._requests.get(request, ()))
--- a/radishtally/entry/reports.py
+++ b/radishtally/entry/host_descriptions.py
@@ -1,4 +1,4 @@
-"""Describe hosts to operators, as this entry sees them."""
+"""Describe hosts for operators, in this entry's view."""
 
 import time
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 def describe_host(entry: Entry, host: str, now: float) -> dict[str, Any]:
-    """Tell what the membership and the keeper know of a host."""
+    """Return the place, upstream, state, revision and load of a host."""
     member = entry.members.membership.members[host]
     keeper = entry.process.keeper
     own = host == entry.settings.host
@@ -23,15 +23,15 @@
 
 
 def find_state(entry: Entry, host: str, now: float) -> str:
-    """Tell a host's state."""
-    # An entry keeps no link to itself, so its membership can't tell.
+    """Return the membership state of a host."""
+    # An entry has no link to itself, so the membership doesn't track its own state.
     if host == entry.settings.host:
         return LEAVING if entry.process.stopping.is_set() else LIVE
     return entry.members.membership.members[host].find_state(now)
 
 
 def describe_load(entry: Entry, host: str) -> dict[str, Any]:
-    """Tell the load that a host last reported."""
+    """Return the last load report of a host; empty if there is none."""
     known = entry.core.hosts.get(host)
     if known is None or known.load is None:
         return {}
@@ -52,7 +52,7 @@
 
 
 def gets_new_work(known: KnownHost | None, now: float) -> bool:
-    """Tell whether new work is offered to a host now."""
+    """Return whether new work is offered to a host now."""
     if known is None or not known.is_usable(now):
         return False
     return known.load is not None and not known.load.draining
--- a/radishtally/entry/http.py
+++ b/radishtally/entry/http.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP."""
+"""Serve the HTTP API for callers."""
 
 import asyncio
 import math
@@ -17,14 +17,14 @@
     MAX_TIMEOUT_SECONDS,
     Caller,
     Directory,
-    Envelope,
+    RequestOptions,
     TokenRatio,
     make_call,
-    make_generation,
-    read_envelope,
+    make_generation_work,
+    read_options,
 )
 from radishtally.entry.openai import (
-    Answer,
+    AnswerMetadata,
     Generation,
     format_end,
     format_event,
@@ -40,7 +40,7 @@
 
 MAX_REQUEST_BYTES: Final = 16 * 1024 * 1024
 MAX_HEADER_BYTES: Final = 16 * 1024
-CALLER_SECONDS: Final = 20.0
+CALLER_TIMEOUT_SECONDS: Final = 20.0
 KEEP_ALIVE_SECONDS: Final = 75
 SERVICE_METHODS: Final = ("GET", "POST", "PUT", "PATCH", "DELETE")
 CODE_INTERNAL: Final = "internal_error"
@@ -52,49 +52,52 @@
 )
 
 
-Learn = Callable[[Finished], None]
-"""Take from a whole answer what it tells of its prompt's tokens."""
+RecordTokenCount = Callable[[Finished], None]
+"""Record the token count of a prompt from its complete answer."""
 
 
-class Front(Protocol):
-    """Be what the HTTP side needs of the entry."""
+class Backend(Protocol):
+    """Provide the functions of the entry that the HTTP server uses."""
 
     directory: Directory | None
     ratio: TokenRatio
 
     def open(self, work: Work, timeout: float, streamed: bool) -> asyncio.Queue[Reply]:
-        """Bring a request in."""
+        """Dispatch a request and return the queue of its replies."""
 
     def close(self, request: str, done: bool) -> None:
-        """Say that its caller has its answer, or is gone."""
+        """End a request: its caller has the answer or has disconnected."""
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send requests here."""
+        """Return whether the load balancer should send requests here."""
 
     def is_closed(self) -> bool:
-        """Tell whether new requests are refused, as the process stops."""
+        """Return whether new requests are refused because the process is stopping."""
 
 
 class BoundedRequest(Request):
-    """Bound the time in which a caller sends the body of its request."""
+    """Limit the time that a caller may take to send the body of its request."""
 
     async def receive_body(self) -> None:
-        """Receive the whole body, or refuse the request."""
-        # Failure: a caller sends its body a few bytes at a time, or stops. Symptom:
-        # sanic bounds the silence before a request, not within a body, so connections
-        # and memory are held for an hour. One bound on the whole body ends it.
+        """Receive the whole body or refuse the request."""
+        # sanic limits the idle time before a request but not within a body. A caller
+        # that sends its body in tiny pieces or stops would hold its connection and
+        # memory for an hour, so one timeout covers the whole body.
         try:
             async with asyncio.timeout(self.app.config.CALLER_SECONDS):
                 await super().receive_body()
         except TimeoutError:
-            # The rest would be waited for once more before the connection is closed.
+            # Otherwise sanic waits for the rest once more before it closes the
+            # connection.
             self.stream.request_body = None
             self.stream.keep_alive = False
             raise RequestTimeout("the request's body did not arrive in time") from None
 
 
-def make_app(front: Front, host: str, caller_seconds: float = CALLER_SECONDS) -> Sanic:
-    """Make the application that callers reach."""
+def make_app(
+    backend: Backend, host: str, caller_seconds: float = CALLER_TIMEOUT_SECONDS
+) -> Sanic:
+    """Create the sanic application with the callers' routes."""
     app = Sanic(
         f"radishtally-{host}",
         configure_logging=False,
@@ -110,9 +113,9 @@
     app.config.GRACEFUL_SHUTDOWN_TIMEOUT = 1.0
     app.config.ACCESS_LOG = False
     app.config.FALLBACK_ERROR_FORMAT = "json"
-    app.ctx.front = front
-    app.error_handler.add(SanicException, _answer_bad_http)
-    app.error_handler.add(Exception, _answer_broken)
+    app.ctx.backend = backend
+    app.error_handler.add(SanicException, _respond_sanic_error)
+    app.error_handler.add(Exception, _respond_internal_error)
     app.add_route(_live, "/healthz")
     app.add_route(_ready, "/readyz")
     app.add_route(_models, "/v1/models")
@@ -126,7 +129,7 @@
 
 
 def respond_refusal(refusal: Refusal) -> HTTPResponse:
-    """Answer with a refusal."""
+    """Return the response for a refusal."""
     headers = {"X-Ran": refusal.ran}
     if refusal.retry_after is not None:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry_after)))
@@ -136,7 +139,7 @@
 def respond_json(
     value: object, status: int = 200, headers: dict[str, str] | None = None
 ) -> HTTPResponse:
-    """Answer with JSON."""
+    """Return a JSON response."""
     return raw(
         msgspec.json.encode(value),
         status=status,
@@ -145,19 +148,19 @@
     )
 
 
-async def _answer_bad_http(request: Request, error: SanicException) -> HTTPResponse:
+async def _respond_sanic_error(request: Request, error: SanicException) -> HTTPResponse:
     status = error.status_code or 500
     if status < 500:
         return respond_refusal(Refusal(status, "invalid_request", str(error)))
     return respond_refusal(Refusal(status, CODE_INTERNAL, str(error), Ran.UNKNOWN))
 
 
-async def _answer_broken(request: Request, error: Exception) -> HTTPResponse:
-    # The error's text may hold what the caller sent, so it stays out of the log.
+async def _respond_internal_error(request: Request, error: Exception) -> HTTPResponse:
+    # The error's text may contain the caller's data, so it is not logged.
     where = traceback.extract_tb(error.__traceback__)[-1]
     kind = type(error).__name__
     log_message("http:broken", error=kind, file=where.filename, line=where.lineno)
-    text = "the entry failed in an unforeseen way"
+    text = "the entry failed with an internal error"
     return respond_refusal(Refusal(500, CODE_INTERNAL, text, Ran.UNKNOWN))
 
 
@@ -166,32 +169,32 @@
 
 
 async def _ready(request: Request) -> HTTPResponse:
-    ready = request.app.ctx.front.is_ready()
+    ready = request.app.ctx.backend.is_ready()
     return respond_json({"ready": ready}, 200 if ready else 503)
 
 
-def _admit(request: Request) -> Result[tuple[Caller, Envelope], Refusal]:
-    front: Front = request.app.ctx.front
-    if front.is_closed():
+def _admit(request: Request) -> Result[tuple[Caller, RequestOptions], Refusal]:
+    backend: Backend = request.app.ctx.backend
+    if backend.is_closed():
         return Error(STOPPING)
-    if front.directory is None:
+    if backend.directory is None:
         return Error(NOT_READY)
-    caller = front.directory.find_caller(request.headers)
+    caller = backend.directory.find_caller(request.headers)
     if caller.is_error():
         return caller
-    policy = front.directory.configuration.policy
+    policy = backend.directory.configuration.policy
     if len(request.body) > policy.max_body_bytes:
         text = f"the body is over {policy.max_body_bytes} bytes"
         return Error(Refusal(413, "body_too_large", text))
-    envelope = read_envelope(request.headers, policy.deadline_seconds)
-    return envelope.map(lambda read: (caller.ok, read))
+    options = read_options(request.headers, policy.deadline_seconds)
+    return options.map(lambda read: (caller.ok, read))
 
 
 async def _models(request: Request) -> HTTPResponse:
     admitted = _admit(request)
     if admitted.is_error():
         return respond_refusal(admitted.error)
-    models = _list_models(request.app.ctx.front.directory)
+    models = _list_models(request.app.ctx.backend.directory)
     return respond_json({"object": "list", "data": models})
 
 
@@ -199,7 +202,7 @@
     admitted = _admit(request)
     if admitted.is_error():
         return respond_refusal(admitted.error)
-    for model in _list_models(request.app.ctx.front.directory):
+    for model in _list_models(request.app.ctx.backend.directory):
         if model["id"] == name:
             return respond_json(model)
     return respond_refusal(Refusal(404, "model_not_found", f"no model {name!r}"))
@@ -227,37 +230,37 @@
     admitted = _admit(request)
     if admitted.is_error():
         return respond_refusal(admitted.error)
-    caller, envelope = admitted.ok
+    caller, options = admitted.ok
     parsed = parse_generation(request.body, kind)
     if parsed.is_error():
         return respond_refusal(parsed.error)
-    front: Front = request.app.ctx.front
+    backend: Backend = request.app.ctx.backend
     generation = parsed.ok
-    made = make_generation(
-        caller, generation, request.body, envelope, front.directory, front.ratio
+    made = make_generation_work(
+        caller, generation, request.body, options, backend.directory, backend.ratio
     )
     if made.is_error():
         return respond_refusal(made.error)
     work = made.ok
-    answer = Answer(work.request, kind, generation.model, int(time.time()))
+    answer = AnswerMetadata(work.request, kind, generation.model, int(time.time()))
 
-    def learn(end: Finished) -> None:
-        front.ratio.learn(work.model, len(generation.text), end.prompt_tokens)
+    def record_tokens(end: Finished) -> None:
+        backend.ratio.record_count(work.model, len(generation.text), end.prompt_tokens)
 
-    async def give(parts: asyncio.Queue[Reply]) -> HTTPResponse | None:
+    async def respond(parts: asyncio.Queue[Reply]) -> HTTPResponse | None:
         if generation.streamed:
-            return await _stream(request, answer, generation, parts, learn)
-        return await _wait_whole(answer, parts, learn)
+            return await _stream(request, answer, generation, parts, record_tokens)
+        return await _respond_whole(answer, parts, record_tokens)
 
-    return await _follow(front, work, envelope, generation.streamed, give)
+    return await _serve_work(backend, work, options, generation.streamed, respond)
 
 
 async def _service(request: Request, service: str, path: str) -> HTTPResponse | None:
     admitted = _admit(request)
     if admitted.is_error():
         return respond_refusal(admitted.error)
-    caller, envelope = admitted.ok
-    front: Front = request.app.ctx.front
+    caller, options = admitted.ok
+    backend: Backend = request.app.ctx.backend
     full = f"/{path}?{request.query_string}" if request.query_string else f"/{path}"
     made = make_call(
         caller,
@@ -266,48 +269,50 @@
         full,
         request.headers,
         request.body,
-        envelope,
-        front.directory,
+        options,
+        backend.directory,
     )
     if made.is_error():
         return respond_refusal(made.error)
-    return await _follow(front, made.ok, envelope, False, _wait_call)
+    return await _serve_work(backend, made.ok, options, False, _respond_call)
 
 
-async def _follow(
-    front: Front,
+async def _serve_work(
+    backend: Backend,
     work: Work,
-    envelope: Envelope,
+    options: RequestOptions,
     streamed: bool,
-    give: Callable[[asyncio.Queue[Reply]], Awaitable[HTTPResponse | None]],
+    respond: Callable[[asyncio.Queue[Reply]], Awaitable[HTTPResponse | None]],
 ) -> HTTPResponse | None:
-    """Bring work in and give its answer; a caller that goes is noticed."""
-    parts = front.open(work, envelope.timeout, streamed)
+    """Dispatch work, send its answer and report whether the caller stayed."""
+    parts = backend.open(work, options.timeout, streamed)
     done = False
     try:
-        response = await give(parts)
+        response = await respond(parts)
         done = True
         if response is not None:
             response.headers["X-Request-Id"] = work.request
         return response
     finally:
-        front.close(work.request, done)
+        backend.close(work.request, done)
 
 
-async def _wait_whole(
-    answer: Answer, parts: asyncio.Queue[FullReply], learn: Learn
+async def _respond_whole(
+    answer: AnswerMetadata,
+    parts: asyncio.Queue[FullReply],
+    record_tokens: RecordTokenCount,
 ) -> HTTPResponse:
     end = await parts.get()
     if isinstance(end, Refuse):
         return respond_refusal(end.refusal)
     if end.end.status != 200:
         return respond_engine_refusal(end.end)
-    learn(end.end)
+    record_tokens(end.end)
     body = format_whole(answer, end.body, end.end)
     return raw(body, content_type="application/json")
 
 
-async def _wait_call(parts: asyncio.Queue[FullReply]) -> HTTPResponse:
+async def _respond_call(parts: asyncio.Queue[FullReply]) -> HTTPResponse:
     end = await parts.get()
     if isinstance(end, Refuse):
         return respond_refusal(end.refusal)
@@ -318,12 +323,12 @@
 
 async def _stream(
     request: Request,
-    answer: Answer,
+    answer: AnswerMetadata,
     generation: Generation,
     parts: asyncio.Queue[Reply],
-    learn: Learn,
+    record_tokens: RecordTokenCount,
 ) -> HTTPResponse | None:
-    """Stream an answer; what is cut short ends with an error and without [DONE]."""
+    """Stream an answer; an aborted one ends with an error and without [DONE]."""
     part = await parts.get()
     if isinstance(part, Refuse):
         return respond_refusal(part.refusal)
@@ -333,10 +338,10 @@
     response = await request.respond(
         content_type="text/event-stream; charset=utf-8", headers=headers
     )
-    decoder = TextJoiner()
+    decoder = Utf8StreamDecoder()
     first = True
     while isinstance(part, Deliver):
-        text = decoder.join(part.data)
+        text = decoder.decode(part.data)
         if text:
             await _send(request, response, format_part(answer, text, first))
             first = False
@@ -344,7 +349,7 @@
     if isinstance(part, AbortAnswer):
         last = format_event(format_refusal(part.refusal))
     else:
-        learn(part.end)
+        record_tokens(part.end)
         last = format_end(answer, part.end, generation.usage_wanted)
     await _send(request, response, last)
     await response.eof()
@@ -352,10 +357,10 @@
 
 
 async def _send(request: Request, response: BaseHTTPResponse, data: bytes) -> None:
-    """Send a part of a stream, or give up a caller that takes in nothing."""
-    # Failure: the caller's connection has gone silent without an error. Symptom: the
-    # send buffer is full for good, and the request stays open for an hour and holds up
-    # a planned stop. A caller that still reads takes in a part much sooner.
+    """Send a part of a stream, or abort if the caller stops reading."""
+    # If the caller's connection goes silent without an error, the send buffer stays
+    # full, so the request would stay open for an hour and delay a planned stop. A
+    # caller that still reads makes room for a part much sooner than the timeout.
     try:
         async with asyncio.timeout(request.app.config.CALLER_SECONDS):
             await response.send(data)
@@ -364,14 +369,14 @@
         raise RequestCancelled from None
 
 
-class TextJoiner:
-    """Hold back a character that is cut in two until its rest comes."""
+class Utf8StreamDecoder:
+    """Decode UTF-8 in pieces; an incomplete character waits for its other bytes."""
 
     def __init__(self) -> None:
         self._rest = b""
 
-    def join(self, data: bytes) -> str:
-        """Give the text that is whole so far."""
+    def decode(self, data: bytes) -> str:
+        """Return the text of all characters that are complete so far."""
         data = self._rest + data
         try:
             self._rest = b""
@@ -382,5 +387,5 @@
 
 
 def respond_engine_refusal(end: Finished) -> HTTPResponse:
-    """Pass on what the engine found wrong with the request."""
+    """Return the response for a request that the engine refused, with its reason."""
     return respond_refusal(Refusal(end.status, "invalid_request", end.finish_reason))
--- a/radishtally/entry/members.py
+++ b/radishtally/entry/members.py
@@ -1,4 +1,4 @@
-"""Keep the entry's links and its core in step with the membership."""
+"""Apply membership changes to the entry's links and its dispatch core."""
 
 import time
 from typing import Final
@@ -14,12 +14,12 @@
 from radishtally.settings.config import Settings
 from radishtally.store.core import ENTRY, ListedHost
 
-SEED: Final = "seed "
-"""Begins the name under which a seed is dialled before its host is known."""
+SEED_LINK_PREFIX: Final = "seed "
+"""Prefix of the link name of a seed, whose host name is not known yet."""
 
 
-class Members:
-    """Drive the membership of one entry."""
+class MembershipDriver:
+    """Feed events to the membership of one entry and apply its changes."""
 
     def __init__(self, settings: Settings, hub: LinkHub, core: DispatchCore) -> None:
         self.membership = Membership()
@@ -28,51 +28,51 @@
         self._core = core
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the hosts that a configuration names."""
+        """Apply the hosts named in a configuration."""
         servers = tuple(
             membership.ConfiguredHost(host, server.place, name)
             for name, upstream in configuration.upstreams.items()
             for host, server in upstream.servers.items()
         )
-        self._take(membership.ConfigurationApplied(servers))
+        self._handle_event(membership.ConfigurationApplied(servers))
         self._refresh_all()
 
-    def listed(self, hosts: list[ListedHost]) -> None:
-        """Take the platform's list."""
-        self._take(membership.HostListRead(tuple(hosts)))
+    def apply_host_list(self, hosts: list[ListedHost]) -> None:
+        """Apply the platform's host list."""
+        self._handle_event(membership.HostListRead(tuple(hosts)))
         self._refresh_all()
 
     def link_up(self, hello: Hello) -> None:
-        """Take a new link."""
-        self._take(membership.LinkUp(hello.host, hello.incarnation))
+        """Record a new link."""
+        self._handle_event(membership.LinkUp(hello.host, hello.incarnation))
         self._refresh(hello.host)
 
     def link_down(self, host: str) -> None:
-        """Take the loss of a link."""
-        self._take(membership.LinkDown(host))
+        """Record the loss of a link."""
+        self._handle_event(membership.LinkDown(host))
 
-    def heard(self, host: str) -> None:
-        """Take a sign of life."""
-        self._take(membership.TrafficReceived(host))
+    def record_traffic(self, host: str) -> None:
+        """Record that a message of a host arrived, which shows that it is alive."""
+        self._handle_event(membership.TrafficReceived(host))
 
-    def left(self, host: str, reason: str) -> None:
-        """Take a host's own word that it leaves."""
-        self._take(membership.LeaveAnnounced(host, reason))
+    def record_leave(self, host: str, reason: str) -> None:
+        """Record a host's announcement that it leaves."""
+        self._handle_event(membership.LeaveAnnounced(host, reason))
 
     def tick(self) -> None:
-        """Let time pass."""
-        self._take(membership.Tick())
+        """Run the periodic checks of the membership and dial the seeds if needed."""
+        self._handle_event(membership.Tick())
         self._dial_seeds()
 
     def list_entries(self) -> dict[str, str]:
-        """List the entries that are live as seen from here, with their places."""
+        """Return the place of each entry that is live in this entry's view."""
         found = {self._settings.host: self._settings.place}
         for host, member in self.membership.members.items():
             if member.upstream == ENTRY and member.state == LIVE:
                 found[host] = member.place
         return found
 
-    def _take(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         for change in handle(event, self.membership, time.monotonic()):
             if isinstance(change, membership.StateChanged):
                 log_message(
@@ -89,7 +89,7 @@
             self._refresh(host)
 
     def _refresh(self, host: str) -> None:
-        """Bring the link and the core's view of one host up to date."""
+        """Update the link to a host and the core's record of it."""
         member = self.membership.members.get(host)
         if member is None:
             self._hub.stop_dialling(host)
@@ -103,24 +103,25 @@
         self._core.set_host(host, member.place, member.upstream, live)
 
     def _dial_seeds(self) -> None:
-        """Reach peers while the list shows nobody.
+        """Dial the seeds of the settings while no member has an address.
 
-        A process that starts while the platform is away has neither configuration nor
-        list; a peer of its settings gives it the configuration. Once others are listed
-        their own addresses lead to them, and two links to one host would take turns.
+        A process that starts while the platform is unavailable has neither a
+        configuration nor a host list; a seed sends it the configuration. Once members
+        are listed they are dialled at their own addresses. The seed links then end,
+        because two links to one host would replace each other again and again.
         """
         listed = any(m.address for m in self.membership.members.values())
         for address in self._settings.seeds:
             if listed:
-                self._hub.stop_dialling(SEED + address)
+                self._hub.stop_dialling(SEED_LINK_PREFIX + address)
             else:
-                self._hub.dial(SEED + address, address)
+                self._hub.dial(SEED_LINK_PREFIX + address, address)
 
     def _dial(self, host: str, upstream: str, address: str) -> None:
         address = self._settings.dial.get(host, address)
         if not address or host == self._settings.host:
             return
-        # Two entries need one link between them; the one whose name comes first dials.
+        # Two entries need only one link; the one with the smaller name dials.
         if upstream == ENTRY and host < self._settings.host:
             return
         self._hub.dial(host, address)
--- a/radishtally/entry/openai.py
+++ b/radishtally/entry/openai.py
@@ -1,4 +1,4 @@
-"""Read OpenAI-shaped requests and write OpenAI-shaped answers."""
+"""Parse requests and format answers of the OpenAI API."""
 
 from typing import Any, Final, NamedTuple
 
@@ -10,8 +10,14 @@
 DEFAULT_MAX_TOKENS: Final = 256
 CODE_BAD_REQUEST: Final = "invalid_request"
 DONE_EVENT: Final = b"data: [DONE]\n\n"
-NOT_SERVED: Final = ("tools", "functions", "logprobs", "top_logprobs", "audio")
-"""Parameters whose answers are more than text, which can't be passed on whole."""
+UNSUPPORTED_PARAMETERS: Final = (
+    "tools",
+    "functions",
+    "logprobs",
+    "top_logprobs",
+    "audio",
+)
+"""Parameters whose answers hold more than text, which the entry can't forward."""
 
 ERROR_TYPES: Final = {
     401: "authentication_error",
@@ -22,20 +28,20 @@
 
 
 class ChatMessage(msgspec.Struct):
-    """Hold one message; parts other than text are left to the engine."""
+    """Hold one message; content that is not text is left to the engine."""
 
     role: str
     content: str | list[dict[str, Any]] | None = None
 
 
 class StreamOptions(msgspec.Struct):
-    """Hold what the caller wants of a stream."""
+    """Hold the options of a streamed answer."""
 
     include_usage: bool = False
 
 
 class GenerationBody(msgspec.Struct):
-    """Hold the fields of a request that the system itself looks at."""
+    """Hold the fields of a request that the entry itself reads."""
 
     model: str
     messages: list[ChatMessage] | None = None
@@ -48,19 +54,19 @@
 
 
 class Generation(NamedTuple):
-    """Describe a checked request for generated text."""
+    """Describe a validated request for generated text."""
 
     kind: str
     model: str
     text: str
-    """Prompt as plain text, for estimates and the prefix."""
+    """Prompt as plain text; used for the token estimate and the prefix hash."""
     max_tokens: int | None
     streamed: bool
     usage_wanted: bool
 
 
-class Answer(NamedTuple):
-    """Name what the parts of one answer have in common."""
+class AnswerMetadata(NamedTuple):
+    """Hold the fields that all events of one answer share."""
 
     request: str
     kind: str
@@ -72,33 +78,35 @@
 
 
 def parse_generation(body: bytes, kind: str) -> Result[Generation, Refusal]:
-    """Check the body of a chat or completion request."""
+    """Parse and validate the body of a chat or completion request."""
     try:
         read = _DECODER.decode(body)
-        loose = msgspec.json.decode(body)
+        raw_fields = msgspec.json.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Error(Refusal(400, CODE_BAD_REQUEST, f"body: {error}"))
-    fault = _find_fault(read, loose, kind)
+    fault = _find_body_error(read, raw_fields, kind)
     if fault:
         return Error(Refusal(400, CODE_BAD_REQUEST, fault))
     text = _join_messages(read.messages) if kind == CHAT else read.prompt
-    wanted = read.max_completion_tokens or read.max_tokens
+    token_limit = read.max_completion_tokens or read.max_tokens
     usage = read.stream_options is not None and read.stream_options.include_usage
-    return Ok(Generation(kind, read.model, text, wanted, read.stream, usage))
+    return Ok(Generation(kind, read.model, text, token_limit, read.stream, usage))
 
 
-def _find_fault(read: GenerationBody, loose: dict[str, Any], kind: str) -> str:
+def _find_body_error(
+    read: GenerationBody, raw_fields: dict[str, Any], kind: str
+) -> str:
     if kind == CHAT and not read.messages:
         return "messages: expected at least one message"
     if kind == COMPLETION and not read.prompt:
-        return "prompt: expected a text that is not empty"
+        return "prompt: expected a non-empty string"
     if read.n not in (None, 1):
-        return "n: expected 1, more answers at once are not served"
-    wanted = read.max_completion_tokens or read.max_tokens
-    if wanted is not None and wanted < 1:
+        return "n: expected 1, several answers per request are not supported"
+    token_limit = read.max_completion_tokens or read.max_tokens
+    if token_limit is not None and token_limit < 1:
         return "max_tokens: expected at least 1"
-    unserved = [name for name in NOT_SERVED if loose.get(name)]
-    return f"{unserved[0]}: not served" if unserved else ""
+    unsupported = [name for name in UNSUPPORTED_PARAMETERS if raw_fields.get(name)]
+    return f"{unsupported[0]}: not supported" if unsupported else ""
 
 
 def _join_messages(messages: list[ChatMessage]) -> str:
@@ -112,8 +120,8 @@
     return "\n".join(str(part.get("text", "")) for part in parts)
 
 
-def format_whole(answer: Answer, body: bytes, end: Finished) -> bytes:
-    """Write a whole answer."""
+def format_whole(answer: AnswerMetadata, body: bytes, end: Finished) -> bytes:
+    """Format a complete answer that is not streamed."""
     text = body.decode()
     choice: dict[str, Any] = {"index": 0, "finish_reason": end.finish_reason}
     if answer.kind == CHAT:
@@ -126,15 +134,15 @@
     return msgspec.json.encode(whole)
 
 
-def format_part(answer: Answer, text: str, first: bool) -> bytes:
-    """Write one event of a streamed answer."""
+def format_part(answer: AnswerMetadata, text: str, first: bool) -> bytes:
+    """Format one event of a streamed answer."""
     frame = _format_frame(answer, streamed=True)
     frame["choices"] = [_format_choice(answer, text, None, first)]
     return format_event(frame)
 
 
-def format_end(answer: Answer, end: Finished, usage_wanted: bool) -> bytes:
-    """Write the events that end a whole streamed answer."""
+def format_end(answer: AnswerMetadata, end: Finished, usage_wanted: bool) -> bytes:
+    """Format the events that end a complete streamed answer."""
     frame = _format_frame(answer, streamed=True)
     frame["choices"] = [_format_choice(answer, "", end.finish_reason, False)]
     events = format_event(frame)
@@ -147,7 +155,7 @@
 
 
 def format_refusal(refusal: Refusal) -> dict[str, Any]:
-    """Write a refusal as OpenAI's clients read it."""
+    """Format a refusal as an error object of the OpenAI API."""
     usual = "invalid_request_error" if refusal.status < 500 else "server_error"
     return {
         "error": {
@@ -162,11 +170,11 @@
 
 
 def format_event(value: dict[str, Any]) -> bytes:
-    """Write one server-sent event."""
+    """Format one server-sent event."""
     return b"data: " + msgspec.json.encode(value) + b"\n\n"
 
 
-def _format_frame(answer: Answer, streamed: bool) -> dict[str, Any]:
+def _format_frame(answer: AnswerMetadata, streamed: bool) -> dict[str, Any]:
     name = "text_completion"
     if answer.kind == CHAT:
         name = "chat.completion.chunk" if streamed else "chat.completion"
@@ -179,7 +187,7 @@
 
 
 def _format_choice(
-    answer: Answer, text: str, reason: str | None, first: bool
+    answer: AnswerMetadata, text: str, reason: str | None, first: bool
 ) -> dict[str, Any]:
     choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
     if answer.kind != CHAT:
--- a/radishtally/entry/operators.py
+++ b/radishtally/entry/operators.py
@@ -1,4 +1,4 @@
-"""Serve operators over HTTP."""
+"""Serve the HTTP API for operators."""
 
 import asyncio
 import hmac
@@ -12,20 +12,20 @@
 from radishtally.configuration.head import Head
 from radishtally.configuration.store import ApplyError
 from radishtally.entry.core import Entry
-from radishtally.entry.faults import respond_error, respond_fault
-from radishtally.entry.http import respond_json
-from radishtally.entry.reports import (
+from radishtally.entry.error_responses import respond_error, respond_fault
+from radishtally.entry.host_descriptions import (
     describe_host,
     describe_load,
     find_state,
     gets_new_work,
 )
+from radishtally.entry.http import respond_json
 from radishtally.links.messages import Hint
 from radishtally.membership.core import UNREACHABLE
 from radishtally.outcome import Error, Fault, Ok, Result
 
 BOOTSTRAP: Final = "bootstrap"
-"""Operator who holds the peer key; valid until operators are configured."""
+"""Name of the operator who uses the peer key; valid until operators are configured."""
 MAX_WAIT_SECONDS: Final = 60.0
 POLL_SECONDS: Final = 0.02
 DEFAULT_LIMIT: Final = 20
@@ -34,7 +34,7 @@
 
 
 class ChangeBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Hold a change of the configuration folder."""
+    """Describe a change of the configuration folder."""
 
     base: int
     files: dict[str, str | None]
@@ -42,7 +42,7 @@
 
 
 class DrainBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Hold a drain or its end."""
+    """Describe a drain of a host, or its end."""
 
     drained: bool
     cause: str
@@ -52,7 +52,7 @@
 
 
 def add_operator_routes(app: Sanic, entry: Entry) -> None:
-    """Add what operators may ask for."""
+    """Add the operators' routes and their authorization."""
     app.ctx.entry = entry
     base = "/operators/v1"
     app.add_route(_status, f"{base}/status")
@@ -76,7 +76,7 @@
     if request.ctx.operator is not None:
         return None
     if request.app.ctx.entry.directory is None:
-        text = "no configuration is in force here yet, so operators are not known"
+        text = "no configuration is in force on this entry, so operators are unknown"
         return respond_error(503, text, kind="not_ready")
     return respond_error(401, "the operator's key is not known")
 
@@ -84,7 +84,7 @@
 def _find_operator(request: Request) -> str | None:
     entry: Entry = request.app.ctx.entry
     directory = entry.directory
-    # A first configuration without operators would otherwise shut everybody out.
+    # Without this, a first configuration that names no operators would lock out all.
     if directory is not None and directory.configuration.operators:
         return directory.find_operator(request.headers)
     key = request.headers.get("authorization", "").partition(" ")[2]
@@ -129,7 +129,7 @@
 
 
 async def _read_revision(request: Request, revision: int) -> HTTPResponse:
-    """Tell who wrote each file of a revision, and its hash."""
+    """Return the author and the hash of each file of a revision."""
     entry: Entry = request.app.ctx.entry
     read = await entry.configurations.read_revision(revision)
     if read.is_error():
@@ -159,7 +159,7 @@
 
 
 async def _confirm(request: Request) -> HTTPResponse:
-    """Wait until a revision is in force everywhere and say who is behind."""
+    """Wait until a revision is in force on all hosts, and return those behind."""
     entry: Entry = request.app.ctx.entry
     try:
         revision = int(request.args.get("revision", "0"))
@@ -176,7 +176,7 @@
 
 
 def _find_behind(entry: Entry, revision: int) -> list[str]:
-    """Name the hosts that have not confirmed, those out of reach among them."""
+    """Return the hosts that have not confirmed a revision, with the unreachable."""
     keeper = entry.process.keeper
     behind = set(keeper.find_behind(revision))
     behind |= set(entry.members.membership.members) - set(keeper.peers)
@@ -210,20 +210,20 @@
     if read.is_error():
         return respond_error(400, read.error)
     body = read.ok
-    if not _is_host(entry, host):
+    if not _is_known_host(entry, host):
         return respond_error(404, f"host {host!r} is not known")
     drain = await entry.plans.write_drain(
         host, body.drained, request.ctx.operator, body.cause
     )
     if drain.is_error():
         return respond_fault(drain.error)
-    # The row is what counts; the hint only saves the agent's wait for its next look.
+    # The row decides. The hint only spares the agent the wait for its next poll.
     entry.process.hub.send(host, Hint("drain", host))
     return respond_json({"host": host, "drained": body.drained})
 
 
-def _is_host(entry: Entry, host: str) -> bool:
-    """Tell whether a host is listed, or configured and away for now."""
+def _is_known_host(entry: Entry, host: str) -> bool:
+    """Return whether a host is listed, or configured even if currently absent."""
     if host in entry.members.membership.members:
         return True
     current = entry.process.keeper.current
@@ -277,7 +277,7 @@
     now = time.monotonic()
     known = entry.core.hosts.get(host)
     state = find_state(entry, host, now)
-    judged = entry.members.membership.locate_fault(host, now)
+    fault_location = entry.members.membership.locate_fault(host, now)
     return respond_json(
         {
             "host": host,
@@ -285,7 +285,7 @@
             "gets_new_work": gets_new_work(known, now),
             "left_out_after_failures": known is not None
             and not known.breaker.allows(now),
-            "whose_fault": judged if state == UNREACHABLE else None,
+            "whose_fault": fault_location if state == UNREACHABLE else None,
             "drain": await _describe_drain(entry, host),
             "plan": entry.planning.describe_host(host),
             **describe_load(entry, host),
--- a/radishtally/entry/places.py
+++ b/radishtally/entry/places.py
@@ -1,4 +1,4 @@
-"""Decide which places this entry plans for."""
+"""Decide for which places this entry contends for the planner lease."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -6,67 +6,69 @@
 import xxhash
 
 from radishtally.configuration.config import Configuration
-from radishtally.entry.planning import Parts, PlacePlanning
+from radishtally.entry.planning import PlacePlanner, PlannerDependencies
 from radishtally.links.messages import Load
 from radishtally.routing.core import rank
 
-CONTENDERS: Final = 3
-"""Entries that contend for one place's lease: enough that some are left after two
-deaths, few enough that the table is not read by every entry each second."""
+CONTENDERS_PER_PLACE: Final = 3
+"""Number of entries that contend for the lease of one place. One is left after two of
+them die, and the other entries don't read the lease from the table each second."""
 
 
-class PlanningBoard:
-    """Hold the planning of each place that this entry contends for."""
+class PlacePlanners:
+    """Run a planner for each place whose lease this entry contends for."""
 
-    def __init__(self, parts: Parts) -> None:
-        self._parts = parts
+    def __init__(self, dependencies: PlannerDependencies) -> None:
+        self._dependencies = dependencies
         self._configuration: Configuration | None = None
-        self._places: dict[str, PlacePlanning] = {}
+        self._places: dict[str, PlacePlanner] = {}
 
     async def stop(self) -> None:
-        """Give all leases up."""
+        """Stop all planners and give up their leases."""
         for planning in self._places.values():
             await planning.stop()
         self._places.clear()
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the policy and the roles that operators gave."""
+        """Apply the policy and the configured roles to all planners."""
         self._configuration = configuration
         for planning in self._places.values():
             planning.configure(configuration)
 
     async def contend(self, entries: Mapping[str, str]) -> None:
-        """Contend where this entry's turn is, given the live entries' places."""
+        """Start or stop the planner of each place, given the live entries' places."""
         if self._configuration is None:
             return
         for place in self._configuration.places:
-            wanted = self._parts.host in find_contenders(place, entries)
+            should_contend = self._dependencies.host in find_contenders(place, entries)
             planning = self._places.get(place)
-            if wanted and planning is None:
-                self._begin(place)
-            # A lease that is held is kept: giving it up only because another entry
-            # came would change planners for nothing.
-            elif not wanted and planning is not None and not planning.holds_lease:
+            if should_contend and planning is None:
+                self._start_planner(place)
+            # A held lease is kept: giving it up because another entry joined would
+            # change the planner without need.
+            elif (
+                not should_contend and planning is not None and not planning.holds_lease
+            ):
                 del self._places[place]
                 await planning.stop()
 
-    def report(self, upstream: str, place: str, load: Load) -> None:
-        """Take a load report."""
+    def record_load(self, upstream: str, place: str, load: Load) -> None:
+        """Record a load report with the planner of its place."""
         planning = self._places.get(place)
         if planning is not None:
-            planning.report(upstream, place, load)
+            planning.record_load(upstream, place, load)
 
-    def host_gone(self, host: str) -> None:
-        """Take the loss of a host."""
+    def remove_host(self, host: str) -> None:
+        """Remove a host from all planners."""
         for planning in self._places.values():
-            planning.host_gone(host)
+            planning.remove_host(host)
 
     def describe(self) -> dict[str, Any]:
-        """Tell which places this entry plans for or contends for."""
+        """Return the lease state of each place that this entry contends for."""
         return {place: one.describe() for place, one in self._places.items()}
 
     def describe_host(self, host: str) -> dict[str, Any] | None:
-        """Tell what the last plan known here wants of a host."""
+        """Return the host's part of the last plan known here; None if it has none."""
         for planning in self._places.values():
             wanted = planning.describe_host(host)
             if wanted is not None:
@@ -74,8 +76,8 @@
         return None
 
     async def describe_place(self, place: str) -> dict[str, Any]:
-        """Tell what the plan in force wants of a place, and what is asked of it."""
-        read = await self._parts.plans.read_plan(place)
+        """Return the plan in force for a place and the demand on its pools."""
+        read = await self._dependencies.plans.read_plan(place)
         plan = read.ok if read.is_ok() else None
         planning = self._places.get(place)
         return {
@@ -86,15 +88,18 @@
             "pools": {} if planning is None else planning.describe_pools(),
         }
 
-    def _begin(self, place: str) -> None:
-        planning = PlacePlanning(place, self._parts)
+    def _start_planner(self, place: str) -> None:
+        planning = PlacePlanner(place, self._dependencies)
         planning.configure(self._configuration)
         self._places[place] = planning
         planning.start()
 
 
 def find_contenders(place: str, entries: Mapping[str, str]) -> list[str]:
-    """Find the entries that may plan for a place: its own, or any if it has none."""
+    """Return the entries that contend for a place's lease.
+
+    They are chosen among the entries in that place, or among all if it has none.
+    """
     own = [host for host, where in entries.items() if where == place]
     key = xxhash.xxh64_intdigest(place.encode())
-    return rank(own or entries, key)[:CONTENDERS]
+    return rank(own or entries, key)[:CONTENDERS_PER_PLACE]
--- a/radishtally/entry/planning.py
+++ b/radishtally/entry/planning.py
@@ -1,4 +1,4 @@
-"""Contend for one place's planner lease, and plan while it is held."""
+"""Contend for the planner lease of one place and plan while the lease is held."""
 
 import asyncio
 import time
@@ -23,11 +23,11 @@
 StartTask = Callable[[Coroutine[Any, Any, Any]], asyncio.Task]
 
 TICK_SECONDS: Final = 1.0
-REREAD_SECONDS: Final = 1.0
+PLAN_RETRY_SECONDS: Final = 1.0
 
 
-class Parts(NamedTuple):
-    """Hold what planning for a place needs of its entry."""
+class PlannerDependencies(NamedTuple):
+    """Hold the stores and services of the entry that its planners use."""
 
     host: str
     write_ids: WriteIds
@@ -38,69 +38,69 @@
     start_task: StartTask
 
 
-class PlacePlanning:
-    """Drive the lease and the planner of one entry for one place."""
+class PlacePlanner:
+    """Run the lease and the planner of one entry for one place."""
 
-    def __init__(self, place: str, parts: Parts) -> None:
+    def __init__(self, place: str, dependencies: PlannerDependencies) -> None:
         self._place = place
-        self._parts = parts
+        self._dependencies = dependencies
         self._planner = Planner()
         self._tasks: set[asyncio.Task] = set()
         self._lease = LeaseDriver(
-            parts.table,
+            dependencies.table,
             place,
-            parts.host,
-            parts.write_ids,
-            on_gained=self._gained,
-            on_lost=self._lost,
+            dependencies.host,
+            dependencies.write_ids,
+            on_gained=self._on_lease_gained,
+            on_lost=self._on_lease_lost,
             clock=read_boot_clock,
         )
 
     @property
     def holds_lease(self) -> bool:
-        """Tell whether this entry plans for the place now."""
+        """Return whether this entry plans for the place now."""
         return self._lease.holds()
 
     def start(self) -> None:
-        """Contend for the lease from now on."""
+        """Start to contend for the lease."""
         self._lease.start()
         self._spawn(self._tick())
 
     async def stop(self) -> None:
-        """Give the lease up."""
+        """Cancel all tasks and give up the lease."""
         for task in list(self._tasks):
             task.cancel()
         await self._lease.stop()
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the policy and the roles that operators gave."""
+        """Apply the policy and the configured roles of hosts."""
         roles = {
             host: server.role
             for upstream in configuration.upstreams.values()
             if isinstance(upstream, Engines)
             for host, server in upstream.servers.items()
         }
-        self._feed(planner.Configured(configuration.policy, roles))
+        self._handle_event(planner.Configured(configuration.policy, roles))
 
-    def report(self, upstream: str, place: str, load: Load) -> None:
-        """Take a load report, with or without the lease."""
+    def record_load(self, upstream: str, place: str, load: Load) -> None:
+        """Record a load report, whether the lease is held or not."""
         if place != self._place or not load.model:
             return
         counts = planner.WorkCounters(
             load.prompt_tokens, load.output_tokens, load.requests, load.refused
         )
-        self._feed(planner.LoadReported(Pool(upstream, place), load, counts))
+        self._handle_event(planner.LoadReported(Pool(upstream, place), load, counts))
 
-    def host_gone(self, host: str) -> None:
-        """Take the loss of a host."""
-        self._feed(planner.HostGone(host))
+    def remove_host(self, host: str) -> None:
+        """Remove a host from the planner's state."""
+        self._handle_event(planner.HostGone(host))
 
     def describe(self) -> dict[str, Any]:
-        """Tell whether this entry plans for its place."""
+        """Return the state of the lease."""
         return dict(self._lease.describe())
 
     def describe_host(self, host: str) -> dict[str, Any] | None:
-        """Tell what the last plan known here wants of a host."""
+        """Return the host's part of the last plan known here; None if it has none."""
         plan = self._planner.plan
         if plan is None or host not in plan.wanted:
             return None
@@ -108,7 +108,7 @@
         return {"number": plan.number, "cause": plan.cause, **wanted}
 
     def describe_pools(self) -> dict[str, Any]:
-        """Tell what is asked of the place's pools, as known here."""
+        """Return the demand and the engines' roles in each pool of the place."""
         now = time.monotonic()
         views = [
             self._planner.describe_pool(s, now) for s in self._planner.pools.values()
@@ -123,12 +123,12 @@
             for view in views
         }
 
-    def _feed(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         for command in handle(event, self._planner, time.monotonic()):
             self._spawn(self._write(command))
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        task = self._parts.start_task(coroutine)
+        task = self._dependencies.start_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -136,53 +136,55 @@
         while True:
             await asyncio.sleep(TICK_SECONDS)
             if self._lease.holds():
-                self._feed(planner.Tick())
+                self._handle_event(planner.Tick())
 
-    def _gained(self, fencing: int) -> None:
+    def _on_lease_gained(self, fencing: int) -> None:
         log_message("lease:gained", place=self._place, fencing=fencing)
-        self._record("lease.gained", "took over", {"fencing": fencing})
-        self._spawn(self._take_over(fencing))
+        self._record_audit("lease.gained", "took over", {"fencing": fencing})
+        self._spawn(self._load_plan(fencing))
 
-    def _lost(self, cause: str) -> None:
+    def _on_lease_lost(self, cause: str) -> None:
         log_message("lease:lost", place=self._place, cause=cause)
-        self._record("lease.lost", cause, {})
-        self._feed(planner.LeaseLost())
+        self._record_audit("lease.lost", cause, {})
+        self._handle_event(planner.LeaseLost())
 
-    async def _take_over(self, fencing: int) -> None:
-        """Read the plan as it stands before anything is planned on top of it."""
+    async def _load_plan(self, fencing: int) -> None:
+        """Load the stored plan, on which the next one is based."""
         while self._lease.fencing == fencing:
-            read = await self._parts.plans.read_plan(self._place)
-            # The answer may take longer than the lease lasts. Taken all the same, it
-            # would put the planner back to a number under which no plan that it writes
-            # counts as written, and it would wait for that as long as it holds.
+            read = await self._dependencies.plans.read_plan(self._place)
+            # The read may outlast the lease. A late answer would reset the planner to
+            # an old fencing number: writes under it are never confirmed, so the
+            # planner would wait for one for as long as the lease is held.
             if self._lease.fencing != fencing:
                 return
             if read.is_ok():
-                self._feed(planner.LeaseGained(fencing, read.ok))
+                self._handle_event(planner.LeaseGained(fencing, read.ok))
                 return
-            await asyncio.sleep(REREAD_SECONDS)
+            await asyncio.sleep(PLAN_RETRY_SECONDS)
 
     async def _write(self, change: planner.WritePlan) -> None:
-        """Put a role change in force as the place's next plan."""
-        written = await self._parts.plans.write_plan(
+        """Write a role change as the place's next plan and notify the hosts."""
+        written = await self._dependencies.plans.write_plan(
             self._place, change.previous, change.wanted, change.cause, self._lease
         )
         if written.is_error():
             log_message("plan:not_written", error=str(written.error))
-            # The write may stand all the same, or another plan does: only the table
-            # tells, and until it is read again nothing is planned on top of it.
-            await self._take_over(change.fencing)
+            # The write may still have succeeded, or another plan is stored. Nothing
+            # is planned until the plan has been read again from the table.
+            await self._load_plan(change.fencing)
             return
         log_message("plan:written", number=written.ok.number, cause=change.cause)
-        self._feed(planner.PlanWritten(written.ok))
+        self._handle_event(planner.PlanWritten(written.ok))
         for host in find_changed(change):
-            self._parts.hub.send(host, Hint(PLAN, self._place))
+            self._dependencies.hub.send(host, Hint(PLAN, self._place))
 
-    def _record(self, what: str, cause: str, after: dict[str, Any]) -> None:
-        self._parts.audit.record(self._parts.host, what, self._place, cause, {}, after)
+    def _record_audit(self, what: str, cause: str, after: dict[str, Any]) -> None:
+        self._dependencies.audit.record(
+            self._dependencies.host, what, self._place, cause, {}, after
+        )
 
 
 def find_changed(change: planner.WritePlan) -> list[str]:
-    """Find the hosts for which a plan wants something new."""
+    """Return the hosts whose part of the plan differs from the previous plan."""
     before = change.previous.wanted if change.previous is not None else {}
     return [h for h, wanted in change.wanted.items() if before.get(h) != wanted]
--- a/radishtally/entry/watch.py
+++ b/radishtally/entry/watch.py
@@ -1,4 +1,4 @@
-"""Look at the platform from time to time: configuration head and host list."""
+"""Poll the platform for the configuration head and the host list."""
 
 import asyncio
 import random
@@ -11,38 +11,39 @@
 from radishtally.links.messages import ConfigurationFiles
 from radishtally.store.core import ENTRY, ListedHost
 
-HEAD_SECONDS: Final = 1.0
-"""Time between two reads of the head by all entries together."""
-MAX_HEAD_SECONDS: Final = 60.0
-LIST_SECONDS: Final = 1.0
-LIST_HOSTS_PER_SECOND: Final = 100.0
-"""Lines of the list that an entry reads in a second, at most: docs/CAPACITY.md."""
+HEAD_POLL_SECONDS: Final = 1.0
+"""Average time between two reads of the head, counted over all entries."""
+MAX_HEAD_POLL_SECONDS: Final = 60.0
+LIST_POLL_SECONDS: Final = 1.0
+MAX_LISTED_HOSTS_PER_SECOND: Final = 100.0
+"""Upper bound on the list lines that one entry reads per second; the poll interval
+grows with the number of hosts to keep it. See docs/CAPACITY.md."""
 TICK_SECONDS: Final = 0.5
 
 
 class Watcher:
-    """Run the entry's regular looks at the platform."""
+    """Run the periodic tasks of an entry: platform polls and membership ticks."""
 
     def __init__(self, entry: Entry) -> None:
         self._entry = entry
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the periodic tasks."""
         spawn = self._entry.process.spawn
         self._tasks = [
-            spawn(self._watch_head()),
-            spawn(self._watch_list()),
+            spawn(self._poll_head()),
+            spawn(self._poll_list()),
             spawn(self._tick()),
         ]
 
     async def stop(self) -> None:
-        """Look no more."""
+        """Cancel the periodic tasks."""
         for task in self._tasks:
             task.cancel()
 
     async def read_head(self) -> None:
-        """Bring a newer configuration into force, if the table has one."""
+        """Apply the configuration in the table if it is newer."""
         entry = self._entry
         head = await entry.configurations.read_head()
         if head.is_error():
@@ -57,37 +58,41 @@
         given = ConfigurationFiles(head.ok.revision, hash_files(files.ok), files.ok)
         entry.process.apply_configuration(given, "table")
 
-    async def _watch_head(self) -> None:
+    async def _poll_head(self) -> None:
         while True:
             await self.read_head()
-            await asyncio.sleep(self._find_head_wait() * random.uniform(0.5, 1.5))
+            await asyncio.sleep(
+                self._find_head_poll_seconds() * random.uniform(0.5, 1.5)
+            )
 
-    def _find_head_wait(self) -> float:
-        """Take turns with the other entries, so that reads don't grow with them.
+    def _find_head_poll_seconds(self) -> float:
+        """Return the poll interval of this entry, which grows with the entry count.
 
-        Whoever reads a new head tells all its peers, so one read a second by any
-        entry brings it to all.
+        An entry that reads a new head notifies all its peers, so one read per second
+        by any entry is enough. The load on the table doesn't grow with the entries.
         """
         if self._entry.process.keeper.current is None:
-            return HEAD_SECONDS
+            return HEAD_POLL_SECONDS
         members = self._entry.members.membership.members.values()
         entries = sum(member.upstream == ENTRY for member in members)
-        return min(MAX_HEAD_SECONDS, HEAD_SECONDS * max(1, entries))
+        return min(MAX_HEAD_POLL_SECONDS, HEAD_POLL_SECONDS * max(1, entries))
 
-    async def _watch_list(self) -> None:
+    async def _poll_list(self) -> None:
         while True:
             listed = await self._entry.process.host_list.read()
             if listed.is_ok():
-                self._take_list(listed.ok)
+                self._apply_host_list(listed.ok)
             else:
                 log_message("list:unread", error=listed.error.message)
             hosts = len(self._entry.members.membership.members)
-            await asyncio.sleep(max(LIST_SECONDS, hosts / LIST_HOSTS_PER_SECOND))
+            await asyncio.sleep(
+                max(LIST_POLL_SECONDS, hosts / MAX_LISTED_HOSTS_PER_SECOND)
+            )
 
-    def _take_list(self, hosts: list[ListedHost]) -> None:
+    def _apply_host_list(self, hosts: list[ListedHost]) -> None:
         if not hosts:
             log_message("list:empty")
-        self._entry.members.listed(hosts)
+        self._entry.members.apply_host_list(hosts)
 
     async def _tick(self) -> None:
         while True:
--- a/tests/entry/front.py
+++ b/tests/entry/http_backend.py
@@ -30,7 +30,7 @@
 NUMBERS = itertools.count()
 
 
-class FakeFront:
+class FakeBackend:
     """Give every request the parts that the test has set."""
 
     def __init__(self) -> None:
@@ -117,7 +117,7 @@
 
     ip: str
     port: int
-    front: FakeFront
+    backend: FakeBackend
 
     async def connect(self) -> tuple[asyncio.Transport, "Collector"]:
         """Open a connection that collects what comes."""
@@ -183,8 +183,8 @@
 @asynccontextmanager
 async def serve(caller_seconds: float = 20.0) -> AsyncIterator[Wire]:
     """Serve the HTTP side on a port of the system's choice."""
-    front = FakeFront()
-    app = make_app(front, f"test-{next(NUMBERS)}", caller_seconds)
+    backend = FakeBackend()
+    app = make_app(backend, f"test-{next(NUMBERS)}", caller_seconds)
     listener = socket.create_server(("127.0.0.1", 0))
     server = await app.create_server(sock=listener, return_asyncio_server=True)
     # Only in this mode can sanic start a second application in one process.
@@ -193,7 +193,7 @@
     Sanic.test_mode = False
     await server.start_serving()
     try:
-        yield Wire(*listener.getsockname(), front)
+        yield Wire(*listener.getsockname(), backend)
     finally:
         server.close()
         await server.wait_closed()
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -8,19 +8,19 @@
 from radishtally.entry.callers import (
     Caller,
     Directory,
-    Envelope,
+    RequestOptions,
     TokenRatio,
     is_idempotent,
     make_call,
-    make_generation,
-    read_envelope,
+    make_generation_work,
+    read_options,
 )
 from radishtally.entry.openai import Generation
 from radishtally.links.messages import CHAT
 from radishtally.outcome import Refusal, Result
 
 NO_MODEL = '{ "models": { "orphan": { "version": "1" } } }'
-ENVELOPE = Envelope("", 30.0)
+OPTIONS = RequestOptions("", 30.0)
 
 
 @pytest.fixture
@@ -43,7 +43,7 @@
     plain = Generation(CHAT, "gown-llm", "Which darts?", 8, False, False)
     generation = plain._replace(**fields)
     ratio = TokenRatio()
-    return make_generation(caller, generation, b"{}", ENVELOPE, directory, ratio)
+    return make_generation_work(caller, generation, b"{}", OPTIONS, directory, ratio)
 
 
 def call(
@@ -55,7 +55,7 @@
 ) -> Result[object, Refusal]:
     body = b"{}"
     return make_call(
-        caller, "booking-app", method, path, headers, body, ENVELOPE, directory
+        caller, "booking-app", method, path, headers, body, OPTIONS, directory
     )
 
 
@@ -175,27 +175,27 @@
 
 @pytest.mark.parametrize("text", ["soon", "0", "-1", "nan", "inf", "3600.1", "1e999"])
 def test_bad_timeout(text: str) -> None:
-    assert read_envelope({"x-request-timeout": text}, 30.0).error.status == 400
+    assert read_options({"x-request-timeout": text}, 30.0).error.status == 400
 
 
 @pytest.mark.parametrize("key", ["k" * 256, "a\nb", "a\x00", "\udcff"])
 def test_bad_key(key: str) -> None:
-    assert read_envelope({"idempotency-key": key}, 30.0).error.status == 400
+    assert read_options({"idempotency-key": key}, 30.0).error.status == 400
 
 
-def test_envelope() -> None:
-    assert read_envelope({}, 30.0).ok == ("", 30.0)
+def test_options() -> None:
+    assert read_options({}, 30.0).ok == ("", 30.0)
     headers = {"idempotency-key": "k" * 255, "x-request-timeout": "0.25"}
-    assert read_envelope(headers, 30.0).ok == ("k" * 255, 0.25)
+    assert read_options(headers, 30.0).ok == ("k" * 255, 0.25)
 
 
 def test_token_ratio_learns() -> None:
     ratio = TokenRatio()
     assert ratio.estimate("m", 400) == 100
-    ratio.learn("m", 100, 50)
+    ratio.record_count("m", 100, 50)
     assert ratio.estimate("m", 400) == 200
     for _ in range(200):
-        ratio.learn("m", 100, 10)
+        ratio.record_count("m", 100, 10)
     assert ratio.estimate("m", 400) == pytest.approx(40, abs=1)
-    ratio.learn("m", 0, 10)
+    ratio.record_count("m", 0, 10)
     assert ratio.estimate("m", 0) == 1
--- a/tests/entry/test_http.py
+++ b/tests/entry/test_http.py
@@ -8,12 +8,12 @@
 from radishtally.entry.http import (
     MAX_HEADER_BYTES,
     MAX_REQUEST_BYTES,
-    Front,
-    TextJoiner,
+    Backend,
+    Utf8StreamDecoder,
 )
 from radishtally.outcome import Ran, Refusal
 from tests.common import run
-from tests.entry.front import (
+from tests.entry.http_backend import (
     CHAT_BODY,
     CHAT_PATH,
     KEY,
@@ -33,10 +33,10 @@
 
     async def ask_once() -> Reply:
         async with serve() as wire:
-            wire.front.whole = b"whole"
+            wire.backend.whole = b"whole"
             reply = await wire.ask(*args, **more)
             if reply.status >= 400:
-                assert wire.front.works == [], "refused, yet brought in"
+                assert wire.backend.works == [], "refused, yet brought in"
             return reply
 
     return run(ask_once())
@@ -138,15 +138,15 @@
 def test_headers_reach_the_work() -> None:
     async def check() -> None:
         async with serve() as wire:
-            wire.front.whole = b"whole"
+            wire.backend.whole = b"whole"
             headers = b"Idempotency-Key: k-1\r\nX-Request-Timeout: 2.5\r\n"
             reply = await wire.ask(headers=headers)
             assert reply.status == 200
-            work = wire.front.works[0]
+            work = wire.backend.works[0]
             assert (work.team, work.key) == ("demo", "k-1")
-            assert wire.front.timeouts == [2.5]
+            assert wire.backend.timeouts == [2.5]
             assert reply.headers["x-request-id"] == work.request
-            assert wire.front.closed == [True]
+            assert wire.backend.closed == [True]
 
     run(check())
 
@@ -154,7 +154,7 @@
 def test_oversized_body_by_policy() -> None:
     async def check() -> Reply:
         async with serve() as wire:
-            policy = wire.front.directory.configuration.policy
+            policy = wire.backend.directory.configuration.policy
             return await wire.ask(body=b"x" * (policy.max_body_bytes + 1))
 
     check_refusal(run(check()), 413, "body_too_large")
@@ -228,7 +228,7 @@
 def test_no_configuration_yet() -> None:
     async def check() -> None:
         async with serve() as wire:
-            wire.front.directory = None
+            wire.backend.directory = None
             check_refusal(await wire.ask(), 503, "not_ready")
             assert (await wire.ask("/readyz", b"", method="GET")).status == 503
             assert (await wire.ask("/healthz", b"", method="GET")).status == 200
@@ -239,7 +239,7 @@
 def test_stopping_entry_refuses_new_requests() -> None:
     async def check() -> None:
         async with serve() as wire:
-            wire.front.stopping = True
+            wire.backend.stopping = True
             reply = await wire.ask()
             check_refusal(reply, 503, "stopping")
             assert reply.headers["retry-after"] == "1"
@@ -251,7 +251,7 @@
 def test_refusal_in_place_of_an_answer() -> None:
     async def check(streamed: bool) -> None:
         async with serve() as wire:
-            wire.front.parts = [BUSY]
+            wire.backend.parts = [BUSY]
             reply = await wire.ask(body=change(stream=streamed))
             check_refusal(reply, 429, "overloaded")
             assert reply.headers["retry-after"] == "1"
@@ -267,7 +267,7 @@
     # neither the caller nor the log gets to see what the fault's text holds.
     async def check() -> Reply:
         async with serve() as wire:
-            wire.front.broken = True
+            wire.backend.broken = True
             return await wire.ask()
 
     reply = run(check())
@@ -290,8 +290,8 @@
     async def check() -> Reply:
         async with serve() as wire:
             text = "Ärmel 刺繍".encode()
-            wire.front.parts = [text[:1], text[1:8], text[8:10], text[10:]]
-            wire.front.whole = text
+            wire.backend.parts = [text[:1], text[1:8], text[8:10], text[10:]]
+            wire.backend.whole = text
             return await wire.ask(body=change(stream=True))
 
     reply = run(check())
@@ -306,7 +306,7 @@
 def test_stream_with_usage() -> None:
     async def check() -> Reply:
         async with serve() as wire:
-            wire.front.whole = b"x"
+            wire.backend.whole = b"x"
             body = change(stream=True, stream_options={"include_usage": True})
             return await wire.ask(body=body)
 
@@ -325,9 +325,9 @@
     # its adapter was asked for, from streams as well as from whole answers.
     async def check() -> dict[str, float]:
         async with serve() as wire:
-            wire.front.whole = b"x"
+            wire.backend.whole = b"x"
             await wire.ask(body=change(stream=streamed, model=model))
-            return wire.front.ratio.by_model
+            return wire.backend.ratio.by_model
 
     characters = len(CHAT_BODY["messages"][0]["content"])
     assert run(check()) == {"gown-llm": pytest.approx(3 / characters)}
@@ -339,7 +339,7 @@
     # without [DONE], so that no library takes the half for the whole.
     async def check() -> Reply:
         async with serve() as wire:
-            wire.front.parts = [b"half of", LOST]
+            wire.backend.parts = [b"half of", LOST]
             return await wire.ask(body=change(stream=True))
 
     *events, last = read_events(run(check()))
@@ -352,8 +352,8 @@
 def test_engine_refusal_is_passed_on() -> None:
     async def check(streamed: bool) -> None:
         async with serve() as wire:
-            wire.front.whole = b"x"
-            wire.front.status = 400
+            wire.backend.whole = b"x"
+            wire.backend.status = 400
             reply = await wire.ask(body=change(stream=streamed))
             check_refusal(reply, 400, "invalid_request")
 
@@ -368,15 +368,15 @@
         async with serve() as wire:
             await leave_early(wire)
             async with asyncio.timeout(30):
-                await wire.front.was_closed.wait()
-            assert wire.front.closed == [False]
+                await wire.backend.was_closed.wait()
+            assert wire.backend.closed == [False]
 
     async def leave_early(wire: Wire) -> None:
         _, writer = await asyncio.open_connection(wire.ip, wire.port)
         body = json.dumps(CHAT_BODY).encode()
         head = f"POST {CHAT_PATH} HTTP/1.1\r\nAuthorization: Bearer {KEY}\r\n"
         writer.write(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
-        while not wire.front.works:
+        while not wire.backend.works:
             await asyncio.sleep(0.01)
         writer.close()
 
@@ -389,30 +389,30 @@
     # the connection and takes the work back, in place of waiting for an hour.
     async def check() -> list[bool]:
         async with serve(caller_seconds=0.1) as wire, asyncio.timeout(30):
-            wire.front.parts = [b"x" * 1_000_000] * 100
-            wire.front.whole = b"x"
+            wire.backend.parts = [b"x" * 1_000_000] * 100
+            wire.backend.whole = b"x"
             transport, _ = await wire.connect()
             transport.pause_reading()
             body = change(stream=True)
             transport.write(form_request(CHAT_PATH, body, "POST", KEY, b""))
-            await wire.front.was_closed.wait()
+            await wire.backend.was_closed.wait()
             transport.abort()
-            return wire.front.closed
+            return wire.backend.closed
 
     assert run(check()) == [False]
 
 
 def test_joiner_holds_back_cut_characters() -> None:
-    joiner = TextJoiner()
+    decoder = Utf8StreamDecoder()
     data = "a刺b".encode()
-    assert "".join(joiner.join(data[i : i + 1]) for i in range(len(data))) == "a刺b"
+    assert "".join(decoder.decode(data[i : i + 1]) for i in range(len(data))) == "a刺b"
 
 
 def test_fake_front_is_a_front() -> None:
-    async def check() -> Front:
+    async def check() -> Backend:
         async with serve() as wire:
-            return wire.front
+            return wire.backend
 
-    names = [name for name in vars(Front) if not name.startswith("_")]
-    front = run(check())
-    assert all(hasattr(front, name) for name in names)
+    names = [name for name in vars(Backend) if not name.startswith("_")]
+    backend = run(check())
+    assert all(hasattr(backend, name) for name in names)
--- a/tests/entry/test_planning.py
+++ b/tests/entry/test_planning.py
@@ -4,7 +4,7 @@
 import time
 
 from radishtally.authority.plan import Plan
-from radishtally.entry.planning import Parts, PlacePlanning
+from radishtally.entry.planning import PlacePlanner, PlannerDependencies
 from radishtally.outcome import Ok, Result
 from radishtally.store.ids import WriteIds
 from tests.common import MemoryTable, run
@@ -48,9 +48,9 @@
 def test_answer_for_a_lease_that_was_lost_is_not_taken() -> None:
     async def play() -> None:
         plans = SlowPlans()
-        planning = PlacePlanning(
+        planning = PlacePlanner(
             PLACE,
-            Parts(
+            PlannerDependencies(
                 "e",
                 WriteIds("e-1"),
                 None,
@@ -61,11 +61,11 @@
             ),
         )
         planning._lease = lease = FakeLease()
-        planning._gained(1)
+        planning._on_lease_gained(1)
         await turn()
-        planning._lost("not renewed in time")
+        planning._on_lease_lost("not renewed in time")
         lease.fencing = 2
-        planning._gained(2)
+        planning._on_lease_gained(2)
         await turn()
         first, second = plans.asked
         second.set_result(None)
@@ -85,9 +85,9 @@
         now = 100.0
         monkeypatch.setattr(time, "clock_gettime", lambda _: now)
         plans = SlowPlans()
-        planning = PlacePlanning(
+        planning = PlacePlanner(
             PLACE,
-            Parts(
+            PlannerDependencies(
                 "e",
                 WriteIds("e-1"),
                 MemoryTable(),
