--- a/radishtally/agent/daemon.py
+++ b/radishtally/agent/daemon.py
@@ -16,7 +16,7 @@
 from radishtally.authority.plan import DRAIN, PLAN
 from radishtally.authority.plan_store import PlanStore
 from radishtally.configuration.config import Service as ServiceConfig
-from radishtally.links.hub import Callbacks
+from radishtally.links.hub import LinkCallbacks
 from radishtally.links.messages import Hello, Hint, Message, Offer
 from radishtally.process import Process
 from radishtally.runtime import Waker
@@ -38,7 +38,7 @@
         self.drains = DrainFollower(settings.host, self.process.table, self)
         self.orders: OrderDriver | None = None
         self.process.make_hub(
-            Callbacks(self._link_up, self._link_down, self._receive, self._is_busy)
+            LinkCallbacks(self._link_up, self._link_down, self._receive, self._is_busy)
         )
 
     async def run(self) -> None:
@@ -50,7 +50,7 @@
             if is_engine
             else Service(upstream.url, self.handle)
         )
-        self.process.watch_loop()
+        self.process.install_handlers()
         await self.process.hub.start(self.settings.address)
         self.process.audit.start()
         self.process.spawn(self._watch_engine() if is_engine else self._watch_service())
@@ -146,7 +146,7 @@
             self.orders.drained()
 
     def _link_up(self, hello: Hello) -> None:
-        self.process.note_peer(hello.host, hello.revision)
+        self.process.request_newer_configuration(hello.host, hello.revision)
         self.handle(events.LinkUp(hello.host))
 
     def _link_down(self, host: str, reason: str) -> None:
@@ -154,7 +154,7 @@
         self.handle(events.LinkDown(host))
 
     def _receive(self, host: str, message: Message) -> None:
-        if self.process.handle_shared(host, message):
+        if self.process.handle_common_message(host, message):
             return
         if isinstance(message, Hint):
             self._take_hint(message)
--- a/radishtally/gateway/changes.py
+++ b/radishtally/gateway/changes.py
@@ -1,4 +1,4 @@
-"""Carry out what became of the upstreams' hosts."""
+"""Apply changes of the upstreams' hosts to the parts of the gateway."""
 
 from functools import singledispatch
 from typing import Protocol
@@ -24,8 +24,8 @@
 from radishtally.stages.role_controller import RoleController
 
 
-class Parts(Protocol):
-    """Be what knows of hosts in a gateway."""
+class ChangeTargets(Protocol):
+    """Give access to the parts of a gateway that hold state about hosts."""
 
     members: Members
     hosts: DirectHosts
@@ -34,17 +34,17 @@
     stages: RoleController
 
     def handle(self, event: events.Event) -> None:
-        """Give the core an event and carry out its commands."""
+        """Handle an event and execute the resulting commands."""
 
 
 @singledispatch
-def carry_out(change: HostChange, parts: Parts) -> None:
-    """Bring one change to all parts."""
-    raise TypeError(f"no way to carry out {type(change)}")
+def apply_change(change: HostChange, targets: ChangeTargets) -> None:
+    """Apply one change to all parts that hold state about the host."""
+    raise TypeError(f"no handler for host changes of type {type(change)}")
 
 
-@carry_out.register
-def _(change: HostUpdated, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostUpdated, targets: ChangeTargets) -> None:
     instance = change.instance
     host = instance.host
     log_message(
@@ -56,17 +56,17 @@
         role=instance.role,
         is_draining=instance.is_draining,
     )
-    parts.hosts.set_instance(instance)
-    parts.placement.set_instance(instance)
+    targets.hosts.set_instance(instance)
+    targets.placement.set_instance(instance)
     live = not instance.is_draining
-    parts.core.set_host(host, instance.data_centre, instance.upstream, live)
-    parts.core.hosts[host].reports_start = instance.started_ms > 0
-    if host not in parts.core.links:
-        _link(instance, parts)
+    targets.core.set_host(host, instance.data_centre, instance.upstream, live)
+    targets.core.hosts[host].reports_start = instance.started_ms > 0
+    if host not in targets.core.links:
+        _start_dispatch(instance, targets)
 
 
-@carry_out.register
-def _(change: HostMissing, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostMissing, targets: ChangeTargets) -> None:
     log_message(
         "upstream:missing",
         upstream_host=change.host,
@@ -75,13 +75,13 @@
     )
 
 
-@carry_out.register
-def _(change: HostReturned, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostReturned, targets: ChangeTargets) -> None:
     log_message("upstream:returned", upstream_host=change.host)
 
 
-@carry_out.register
-def _(change: HostRestarted, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostRestarted, targets: ChangeTargets) -> None:
     host = change.host
     log_message(
         "upstream:restarted",
@@ -90,27 +90,27 @@
         after=change.after,
         source=change.source.value,
     )
-    parts.placement.reset_engine(host)
-    parts.stages.reset_engine(host)
-    parts.core.restart_host(host)
-    parts.core.links.pop(host, None)
+    targets.placement.reset_engine(host)
+    targets.stages.reset_engine(host)
+    targets.core.restart_host(host)
+    targets.core.links.pop(host, None)
 
 
-@carry_out.register
-def _(change: HostRemoved, parts: Parts) -> None:
+@apply_change.register
+def _(change: HostRemoved, targets: ChangeTargets) -> None:
     host = change.host
     log_message("upstream:gone", upstream_host=host)
-    parts.hosts.forget(host)
-    parts.placement.forget(host)
-    parts.core.forget_host(host)
-    parts.core.links.pop(host, None)
+    targets.hosts.forget(host)
+    targets.placement.forget(host)
+    targets.core.forget_host(host)
+    targets.core.links.pop(host, None)
 
 
-def _link(instance: Instance, parts: Parts) -> None:
-    """Let a host get work; what is open at an earlier start of it is lost."""
+def _start_dispatch(instance: Instance, targets: ChangeTargets) -> None:
+    """Allow dispatch to a host, and cancel requests open at its earlier start."""
     host = instance.host
-    incarnation = parts.members.starts.name(host)
-    for request in parts.core.list_outdated(host, incarnation):
-        parts.hosts.cancel(Cancel(request.work.request, request.attempt))
+    incarnation = targets.members.starts.name_incarnation(host)
+    for request in targets.core.list_outdated(host, incarnation):
+        targets.hosts.cancel(Cancel(request.work.request, request.attempt))
     hello = Hello(host, instance.data_centre, "", incarnation, 0)
-    parts.handle(events.LinkUp(hello))
+    targets.handle(events.LinkUp(hello))
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -1,4 +1,4 @@
-"""Hold what every process of the system needs, whatever its role."""
+"""Base of entry and agent processes: store clients, links, metrics, configuration."""
 
 import secrets
 import time
@@ -8,10 +8,10 @@
 
 from radishtally.audit.store import AuditLog
 from radishtally.distribution.core import Keeper
-from radishtally.links.hub import Callbacks, LinkHub
+from radishtally.links.hub import LinkCallbacks, LinkHub
 from radishtally.links.messages import (
-    FilesAsk,
-    FilesGive,
+    ConfigurationFiles,
+    ConfigurationRequest,
     Hello,
     Message,
     Ping,
@@ -28,7 +28,7 @@
 
 
 class Process(Runtime):
-    """Set up and unload the parts that entries and agents share."""
+    """Set up and shut down the components that entries and agents share."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
@@ -44,50 +44,50 @@
         self.on_stall = self._count_stall
         self.on_configuration: Callable[[], None] = lambda: None
 
-    def make_hub(self, callbacks: Callbacks) -> LinkHub:
-        """Make the hub; it listens once it is started."""
+    def make_hub(self, callbacks: LinkCallbacks) -> LinkHub:
+        """Create the link hub, which listens once it is started."""
         settings = self.settings
         hello = Hello(settings.host, settings.place, settings.role, self.incarnation, 0)
-        guarded = Callbacks(*map(self.guard_call, callbacks))
+        guarded = LinkCallbacks(*map(self.guard_call, callbacks))
         self.hub = LinkHub(hello, settings.peer_key, guarded)
         return self.hub
 
     async def unload(self) -> None:
-        """Close what was set up; end with an error code if an invariant broke."""
+        """Close all components; exit with an error code if an invariant was broken."""
         self.cancel_tasks()
         await self.audit.stop()
         await self.hub.stop()
         for client in (self.table, self.objects, self.host_list):
             await client.close()
-        self.exit()
+        self.exit_if_broken()
 
     def _count_stall(self, stall: Stall) -> None:
         self.metrics.incr("stalls")
         self.metrics.timing("stalled", stall.seconds * 1000)
 
-    def handle_shared(self, host: str, message: Message) -> bool:
-        """Take a message that means the same in every role; tell whether it was one."""
+    def handle_common_message(self, host: str, message: Message) -> bool:
+        """Handle a message that is common to all roles; return whether it was one."""
         if isinstance(message, Hello | Ping | Pong):
-            self.note_peer(host, message.revision)
+            self.request_newer_configuration(host, message.revision)
             return not isinstance(message, Ping)
-        if isinstance(message, FilesAsk):
+        if isinstance(message, ConfigurationRequest):
             given = self.keeper.answer(message)
             if given is not None:
                 self.hub.send(host, given)
             return True
-        if isinstance(message, FilesGive):
-            self.take_files(message, host)
+        if isinstance(message, ConfigurationFiles):
+            self.apply_configuration(message, host)
             return True
         return False
 
-    def note_peer(self, host: str, revision: int) -> None:
-        """Ask a peer that has a newer configuration for it."""
+    def request_newer_configuration(self, host: str, revision: int) -> None:
+        """Request the configuration from a peer that has a newer revision."""
         ask = self.keeper.note_peer(host, revision, time.monotonic())
         if ask is not None:
             self.hub.send(host, ask)
 
-    def take_files(self, given: FilesGive, source: str) -> None:
-        """Bring a configuration into force and tell every peer at once."""
+    def apply_configuration(self, given: ConfigurationFiles, source: str) -> None:
+        """Apply a configuration and announce its revision to all peers."""
         outcome = self.keeper.take(given)
         if outcome.is_error():
             log_message(
--- a/tests/gateway/test_kept_answers.py
+++ b/tests/gateway/test_kept_answers.py
@@ -1,4 +1,4 @@
-"""Answers that a kept connection may hold for another request, or lose."""
+"""Tests of kept-alive connections that carry unexpected data or lose an answer."""
 
 import asyncio
 
@@ -15,11 +15,11 @@
 from tests.gateway.test_streams import make_whole, start_engines, stream
 
 
-# A caller gets 502: a host's second answer is read in two parts, the first of which
-# ends within its head. The connection is kept, nothing shows on it, and the rest of
-# the head comes when the next request is out: read as the start of its own answer.
+# Guards against 502 for a later request: a host sends a second answer of which only
+# half the head has been read when the connection is kept alive. The rest arrives after
+# the next request was sent, and is parsed as the start of that request's answer.
 @pytest.mark.parametrize("is_split", [True, False])
-def test_half_a_head_costs_no_later_request(is_split: bool) -> None:
+def test_partial_head_does_not_fail_a_later_request(is_split: bool) -> None:
     first, second = make_answer(("r1",), "r1"), make_answer((), "twice")
     host = Host()
 
@@ -33,33 +33,34 @@
         rest = second[30:] if host.connections == 1 else b""
         writer.write(rest + make_answer(("r2",), "r2"))
 
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             host.answer.update(r1=answer_and_half, r2=answer_behind)
-            await host.serve(made)
-            assert (await ask(made, "/read/a", "r1"))[2] == b"r1"
-            status, _, body = await ask(made, "/read/a", "r2")
+            await host.serve(env)
+            assert (await ask(env, "/read/a", "r1"))[2] == b"r1"
+            status, _, body = await ask(env, "/read/a", "r2")
             assert (status, body) == (200, b"r2")
 
-    run(play())
+    run(scenario())
 
 
-# Prompts are read twice if an answer about a prompt is not taken for its own one: an
-# engine names the request in these too, and connections to engines are kept.
-def test_each_prompt_is_read_once_on_a_kept_connection() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            prefill, decode = await start_engines(made)
+# Guards against prompts that are prefilled twice because the answer to a prefill is not
+# matched to its request: engines include the request id in these answers as well, and
+# connections to engines are kept alive.
+def test_each_prompt_is_prefilled_once_on_a_kept_connection() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
+            prefill, decode = await start_engines(env)
             for name in ("r1", "r2", "r3"):
-                assert await stream(made, "/sheet/a", name) == make_whole(name)
+                assert await stream(env, "/sheet/a", name) == make_whole(name)
             assert len(decode.fetched) == 3
             assert len(prefill.handles) == 3
 
-    run(play())
+    run(scenario())
 
 
-# An engine that is at work is taken for one of another role that took no order: any
-# JSON object is read as a report, also a caller's answer or a refusal.
+# Guards against an engine that is taken for one of another role without orders: any
+# JSON object, such as a caller's answer or a refusal, is parsed as a report.
 @pytest.mark.parametrize(
     "answer",
     [
@@ -68,12 +69,12 @@
         b'HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{"held":[]}',
     ],
 )
-def test_report_is_not_read_from_another_answer(answer: bytes) -> None:
+def test_report_is_not_parsed_from_another_answer(answer: bytes) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(answer)
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = await asyncio.start_server(serve, LOOPBACK, 0)
         port = server.sockets[0].getsockname()[1]
         hosts = DirectHosts(PlatformUpstreams(), lambda *_: None)
@@ -83,13 +84,13 @@
         await hosts.stop()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
-# A request goes out on a connection on which an answer waits in the kernel: the loop
-# has not looked since the answer came.
-def test_connection_with_something_unread_is_not_used() -> None:
-    async def play() -> None:
+# Guards against a request on a connection that has unread data in the kernel's buffer:
+# the event loop has not polled since the data arrived.
+def test_connection_with_unread_data_is_not_used() -> None:
+    async def scenario() -> None:
         writers: list[asyncio.StreamWriter] = []
 
         async def serve(
@@ -104,7 +105,7 @@
         session = open_session(False, lambda: None)
         async with session.get(url) as response:
             await response.read()
-        # Written at once, and taken in the same step of the loop.
+        # Written, and the connection acquired, in the same event loop iteration.
         writers[0].write(make_answer((), "twice"))
         async with session.get(url) as response:
             assert await response.read() == b"r1"
@@ -113,15 +114,14 @@
         await session.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
-# A caller gets 502 though its call ran and was answered, whole: behind the answer the
-# host sent what is no answer in the protocol, and the library threw away all that came
-# in the same read.
+# Guards against 502 for a call that ran and was fully answered: the host sends invalid
+# data after the answer, and the HTTP library drops everything from the same read.
 @pytest.mark.parametrize("more", [b"\0\1 no answer", make_answer((), "twice")])
 @pytest.mark.parametrize("closes", [b"", b"Connection: close\r\n"])
-def test_whole_answer_is_delivered_whatever_follows_it(
+def test_complete_answer_is_delivered_whatever_follows_it(
     more: bytes, closes: bytes
 ) -> None:
     host = Host()
@@ -130,12 +130,12 @@
     async def answer_and_more(writer: asyncio.StreamWriter) -> None:
         writer.write(answer + more)
 
-    async def play() -> None:
-        async with deployment() as made:
+    async def scenario() -> None:
+        async with deployment() as env:
             host.answer["r1"] = answer_and_more
-            await host.serve(made)
+            await host.serve(env)
             for method, path in (("POST", "/book/a"), ("GET", "/read/a")):
-                status, _, body = await ask(made, path, "r1", method)
+                status, _, body = await ask(env, path, "r1", method)
                 assert (status, body) == (200, b"r1")
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_loads.py
+++ b/tests/gateway/test_loads.py
@@ -1,4 +1,4 @@
-"""Tests of gateways that hear of each other's work, without links."""
+"""Tests of the load exchange between gateways, without network links."""
 
 import time
 from collections import defaultdict
@@ -8,13 +8,13 @@
 from radishtally.direct.core import Instance
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.loads import (
-    CANDIDATE_SECONDS,
-    REFRESH_SECONDS,
+    FULL_REFRESH_SECONDS,
+    MIN_CANDIDATE_SECONDS,
     LoadExchange,
 )
 from radishtally.gateway.topology import (
-    COLLECTORS,
-    MESH_GATEWAYS,
+    COLLECTOR_CANDIDATES,
+    MAX_MESH_GATEWAYS,
     Site,
     choose_dialled,
 )
@@ -33,18 +33,18 @@
 from radishtally.serving.suspects import ENDS_TO_DENY, HostEnd, Suspects
 from radishtally.stages.role_controller import RoleController
 
-MANY = MESH_GATEWAYS + 8
+MANY = MAX_MESH_GATEWAYS + 8
 ENGINE = Instance("d-1", "llm", "d-1:1", "howrah", False, 64, DECODE)
 
 
 def count_answers(placement: EnginePlacement, host: str) -> int:
-    """Count what all gateways have at an engine; none if it was never seen."""
+    """Return the answers that all gateways have open at an engine."""
     engine = placement._engines.get(host)
     return engine.count_answers() if engine else 0
 
 
-class Net:
-    """Pass messages between gateways at once, and count them."""
+class Network:
+    """Deliver messages between gateways immediately, and count them."""
 
     def __init__(self, count: int, data_centres: int = 1) -> None:
         self.sent = 0
@@ -59,16 +59,16 @@
         data_centre = f"z-{len(self.sites) % self.data_centres}"
         self.sites[name] = Site(data_centre, 1.0)
         self.gateways[name] = Gateway(name, self)
-        self.relist()
+        self.publish_sites()
 
-    def relist(self) -> None:
-        """Have all gateways learn which ones there are."""
+    def publish_sites(self) -> None:
+        """Inform all gateways of the current list of gateways."""
         self.linked.clear()
         for gateway in self.gateways.values():
             gateway.loads.set_sites(dict(self.sites))
 
     def find_linked(self, own: str) -> list[str]:
-        """Find those that a gateway has links to."""
+        """Return the gateways that a gateway has links to."""
         if not self.linked:
             gone = set(self.sites) - set(self.gateways)
             for one in self.gateways:
@@ -79,33 +79,33 @@
         return self.linked[own]
 
     def remove(self, name: str) -> None:
-        """Cut a gateway's links; it stays listed."""
+        """Remove a gateway and its links; it stays listed."""
         del self.gateways[name]
         self.linked.clear()
         for gateway in self.gateways.values():
-            gateway.loads.forget(name)
+            gateway.loads.forget_peer(name)
 
     def unlist(self, name: str) -> None:
-        """Let a gateway go for good."""
+        """Remove a gateway and its listing."""
         self.remove(name)
         del self.sites[name]
-        self.relist()
+        self.publish_sites()
 
-    def play(self, now: float) -> None:
-        """Let each gateway have three rounds, and three once all is told again."""
-        later = now + REFRESH_SECONDS
+    def run_rounds(self, now: float) -> None:
+        """Run three rounds of each gateway, and three with a full refresh."""
+        later = now + FULL_REFRESH_SECONDS
         for at in (now, now, now, later, later, later):
             for gateway in self.gateways.values():
-                gateway.loads._follow_links()
-                gateway.loads._tell_backlog(at)
-                gateway.loads._tell_suspicions(at)
-                gateway.loads._tell_demand(at)
+                gateway.loads._update_group()
+                gateway.loads._send_backlog(at)
+                gateway.loads._send_changed_suspicions(at)
+                gateway.loads._send_demand(at)
 
 
 class Gateway:
-    """Hold one gateway's side, and stand for its hub."""
+    """Hold the state of one gateway, and act as its link hub."""
 
-    def __init__(self, name: str, net: Net) -> None:
+    def __init__(self, name: str, net: Network) -> None:
         self.name = name
         self.net = net
         self.placement = EnginePlacement(lambda: 0.0)
@@ -129,11 +129,11 @@
     def send(self, peer: str, message: Message) -> bool:
         self.net.sent += 1
         assert peer in self.hosts
-        self.net.gateways[peer].loads.take(self.name, message)
+        self.net.gateways[peer].loads.handle_message(self.name, message)
         return True
 
     def begin(self, number: int) -> None:
-        """Have an answer made."""
+        """Start decoding an answer at the engine."""
         work = Work(f"{self.name}-{number}", "", "llm", STREAM, b"")
         request = OpenRequest(work, 10.0, True, 0.0)
         request.stage, request.kv = WHOLE, KvRef("p", "p:1", "h", 1)
@@ -141,7 +141,7 @@
         self.placement.begin(request, host, 0.0)
 
     def restart_engine(self, started_ms: int) -> None:
-        """Learn that the engine has started again."""
+        """Record that the engine has restarted."""
         self.placement.reset_engine(ENGINE.host)
         self.placement.set_instance(ENGINE._replace(started_ms=started_ms))
 
@@ -149,96 +149,96 @@
         return count_answers(self.placement, ENGINE.host)
 
 
-# An engine is given more than it can do in time, or less, as gateways miss what others
-# have open, or count it twice: what one collects for all must add up for each.
+# Guards against overloaded or idle engines, because gateways miss open work of others
+# or count it twice: the sums of the collectors must add up at each gateway.
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
-@pytest.mark.parametrize("count", [2, MESH_GATEWAYS, MANY, 3 * MANY])
+@pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
 def test_each_gateway_counts_all_work_once(count: int, data_centres: int) -> None:
-    net = Net(count, data_centres)
+    net = Network(count, data_centres)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
-    net.play(0.0)
+    net.run_rounds(0.0)
     assert {gateway.count() for gateway in net.gateways.values()} == {count}
 
 
 @pytest.mark.parametrize("data_centres", [1, 5])
-def test_messages_of_a_round_grow_with_the_gateways(data_centres: int) -> None:
+def test_messages_per_round_grow_linearly(data_centres: int) -> None:
     sent = {}
     for count in (MANY, 10 * MANY):
-        net = Net(count, data_centres)
-        net.play(0.0)
+        net = Network(count, data_centres)
+        net.run_rounds(0.0)
         net.sent = 0
         for gateway in net.gateways.values():
             gateway.begin(1)
-        net.play(0.1)
+        net.run_rounds(0.1)
         sent[count] = net.sent / count
     assert sent[10 * MANY] <= 1.1 * sent[MANY]
 
 
-# The work of all is forgotten, or that of the dead one counts for ever: the gateway
-# that collected is killed, and another one takes over.
+# Guards against lost work counts, and against work of a dead gateway that is counted
+# forever, when the collector is killed and another gateway takes over.
 @pytest.mark.parametrize("data_centres", [1, 3])
-def test_another_gateway_collects_when_the_first_is_gone(data_centres: int) -> None:
-    net = Net(MANY, data_centres)
-    net.play(0.0)
+def test_standby_takes_over_from_a_dead_collector(data_centres: int) -> None:
+    net = Network(MANY, data_centres)
+    net.run_rounds(0.0)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
-    net.play(2.0)
-    net.remove(next(iter(net.gateways.values())).loads._circle.collector)
-    net.play(4.0)
+    net.run_rounds(2.0)
+    net.remove(next(iter(net.gateways.values())).loads._group.collector)
+    net.run_rounds(4.0)
     assert {gateway.count() for gateway in net.gateways.values()} == {MANY - 1}
 
 
-# All work counts twice: gateways come one by one until they are too many to tell each
-# other directly, and what they have told is told by the one that collects as well.
-def test_work_counts_once_when_one_begins_to_collect() -> None:
-    net = Net(MESH_GATEWAYS)
+# Guards against work that is counted twice: as gateways are added one by one, the mesh
+# is replaced by a collector, which sends the work that was sent directly before.
+def test_work_is_counted_once_when_a_mesh_gets_a_collector() -> None:
+    net = Network(MAX_MESH_GATEWAYS)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
-    net.play(0.0)
+    net.run_rounds(0.0)
     net.add("late")
-    net.play(2.0)
+    net.run_rounds(2.0)
     counts = {gateway.count() for gateway in net.gateways.values()}
-    assert counts == {MESH_GATEWAYS}
+    assert counts == {MAX_MESH_GATEWAYS}
 
 
-# Engines get too much work: the gateways become few enough to tell each other directly.
-# Each forgets what the collecting one told, and takes no word of those that have not
-# changed over yet; of what had been open before, nothing is told again.
-def test_all_work_counts_when_none_collects_any_more() -> None:
-    net = Net(MESH_GATEWAYS + 1)
+# Guards against overloaded engines: with fewer gateways, the collector is replaced by a
+# mesh. Each gateway drops the collector's sums and ignores gateways that have not
+# switched yet, and work that was open before is not sent again.
+def test_all_work_is_counted_when_a_collector_is_replaced_by_a_mesh() -> None:
+    net = Network(MAX_MESH_GATEWAYS + 1)
     for number, gateway in enumerate(net.gateways.values()):
         gateway.begin(number)
-    net.play(0.0)
+    net.run_rounds(0.0)
     net.unlist(next(reversed(net.gateways)))
-    net.play(4.0)
+    net.run_rounds(4.0)
     assert [gateway.count() for gateway in net.gateways.values()] == (
-        [MESH_GATEWAYS] * MESH_GATEWAYS
+        [MAX_MESH_GATEWAYS] * MAX_MESH_GATEWAYS
     )
 
 
-# An engine that has just come gets too much work: one gateway hears of it later than
-# the others, and what they have open there is told to it before it knows the engine.
+# Guards against an overloaded new engine: one gateway discovers it later than the
+# others, and receives their open work there before it knows the engine.
 @pytest.mark.parametrize("count", [2, MANY])
 def test_work_at_an_engine_that_is_not_listed_yet_is_counted_later(count: int) -> None:
-    net = Net(count)
+    net = Network(count)
     last = net.gateways[f"g-{count - 1}"]
     last.placement.forget(ENGINE.host)
     net.gateways["g-0"].begin(0)
-    net.play(0.0)
+    net.run_rounds(0.0)
     assert last.count() == 0
     last.placement.set_instance(ENGINE)
-    net.play(4.0)
+    net.run_rounds(4.0)
     assert last.count() == 1
 
 
 @pytest.mark.parametrize("data_centres", [1, 5])
-def test_demand_of_all_counts_where_one_collects(data_centres: int) -> None:
-    net = Net(MANY, data_centres)
-    net.play(0.0)
+def test_demand_of_all_gateways_is_counted_with_collectors(data_centres: int) -> None:
+    net = Network(MANY, data_centres)
+    net.run_rounds(0.0)
     for gateway in net.gateways.values():
         gateway.stages.record_request("llm", 750_000, 0, 0.0)
-    net.play(2.0)
+    net.run_rounds(2.0)
     totals = [
         gateway.stages._demands["llm"].collect(4.0, ("nobody",))
         for gateway in net.gateways.values()
@@ -248,140 +248,141 @@
     assert totals[0].prompt_tokens > (MANY - 1) * alone.prompt_tokens
 
 
-# An engine that is idle is taken for busy, or a busy one for idle: it started again,
-# and gateways learn so one after another. What one has open at another start than one
-# knows of counts for nothing, and counts in full once the start is known.
+# Guards against an idle engine that is taken for busy, or the reverse: it restarts, and
+# gateways learn of it one after another. Work at a start that a gateway does not know
+# is not counted there, and is counted in full once the start is known.
 @pytest.mark.parametrize("count", [3, MANY])
-def test_work_counts_where_its_start_is_known(count: int) -> None:
-    net = Net(count)
+def test_work_is_counted_where_its_start_is_known(count: int) -> None:
+    net = Network(count)
     gateways = list(net.gateways.values())
     for gateway in gateways:
         gateway.restart_engine(5_000)
         gateway.begin(1)
-    net.play(0.0)
+    net.run_rounds(0.0)
     assert {gateway.count() for gateway in gateways} == {count}
     first, *others = gateways
     first.restart_engine(4_000)
     first.begin(2)
-    net.play(2.0)
+    net.run_rounds(2.0)
     assert first.count() == 1
     for gateway in others:
         assert gateway.count() < count
         gateway.restart_engine(4_000)
-        net.play(4.0)
-    net.play(6.0)
+        net.run_rounds(4.0)
+    net.run_rounds(6.0)
     assert {gateway.count() for gateway in gateways} == {1}
 
 
-# The work of a gateway that is gone counts at the engine's next start: what it told of
-# that before the others knew the start is kept for them.
-def test_work_of_a_lost_gateway_does_not_count_at_a_later_start() -> None:
-    net = Net(2)
+# Guards against work of a lost gateway that is counted at the engine's next start:
+# loads that it sent for a start that the others did not know yet are stored.
+def test_work_of_a_lost_gateway_is_not_counted_at_a_later_start() -> None:
+    net = Network(2)
     first, second = net.gateways.values()
     first.restart_engine(4_000)
     first.begin(1)
     second.restart_engine(5_000)
-    net.play(0.0)
+    net.run_rounds(0.0)
     net.remove(first.name)
     second.restart_engine(4_000)
     assert second.count() == 0
 
 
-# Nobody gives engines their roles any more: all that contended for the lease are gone.
+# Guards against engines without role assignments, because all gateways that contended
+# for the lease are gone.
 @pytest.mark.parametrize("data_centres", [1, 3])
-def test_few_contend_for_the_lease_and_others_follow(data_centres: int) -> None:
-    net = Net(2 * MANY, data_centres)
+def test_few_contend_for_the_lease_and_others_replace_them(data_centres: int) -> None:
+    net = Network(2 * MANY, data_centres)
 
     def follow(now: float) -> set[str]:
-        for at in (now, now + CANDIDATE_SECONDS):
+        for at in (now, now + MIN_CANDIDATE_SECONDS):
             for gateway in net.gateways.values():
-                gateway.loads._follow_links()
-                gateway.loads._follow_candidates(at)
+                gateway.loads._update_group()
+                gateway.loads._update_contention(at)
         return {name for name, gateway in net.gateways.items() if gateway.contends}
 
     first = follow(0.0)
-    assert 0 < len(first) <= COLLECTORS * data_centres
+    assert 0 < len(first) <= COLLECTOR_CANDIDATES * data_centres
     for name in first:
         net.remove(name)
     second = follow(10.0)
-    assert 0 < len(second) <= COLLECTORS * data_centres
+    assert 0 < len(second) <= COLLECTOR_CANDIDATES * data_centres
     assert not first & second
 
 
-def test_all_of_few_gateways_contend_for_the_lease() -> None:
-    net = Net(3)
-    for at in (0.0, CANDIDATE_SECONDS):
+def test_all_gateways_of_a_mesh_contend_for_the_lease() -> None:
+    net = Network(3)
+    for at in (0.0, MIN_CANDIDATE_SECONDS):
         for gateway in net.gateways.values():
-            gateway.loads._follow_candidates(at)
+            gateway.loads._update_contention(at)
     assert all(gateway.contends for gateway in net.gateways.values())
 
 
-# A gateway that starts has all shared parts read again, and elsewhere: what engines
-# keep is told once, as a link comes up. Either end took note of the link only at its
-# next round, and told nothing, or passed over what it was told.
+# Guards against a new gateway that has all shared parts prefilled again at other
+# engines. Cached parts are sent only once, when a link comes up. If either end notices
+# the link only in its next round, they are not sent, or are ignored.
 @pytest.mark.parametrize("count", [1, MANY])
-def test_gateway_that_starts_is_told_at_once_what_engines_keep(count: int) -> None:
-    net = Net(count)
-    net.play(0.0)
+def test_new_gateway_receives_cached_parts_immediately(count: int) -> None:
+    net = Network(count)
+    net.run_rounds(0.0)
     part = HashedPart(7, 5_000)
     for gateway in net.gateways.values():
         gateway.placement.record_parts(PartsRead(ENGINE.host, 0, (part,)))
     net.add("late")
     for name in net.find_linked("late"):
-        net.gateways[name].loads.greet("late")
+        net.gateways[name].loads.handle_link_up("late")
     cache = net.gateways["late"].placement._engines[ENGINE.host].cache
     assert cache.list_shared() == [part]
 
 
 def deny(gateway: Gateway, content: str, now: float) -> None:
-    """End hosts under a request of one gateway."""
+    """Record as many host failures under a request as make a gateway deny it."""
     for known in range(ENDS_TO_DENY):
         gateway.suspects.record_host_end(content, HostEnd(known, 0.05), now)
 
 
-# A request that has ended hosts at one gateway would end as many at each other one.
+# Guards against a request that crashes hosts through one gateway after another.
 @pytest.mark.parametrize("data_centres", [1, 2, 5])
-@pytest.mark.parametrize("count", [2, MESH_GATEWAYS, MANY, 3 * MANY])
-def test_each_gateway_hears_of_denied_requests(count: int, data_centres: int) -> None:
-    net = Net(count, data_centres)
-    net.play(0.0)
+@pytest.mark.parametrize("count", [2, MAX_MESH_GATEWAYS, MANY, 3 * MANY])
+def test_denied_requests_reach_each_gateway(count: int, data_centres: int) -> None:
+    net = Network(count, data_centres)
+    net.run_rounds(0.0)
     now = time.monotonic()
     deny(net.gateways[f"g-{count - 1}"], "a", now)
-    net.play(now)
+    net.run_rounds(now)
     assert all(
         each.suspects.find_denial_seconds("a", now) for each in net.gateways.values()
     )
     net.gateways["g-0"].suspects.clear("a")
-    net.play(now)
+    net.run_rounds(now)
     assert not any(
         each.suspects.find_denial_seconds("a", now) for each in net.gateways.values()
     )
 
 
-# The link between two gateways is cut, and the one goes on ending hosts with a request
-# that the other has long denied.
-def test_denial_goes_round_a_cut_link() -> None:
-    net = Net(4)
-    net.play(0.0)
+# Guards against a gateway that crashes hosts with a request that another one denies,
+# because the link between the two is down.
+def test_denial_is_relayed_around_a_broken_link() -> None:
+    net = Network(4)
+    net.run_rounds(0.0)
     net.linked["g-0"] = ["g-2", "g-3"]
     net.linked["g-1"] = ["g-2", "g-3"]
     now = time.monotonic()
     deny(net.gateways["g-0"], "a", now)
-    net.play(now)
+    net.run_rounds(now)
     assert net.gateways["g-1"].suspects.find_denial_seconds("a", now)
 
 
-# Thousands of requests fail at once, and gateways tell each other of nothing else.
-def test_messages_about_ended_hosts_grow_with_the_gateways() -> None:
+# Guards against a flood of messages when thousands of requests fail at once.
+def test_messages_about_failed_hosts_grow_linearly() -> None:
     sent = {}
     for count in (MANY, 10 * MANY):
-        net = Net(count, 5)
-        net.play(0.0)
+        net = Network(count, 5)
+        net.run_rounds(0.0)
         net.sent = 0
         for gateway in net.gateways.values():
             gateway.suspects.record_host_end(
                 f"of-{gateway.name}", HostEnd(0, 0.05), 0.0
             )
-        net.play(0.0)
+        net.run_rounds(0.0)
         sent[count] = net.sent / count
     assert sent[10 * MANY] <= 1.1 * sent[MANY]
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings that are read again while a gateway runs."""
+"""Tests of settings that are reloaded while a gateway runs."""
 
 import asyncio
 import re
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp import web
 
-from radishtally.gateway.const import RETRY_PART
+from radishtally.gateway.const import RETRY_SHARE
 from radishtally.gateway.daemon import Gateway
 from standins.staged import EVENTS
 from tests.common import run
@@ -26,82 +26,81 @@
 
 
 def count_retries(gateway: Gateway) -> int:
-    """Count the retries that some requests allow at once."""
+    """Return the number of retries that a burst of requests allows."""
     budgets = gateway.core.budgets
     for _ in range(REQUESTS):
         budgets.record_request("desk", 0.0)
     return sum(budgets.spend("desk", 0.0) for _ in range(REQUESTS))
 
 
-# Operators change a bound and are told that no restart is needed, and the gateway goes
-# by the old one until its end: bounds were taken over as it started.
-def test_bounds_that_are_read_again_come_into_force() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            gateway = made.gateway
+# Guards against a gateway that logs that no restart is needed, but uses the bounds from
+# its start until it exits.
+def test_reloaded_bounds_are_applied() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
+            gateway = env.gateway
             before = count_retries(gateway)
             bounds = msgspec.structs.replace(
                 gateway.settings.bounds, retry_ratio=1.0, lease_ms=60_000.0
             )
             settings = msgspec.structs.replace(gateway.settings, bounds=bounds)
-            gateway.take_settings(settings)
-            assert before < RETRY_PART * REQUESTS <= count_retries(gateway)
+            gateway.apply_settings(settings)
+            assert before < RETRY_SHARE * REQUESTS <= count_retries(gateway)
             assert gateway.lease._core.terms.granted >= 60.0
 
-    run(play())
+    run(scenario())
 
 
 def read_marks(gateway: Gateway) -> list[str]:
-    """Read from the metrics by which settings a gateway goes."""
+    """Return the hashes of the current settings in a gateway's metrics."""
     text = gateway.render_metrics().decode()
     return re.findall(r'radishtally_settings{mark="(\w+)"} 1.0', text)
 
 
-# The settings change in one data centre after the other, reminders come twice, and
-# nobody can tell by which settings a gateway goes, nor by which configuration: logs and
-# metrics said neither. Gateways of one version of the settings bear one mark.
-def test_metrics_tell_which_settings_are_in_force() -> None:
-    async def play() -> None:
-        async with deployment() as made, run_gateway(made.store, "gateway-2") as other:
-            gateway = made.gateway
+# Guards against a staged change of settings in which nobody can tell which settings and
+# configuration a gateway uses. Gateways with equal settings must show equal hashes.
+def test_metrics_show_the_current_settings() -> None:
+    async def scenario() -> None:
+        async with deployment() as env, run_gateway(env.store, "gateway-2") as other:
+            gateway = env.gateway
             (first,) = read_marks(gateway)
             assert read_marks(other) == [first]
             bounds = msgspec.structs.replace(gateway.settings.bounds, retry_ratio=1.0)
-            gateway.take_settings(
+            gateway.apply_settings(
                 msgspec.structs.replace(gateway.settings, bounds=bounds)
             )
             (second,) = read_marks(gateway)
             assert second != first
             assert read_marks(other) == [first]
 
-    run(play())
+    run(scenario())
 
 
-def test_metrics_tell_which_configuration_is_in_force() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            version = made.gateway.router.configuration.version
-            text = made.gateway.render_metrics().decode()
+def test_metrics_show_the_current_configuration_version() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
+            version = env.gateway.router.configuration.version
+            text = env.gateway.render_metrics().decode()
             assert f"radishtally_configuration_version {float(version)}" in text
 
-    run(play())
+    run(scenario())
 
 
 def change_settings(gateway: Gateway, ratio: float) -> None:
-    """Let a gateway read settings that differ in a bound."""
+    """Apply settings to a gateway that differ in one bound."""
     bounds = msgspec.structs.replace(gateway.settings.bounds, retry_ratio=ratio)
-    gateway.take_settings(msgspec.structs.replace(gateway.settings, bounds=bounds))
+    gateway.apply_settings(msgspec.structs.replace(gateway.settings, bounds=bounds))
 
 
-# A reminder comes twice in one data centre and not at all in another: the settings
-# change at one gateway after the other while calls are open. What is open must go on as
-# it is, run once and be answered, by gateways of either settings.
+# Guards against calls that run twice or not at all when the settings change at one
+# gateway after the other. Open calls must run once and be answered, by gateways with
+# either settings.
 @pytest.mark.parametrize(("method", "path"), [("GET", "/read/a"), ("POST", "/book/a")])
 def test_call_that_is_open_while_settings_change_runs_once(
     method: str, path: str
 ) -> None:
-    async def play() -> None:
-        async with deployment() as made, run_gateway(made.store, "gateway-2") as other:
+    async def scenario() -> None:
+        async with deployment() as env, run_gateway(env.store, "gateway-2") as other:
             seen: list[str] = []
             go_on = asyncio.Event()
 
@@ -110,9 +109,9 @@
                 await go_on.wait()
                 return await answer_whole(request)
 
-            await made.serve_desk("d-1", answer_later)
+            await env.serve_desk("d-1", answer_later)
             await wait_until(lambda: "d-1" in other.core.links)
-            gateways = made.gateway, other
+            gateways = env.gateway, other
             names = ["r1", "r2", "r3", "r4"]
 
             async def ask(name: str, gateway: Gateway) -> int:
@@ -124,44 +123,44 @@
                     return response.status
 
             async with aiohttp.ClientSession() as session:
-                asked = [
+                tasks = [
                     asyncio.create_task(ask(name, gateways[index % 2]))
                     for index, name in enumerate(names)
                 ]
                 await wait_until(lambda: len(seen) == len(names))
-                change_settings(made.gateway, 0.5)
-                made.configure()
+                change_settings(env.gateway, 0.5)
+                env.configure()
                 change_settings(other, 0.7)
-                change_settings(made.gateway, 0.9)
+                change_settings(env.gateway, 0.9)
                 go_on.set()
-                assert await asyncio.gather(*asked) == [200] * len(names)
+                assert await asyncio.gather(*tasks) == [200] * len(names)
             assert sorted(seen) == names
 
-    run(play())
+    run(scenario())
 
 
-# A sheet never comes: the settings and the configuration change while it is being made.
-# Its caller must get it whole, over the connection and from the run that began it.
-def test_stream_that_is_open_while_settings_change_comes_whole() -> None:
-    async def play() -> None:
-        async with deployment() as made:
-            _, decode = await start_engines(made)
+# Guards against an aborted stream when settings and configuration change. Its caller
+# must get all of it, over the same connection and from the same run.
+def test_stream_that_is_open_while_settings_change_is_complete() -> None:
+    async def scenario() -> None:
+        async with deployment() as env:
+            _, decode = await start_engines(env)
             decode.seconds = 0.05
-            url = made.url + "/sheet/a"
+            url = env.url + "/sheet/a"
             async with (
                 aiohttp.ClientSession() as session,
                 session.post(url, headers=make_prompt("r1"), data=b"p") as response,
             ):
                 body = await response.content.readany()
-                change_settings(made.gateway, 0.5)
-                made.configure()
-                version = made.version
-                router = made.gateway.router
+                change_settings(env.gateway, 0.5)
+                env.configure()
+                version = env.version
+                router = env.gateway.router
                 await wait_until(lambda: router.configuration.version == version)
-                change_settings(made.gateway, 0.7)
+                change_settings(env.gateway, 0.7)
                 body += await response.read()
             assert body == make_whole("r1")
             assert body.count(b"id: ") == EVENTS
             assert decode.runs == {"r1": 1}
 
-    run(play())
+    run(scenario())
