--- a/radishtally/gateway/daemon.py
+++ b/radishtally/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Run a gateway: turn callers and hosts into events, commands into calls."""
+"""Run a gateway: translate requests and answers to events, and commands to calls."""
 
 import asyncio
 import random
@@ -14,31 +14,31 @@
 from radishtally.direct.hosts import DirectHosts
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.bounds import (
-    find_gathering,
-    find_retry_floor,
+    find_gather_seconds,
+    find_min_retry_rate,
+    hash_bounds,
     make_lease_terms,
-    mark_bounds,
 )
-from radishtally.gateway.changes import carry_out
-from radishtally.gateway.commands import carry_out_command
+from radishtally.gateway.cache_discovery import CacheDiscovery
+from radishtally.gateway.changes import apply_change
+from radishtally.gateway.commands import execute_command
 from radishtally.gateway.config import GatewaySettings
 from radishtally.gateway.const import (
-    ASSUMED_GATEWAYS,
+    DEFAULT_GATEWAY_COUNT,
     LEAVE_MARGIN_SECONDS,
     LEAVE_POLL_SECONDS,
-    LEAVE_SECONDS,
-    RETRY_PART,
-    STAGES,
-    UNLOAD_SECONDS,
+    MIN_LEAVE_SECONDS,
+    RETRY_SHARE,
+    SHUTDOWN_TIMEOUT_SECONDS,
+    STAGES_LEASE,
 )
 from radishtally.gateway.core import CallerDialect, CallerRequest
-from radishtally.gateway.endings import Given
-from radishtally.gateway.front import Front
+from radishtally.gateway.endings import Delivery
+from radishtally.gateway.http_frontend import HttpFrontend
 from radishtally.gateway.members import HostChange, Members
 from radishtally.gateway.metrics import GatewayMetrics
 from radishtally.gateway.peers import Peers
-from radishtally.gateway.recall import Recall
-from radishtally.gateway.requests import NAME_IN_USE, STOPPING, Routed, Router
+from radishtally.gateway.requests import NAME_IN_USE, STOPPING, RoutedRequest, Router
 from radishtally.gateway.topology import Site
 from radishtally.limits.retries import RetryBudgets
 from radishtally.links.messages import Message
@@ -54,13 +54,13 @@
 
 
 class Gateway:
-    """Hold one gateway's parts together."""
+    """Connect the parts of one gateway."""
 
     def __init__(
         self,
         settings: GatewaySettings,
-        callers: CallerDialect,
-        upstreams: Dialect,
+        caller_dialect: CallerDialect,
+        host_dialect: Dialect,
         placement: EnginePlacement,
         table: Table,
     ) -> None:
@@ -73,30 +73,30 @@
         self.placement = placement
         self.replies = Replies()
         self.metrics = GatewayMetrics()
-        self.runtime.on_stall = self.metrics.note_stall
-        self.runtime.describe_state = self._describe_beliefs
-        self._gateways: int | None = None
-        """Gateways that share the retries, once they are listed."""
+        self.runtime.on_stall = self.metrics.count_stall
+        self.runtime.describe_state = self._describe_state
+        self._gateway_count: int | None = None
+        """Number of gateways that share the retry budget; None until listed."""
         self.core = DispatchCore(
             settings.host,
             settings.data_centre,
             random.Random(),
             placement,
             RetryBudgets(
-                settings.bounds.retry_ratio * RETRY_PART,
-                find_retry_floor(settings.bounds, ASSUMED_GATEWAYS),
+                settings.bounds.retry_ratio * RETRY_SHARE,
+                find_min_retry_rate(settings.bounds, DEFAULT_GATEWAY_COUNT),
             ),
-            # A host without an agent says nothing before its answer begins, and that
-            # may take as long as its queue: only the deadline bounds it.
+            # A host without an agent sends nothing before its answer begins, which may
+            # take as long as its queue: only the deadline limits the wait.
             offer_timeout=float("inf"),
             refusals_cost_retries=True,
             prefill_counts_as_run=False,
         )
-        self.hosts = DirectHosts(upstreams, self.runtime.guard_call(self._receive))
-        self.hosts.answers.on_mismatch = self.metrics.doubted
-        self.hosts.answers.on_notice = self.runtime.guard_call(self.take_notice)
-        self.front = Front(self, callers)
-        self._stop_begun: float | None = None
+        self.hosts = DirectHosts(host_dialect, self.runtime.guard_call(self._receive))
+        self.hosts.answers.on_mismatch = self.metrics.count_mismatch
+        self.hosts.answers.on_notice = self.runtime.guard_call(self.handle_notice)
+        self.frontend = HttpFrontend(self, caller_dialect)
+        self._stopping_since: float | None = None
         self.lease = make_lease(self)
         self.stages = RoleController(
             settings.host,
@@ -105,7 +105,7 @@
             self.lease,
             placement.measure_rate,
         )
-        self.recall = Recall(
+        self.cache_discovery = CacheDiscovery(
             settings.host, self.hosts, placement, self.list_served_hosts
         )
         self.peers = Peers(
@@ -115,132 +115,136 @@
             settings.peer_address,
         )
         placement.observer = self.stages
-        self.stages.on_report = self._take_report
-        self.stages.is_out_of_reach = self.core.is_out_of_reach
+        self.stages.on_report = self._handle_report
+        self.stages.is_unreachable = self.core.is_out_of_reach
         self.waker = Waker(lambda: self.handle(events.Tick()))
 
     @property
     def limits(self) -> CallerLimits | None:
-        """Give what a caller may send, once a configuration says so."""
+        """Return the limits on callers' requests; None without a configuration."""
         configuration = self.router.configuration
         return None if configuration is None else configuration.limits
 
     async def run(self) -> None:
-        """Serve until a planned stop."""
+        """Serve until a graceful stop."""
         self.runtime.install_handlers()
         await self.hosts.start()
         settings = self.settings
-        await self.front.start(
+        await self.frontend.start(
             settings.address, settings.ready_address, settings.metrics_address
         )
-        # Others may be there that contend already: the links tell.
+        # Other gateways may contend already; that is known once the links are up.
         self.lease.contend(False)
         self.lease.start()
         self.runtime.spawn(self.stages.run())
         self.runtime.spawn(self.peers.run())
-        log_message("gateway:started", address=self.settings.address, mark=self._mark())
+        log_message(
+            "gateway:started",
+            address=self.settings.address,
+            mark=self._publish_settings_hash(),
+        )
         await self.runtime.stopping.wait()
         resigning = self.runtime.spawn(self.lease.stop())
-        await self._leave()
+        await self._drain()
         self.waker.stop()
-        await self._unload(resigning)
+        await self._stop_parts(resigning)
         self.runtime.cancel_tasks()
         log_message("gateway:stopped", open=len(self.replies))
         self.runtime.exit_if_broken()
 
-    def _describe_beliefs(self) -> dict[str, Any]:
+    def _describe_state(self) -> dict[str, Any]:
         configuration = self.router.configuration
         return {
             "lease": self.lease.describe(),
             "version": None if configuration is None else configuration.version,
         }
 
-    async def _leave(self) -> None:
-        """Leave in good order: red to the balancer, then out when nothing is open."""
+    async def _drain(self) -> None:
+        """Report not ready to the balancer, then wait until no request is open."""
         log_message("gateway:leaving", open=len(self.replies))
-        self._stop_begun = time.monotonic()
-        until = self._stop_begun + self._grace()
+        self._stopping_since = time.monotonic()
+        until = self._stopping_since + self._find_grace_seconds()
         while time.monotonic() < until and not self.runtime.broken:
             await asyncio.sleep(LEAVE_POLL_SECONDS)
-            if time.monotonic() < self._stop_begun + LEAVE_SECONDS:
+            if time.monotonic() < self._stopping_since + MIN_LEAVE_SECONDS:
                 continue
-            if not await self.front.close_idle():
+            if not await self.frontend.close_idle():
                 break
-        # What comes in between the last look and the end would be read by nobody.
-        await self.front.stop_listening()
+        # Data that arrives between the last check and the exit would not be read.
+        await self.frontend.stop_listening()
         await asyncio.sleep(LEAVE_POLL_SECONDS)
-        while await self.front.close_idle() and time.monotonic() < until:
+        while await self.frontend.close_idle() and time.monotonic() < until:
             await asyncio.sleep(LEAVE_POLL_SECONDS)
         self.handle(events.Shutdown())
         await asyncio.sleep(LEAVE_POLL_SECONDS)
 
-    async def _unload(self, *more: asyncio.Task) -> None:
-        """Stop the parts together: what hangs would outlast the platform's grace."""
-        parts = self.front.stop(), self.peers.stop(), self.hosts.stop()
+    async def _stop_parts(self, *more: asyncio.Task) -> None:
+        """Stop the parts concurrently, so that none can exceed the grace period."""
+        parts = self.frontend.stop(), self.peers.stop(), self.hosts.stop()
         tasks = [*more, *map(asyncio.create_task, parts)]
-        await asyncio.wait(tasks, timeout=UNLOAD_SECONDS)
+        await asyncio.wait(tasks, timeout=SHUTDOWN_TIMEOUT_SECONDS)
 
-    def take_settings(self, settings: GatewaySettings) -> None:
-        """Take settings that were read again; addresses stay until the next start."""
+    def apply_settings(self, settings: GatewaySettings) -> None:
+        """Apply reloaded settings; addresses stay unchanged until the next start."""
         known = self.settings.bounds
         fixed = msgspec.structs.replace(settings, bounds=known)
         log_message("settings:reloaded", needs_restart=fixed != self.settings)
         bounds = settings.bounds
         if self.is_stopping():
-            # The platform's kill comes as long after its signal as was in force then:
-            # a request that is taken for a longer time would be cut off.
+            # The platform kills the process after the grace period that applied when it
+            # sent the signal. A request accepted for longer would be cut off.
             grace = known.grace_seconds
             bounds = msgspec.structs.replace(bounds, grace_seconds=grace)
         self.settings = msgspec.structs.replace(self.settings, bounds=bounds)
-        log_message("settings:in_force", mark=self._mark())
+        log_message("settings:in_force", mark=self._publish_settings_hash())
         self.lease.set_terms(make_lease_terms(bounds))
-        self._share_retries()
+        self._update_retry_budget()
 
-    def _mark(self) -> str:
-        """Mark the settings in force, in the metrics too."""
-        mark = mark_bounds(self.settings.bounds)
+    def _publish_settings_hash(self) -> str:
+        """Hash the current settings, publish the hash in the metrics and return it."""
+        mark = hash_bounds(self.settings.bounds)
         self.metrics.set_settings(mark)
         return mark
 
-    def count_gateways(self, count: int) -> None:
-        """Take how many gateways share the retries, and the looks at the lease."""
-        self._gateways = count
+    def set_gateway_count(self, count: int) -> None:
+        """Set how many gateways share the retry budget and the reads of the lease."""
+        self._gateway_count = count
         self.lease.set_contender_count(count)
-        self._share_retries()
+        self._update_retry_budget()
 
-    def find_gathering(self) -> float:
-        """Find how long changes of the store may be gathered before more are asked for.
+    def find_gather_seconds(self) -> float:
+        """Return how long changes in the store may accumulate between queries.
 
         Until the other gateways are listed, all of them may be starting at once.
         """
-        return find_gathering(self.settings.bounds, self._gateways)
+        return find_gather_seconds(self.settings.bounds, self._gateway_count)
 
-    def _share_retries(self) -> None:
+    def _update_retry_budget(self) -> None:
         bounds = self.settings.bounds
-        ratio = bounds.retry_ratio * RETRY_PART
-        count = self._gateways or ASSUMED_GATEWAYS
-        self.core.budgets.configure(ratio, find_retry_floor(bounds, count))
+        ratio = bounds.retry_ratio * RETRY_SHARE
+        count = self._gateway_count or DEFAULT_GATEWAY_COUNT
+        self.core.budgets.configure(ratio, find_min_retry_rate(bounds, count))
 
     def render_metrics(self) -> bytes:
-        """Give the figures of the metrics address."""
+        """Render the metrics in the text format."""
         self.metrics.set_denied(self.core.suspects.count_denied(time.monotonic()))
         return self.metrics.render()
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send requests here."""
+        """Return whether the balancer should send requests here."""
         return self.router.configuration is not None and not self.is_stopping()
 
     def is_stopping(self) -> bool:
-        """Tell whether connections should be brought to an end."""
+        """Return whether connections should be closed after their answer."""
         return self.runtime.stopping.is_set()
 
     def configure(
         self, configuration: FleetConfiguration, *, is_rewritten: bool = False
     ) -> None:
-        """Bring a configuration into force, unless a newer one is.
+        """Apply a configuration unless a newer one is already applied.
 
-        One that the operator has written since the store was restored holds whatever
-        its number: the newer ones may be gone from the store.
+        A configuration that the operator has written since the store was restored is
+        applied whatever its version: newer versions may be lost from the store.
         """
         known = self.router.configuration
         if known is not None and known.version >= configuration.version:
@@ -257,9 +261,9 @@
         log_message("configuration:in_force", version=configuration.version)
 
     def enter_era(self, before: int, after: int, silence: float) -> None:
-        """Take that the store is in another era; before is 0 at first sight.
+        """Handle a new era of the store; before is 0 when an era is first seen.
 
-        What was believed of hosts and configuration is as many seconds old.
+        Silence is the staleness, in seconds, of the known hosts and configuration.
         """
         held_lease = self.lease.fencing is not None
         self.lease.enter_era(after)
@@ -276,15 +280,15 @@
             version=None if configuration is None else configuration.version,
             hosts=len(list(self.members)),
         )
-        self.metrics.note_restore()
+        self.metrics.count_restore()
         self.members.enter_era(read_boot_clock())
         self.peers.enter_era()
 
     def list_served_hosts(self) -> list[Instance]:
-        """List the hosts of the upstreams that the configuration names.
+        """List the hosts of the upstreams that are configured.
 
-        Whoever may write to the list can name any service there. An order would go to
-        the entry's address, whoever listens there.
+        Any writer of the list can add an entry for any service, and orders would be
+        sent to whatever listens at that entry's address.
         """
         configuration = self.router.configuration
         if configuration is None:
@@ -292,65 +296,65 @@
         named = configuration.upstreams
         return [host for host in self.members if host.upstream in named]
 
-    def apply(self, changes: list[HostChange]) -> None:
-        """Take what became of the upstreams' hosts."""
+    def apply_changes(self, changes: list[HostChange]) -> None:
+        """Apply changes of the upstreams' hosts."""
         for change in changes:
-            carry_out(change, self)
+            apply_change(change, self)
         self.metrics.set_missing(self.members.count_missing())
 
-    def count_unreadable(self, count: int) -> None:
-        """Take how many entries of the list can't be read."""
+    def set_unreadable_count(self, count: int) -> None:
+        """Set the number of host entries that can't be decoded."""
         self.metrics.set_unreadable(count)
 
-    def take_notice(self, asked: Instance, notice: Notice) -> None:
-        """Take what the head of an answer says of its host."""
-        self.metrics.noticed(notice)
-        if notice.pause and self.members.is_present(asked):
-            self.core.pause_host(asked.host, notice.pause, time.monotonic())
+    def handle_notice(self, queried: Instance, notice: Notice) -> None:
+        """Handle a notice about its host in the head of an answer."""
+        self.metrics.count_notice(notice)
+        if notice.pause and self.members.is_present(queried):
+            self.core.pause_host(queried.host, notice.pause, time.monotonic())
             log_message(
-                "upstream:paused", upstream_host=asked.host, seconds=notice.pause
+                "upstream:paused", upstream_host=queried.host, seconds=notice.pause
             )
-        changes = self.members.take_leaving(asked) if notice.is_leaving else []
+        changes = self.members.record_leaving(queried) if notice.is_leaving else []
         if not changes:
             return
-        log_message("upstream:leaving", upstream_host=asked.host)
-        self.apply(changes)
+        log_message("upstream:leaving", upstream_host=queried.host)
+        self.apply_changes(changes)
 
-    def _take_report(self, asked: Instance, report: EngineReport) -> None:
-        self.apply(self.members.take_report(asked, report))
+    def _handle_report(self, queried: Instance, report: EngineReport) -> None:
+        self.apply_changes(self.members.apply_report(queried, report))
 
     def route(
-        self, method: str, target: str, asked: CallerRequest, body: bytes
-    ) -> Result[Routed, Refusal]:
-        """Find where a request goes."""
-        if asked.request in self.replies:
+        self, method: str, target: str, caller_request: CallerRequest, body: bytes
+    ) -> Result[RoutedRequest, Refusal]:
+        """Route a request, or return why it is refused."""
+        if caller_request.request in self.replies:
             return Error(NAME_IN_USE)
-        routed = self.router.route(method, target, asked, body)
-        if routed.is_ok() and not self._may_finish(routed.ok.timeout):
+        routed = self.router.route(method, target, caller_request, body)
+        if routed.is_ok() and not self._can_finish(routed.ok.timeout):
             return Error(STOPPING)
         return routed
 
-    def _may_finish(self, timeout: float) -> bool:
-        """Tell whether a request that comes now will have its answer in time.
+    def _can_finish(self, timeout: float) -> bool:
+        """Return whether a request that arrives now can finish before the exit.
 
-        Callers whose connections are open when the stop begins go on sending, and
-        where few gateways are left the balancer sends to this one all the same. What
-        comes late and lasts long would be cut off by the end of the process.
+        Callers with open connections go on sending after the stop begins, and if few
+        gateways are left the balancer still sends requests here. A long request that
+        arrives late would be cut off when the process exits.
         """
-        if self._stop_begun is None:
+        if self._stopping_since is None:
             return True
-        passed = time.monotonic() - self._stop_begun
-        left = self._grace() - passed
-        return passed < LEAVE_SECONDS or timeout < left
+        passed = time.monotonic() - self._stopping_since
+        left = self._find_grace_seconds() - passed
+        return passed < MIN_LEAVE_SECONDS or timeout < left
 
-    def _grace(self) -> float:
+    def _find_grace_seconds(self) -> float:
         return self.settings.bounds.grace_seconds - LEAVE_MARGIN_SECONDS
 
-    def open(self, routed: Routed) -> asyncio.Queue[Reply]:
-        """Bring a request in."""
+    def open(self, routed: RoutedRequest) -> asyncio.Queue[Reply]:
+        """Open a request; return the queue on which its answer arrives."""
         work = routed.work
         queue = self.replies.open(work.request)
-        self.metrics.opened(routed)
+        self.metrics.record_opened(routed)
         log_message(
             "request:arrived",
             request=work.request,
@@ -365,9 +369,9 @@
         self.handle(events.Arrived(work, deadline, routed.is_streamed, routed.terms))
         return queue
 
-    def note_refusal(self, request: str, refusal: Refusal) -> None:
-        """Take note of an answer of the gateway's own."""
-        self.metrics.refused(refusal.code, refusal.ran)
+    def record_refusal(self, request: str, refusal: Refusal) -> None:
+        """Log and count a refusal by the gateway itself."""
+        self.metrics.count_refusal(refusal.code, refusal.ran)
         log_message(
             "request:refused",
             request=request,
@@ -377,28 +381,28 @@
             text=refusal.message,
         )
 
-    def close(self, request: str, given: Given) -> None:
-        """Say that the caller has its answer, or is gone."""
+    def close(self, request: str, delivery: Delivery) -> None:
+        """Close a request whose caller has its answer or has disconnected."""
         self.replies.close(request)
-        if not given.is_done:
+        if not delivery.is_done:
             self.handle(events.CallerGone(request))
-        outcome, seconds = self.metrics.closed(request, given.ending)
+        outcome, seconds = self.metrics.record_closed(request, delivery.ending)
         log_message(
             "request:closed",
             request=request,
             outcome=outcome,
-            ending=given.ending,
-            status=given.status,
-            sent=given.sent,
-            last_event=given.last_event,
+            ending=delivery.ending,
+            status=delivery.status,
+            sent=delivery.sent,
+            last_event=delivery.last_event,
             seconds=round(seconds, 4),
         )
 
     def handle(self, event: events.Event) -> None:
-        """Give the core an event and carry out its commands."""
+        """Handle an event and execute the resulting commands."""
         with self.runtime.guard():
             for command in handle_event(event, self.core, time.monotonic()):
-                carry_out_command(command, self)
+                execute_command(command, self)
             self.waker.wake_at(self.core.next_wake())
 
     def _receive(self, host: str, message: Message) -> None:
@@ -406,10 +410,10 @@
 
 
 def make_lease(gateway: Gateway) -> LeaseDriver:
-    """Make the lease under which one gateway gives engines their roles."""
+    """Create the lease whose holder assigns roles to engines."""
     return LeaseDriver(
         gateway.table,
-        STAGES,
+        STAGES_LEASE,
         gateway.settings.host,
         gateway.write_ids,
         make_lease_terms(gateway.settings.bounds),
--- a/radishtally/gateway/metrics.py
+++ b/radishtally/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Count what a gateway does, for the metrics address."""
+"""Metrics of a gateway."""
 
 import time
 from typing import Final
@@ -14,7 +14,7 @@
 from radishtally.direct.answer_checks import AnswerMismatch
 from radishtally.direct.core import Notice
 from radishtally.gateway.endings import Ending
-from radishtally.gateway.requests import Routed
+from radishtally.gateway.requests import RoutedRequest
 from radishtally.stalls import Stall
 
 CONTENT_TYPE: Final = "text/plain; version=0.0.4; charset=utf-8"
@@ -34,13 +34,13 @@
     5.0,
     10.0,
 )
-"""Bounds in seconds; the deployments' objectives, 0.15 to 0.85 s, lie between them."""
+"""Upper bounds in seconds; they cover the deployments' objectives of 0.15 to 0.85 s."""
 ANSWERED: Final = "answered"
 FAILED: Final = "failed"
 REFUSED: Final = "refused"
 BROKEN_OFF: Final = "broken_off"
-"""Given up when its caller had a part of the answer already."""
-LEFT: Final = "caller_left"
+"""Aborted after the caller had received part of the answer."""
+CALLER_LEFT: Final = "caller_left"
 
 
 class GatewayMetrics:
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
-        self._ended = Counter(
+        self._requests = Counter(
             "radishtally_requests",
             "Requests by kind of route and by how they ended",
             ["kind", "outcome"],
@@ -72,15 +72,17 @@
             ["stage"],
             registry=self._registry,
         )
-        self._doubts = Counter(
+        self._mismatches = Counter(
             "radishtally_doubted_answers",
             "Answers of hosts that may belong to another request",
             ["doubt"],
             registry=self._registry,
         )
-        self._first = self._make_histogram("first_part", "first part of the answer")
-        self._whole = self._make_histogram("whole", "end of the answer")
-        self._open = Gauge(
+        self._first_part_seconds = self._make_histogram(
+            "first_part", "first part of the answer"
+        )
+        self._whole_seconds = self._make_histogram("whole", "end of the answer")
+        self._open_requests = Gauge(
             "radishtally_open_requests", "Open requests", registry=self._registry
         )
         self._notices = Counter(
@@ -131,7 +133,7 @@
             registry=self._registry,
         )
         self._started: dict[str, tuple[float, str]] = {}
-        """Time at which an open request came, and its kind."""
+        """Start time and kind of each open request."""
         self._outcomes: dict[str, str] = {}
 
     def _make_histogram(self, name: str, what: str) -> Histogram:
@@ -143,82 +145,82 @@
             registry=self._registry,
         )
 
-    def noticed(self, notice: Notice) -> None:
-        """Count an answer by what it says of its host."""
+    def count_notice(self, notice: Notice) -> None:
+        """Count an answer by the notices that it carries about its host."""
         if notice.is_leaving:
             self._notices.labels("leaving").inc()
         if notice.pause:
             self._notices.labels("pause").inc()
 
     def set_denied(self, count: int) -> None:
-        """Take how many requests are offered to no host."""
+        """Set the number of denied requests, which are offered to no host."""
         self._denied.set(count)
 
     def set_missing(self, count: int) -> None:
-        """Take how many hosts are kept that the list lacks."""
+        """Set the number of hosts that are kept although their entry is missing."""
         self._missing.set(count)
 
     def set_unreadable(self, count: int) -> None:
-        """Take how many entries of the list can't be read."""
+        """Set the number of host entries that can't be decoded."""
         self._unreadable.set(count)
 
-    def note_stall(self, stall: Stall) -> None:
-        """Count a time in which the loop did not run."""
+    def count_stall(self, stall: Stall) -> None:
+        """Count a stall of the event loop."""
         self._stalls.inc()
         self._stalled.inc(stall.seconds)
 
-    def note_restore(self) -> None:
-        """Count that the store came back from an older copy."""
+    def count_restore(self) -> None:
+        """Count a restore of the store from an older backup."""
         self._restores.inc()
 
     def set_configuration(self, version: int) -> None:
-        """Take which configuration is in force."""
+        """Set the version of the current configuration."""
         self._configuration.set(version)
 
     def set_settings(self, mark: str) -> None:
-        """Take the mark of the settings in force."""
+        """Set the hash of the current settings."""
         self._settings.clear()
         self._settings.labels(mark).set(1)
 
-    def opened(self, routed: Routed) -> None:
-        """Count a request that came in."""
+    def record_opened(self, routed: RoutedRequest) -> None:
+        """Record that a request was opened."""
         self._started[routed.work.request] = time.monotonic(), routed.work.kind
-        self._open.inc()
+        self._open_requests.inc()
 
-    def offered(self, stage: str) -> None:
-        """Count an offer."""
+    def count_offer(self, stage: str) -> None:
+        """Count an offer of a request to a host."""
         self._offers.labels(stage).inc()
 
-    def doubted(self, doubt: AnswerMismatch) -> None:
-        """Count an answer that may belong to another request."""
-        self._doubts.labels(doubt.name.lower()).inc()
+    def count_mismatch(self, mismatch: AnswerMismatch) -> None:
+        """Count an answer that may belong to a different request."""
+        self._mismatches.labels(mismatch.name.lower()).inc()
 
-    def begun(self, request: str) -> None:
-        """Time the first part of an answer."""
-        began, kind = self._started.get(request, (None, ""))
-        if began is not None:
-            self._first.labels(kind).observe(time.monotonic() - began)
+    def observe_first_part(self, request: str) -> None:
+        """Observe the time to the first part of an answer."""
+        started_at, kind = self._started.get(request, (None, ""))
+        if started_at is not None:
+            self._first_part_seconds.labels(kind).observe(time.monotonic() - started_at)
 
-    def ended(self, request: str, outcome: str) -> None:
-        """Note how a request ended."""
+    def record_outcome(self, request: str, outcome: str) -> None:
+        """Record the outcome of a request."""
         self._outcomes[request] = outcome
 
-    def refused(self, code: str, ran: str) -> None:
-        """Count an answer of the gateway's own."""
+    def count_refusal(self, code: str, ran: str) -> None:
+        """Count a refusal by the gateway itself."""
         self._refusals.labels(code, ran).inc()
 
-    def closed(self, request: str, ending: Ending) -> tuple[str, float]:
-        """Count a request that is over; give its outcome and how long it took."""
-        began, kind = self._started.pop(request, (time.monotonic(), ""))
-        outcome = self._outcomes.pop(request, LEFT)
-        seconds = time.monotonic() - began
-        self._open.dec()
-        self._ended.labels(kind, outcome).inc()
+    def record_closed(self, request: str, ending: Ending) -> tuple[str, float]:
+        """Record that a request was closed; return its outcome and duration."""
+        started_at, kind = self._started.pop(request, (time.monotonic(), ""))
+        outcome = self._outcomes.pop(request, CALLER_LEFT)
+        seconds = time.monotonic() - started_at
+        self._open_requests.dec()
+        self._requests.labels(kind, outcome).inc()
         self._endings.labels(kind, ending, outcome).inc()
         if outcome == ANSWERED:
-            self._whole.labels(kind).observe(seconds)
+            self._whole_seconds.labels(kind).observe(seconds)
         return outcome, seconds
 
     def render(self) -> bytes:
-        """Give all figures in the text format."""
+        """Render all metrics in the text format."""
         return generate_latest(self._registry)
--- a/tests/adapter/test_settings_file.py
+++ b/tests/adapter/test_settings_file.py
@@ -25,7 +25,7 @@
         self.runtime = Runtime()
         self.applied = asyncio.Event()
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         self.applied.set()
 
     async def run(self) -> None:
--- a/tests/gateway/ending.py
+++ b/tests/gateway/crashing.py
@@ -1,4 +1,4 @@
-"""Hosts that end when they begin to run a certain request, and start again."""
+"""Stand-in hosts that crash when they start a poison request, and restart."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -22,19 +22,19 @@
 POISON = b"poison"
 
 
-class Ending:
-    """Listen, and end at once with all connections."""
+class CrashingServer:
+    """Serve until told to abort everything at once, like a killed process."""
 
     _runner: web.AppRunner | None = None
     _port = 0
 
     @property
-    def has_ended(self) -> bool:
-        """Tell whether nothing listens here."""
+    def has_crashed(self) -> bool:
+        """Return whether the server is not listening."""
         return self._runner is None
 
     async def listen(self, app: web.Application) -> str:
-        """Listen where it did before; give the address."""
+        """Listen, on the same port as before if there was one; return the address."""
         self._runner = web.AppRunner(app, handler_cancellation=True, shutdown_timeout=0)
         await self._runner.setup()
         site = web.TCPSite(self._runner, LOOPBACK, self._port, reuse_address=True)
@@ -42,8 +42,8 @@
         self._port = self._runner.addresses[0][1]
         return f"{LOOPBACK}:{self._port}"
 
-    def break_off(self) -> None:
-        """End without a word to anybody."""
+    def abort_all(self) -> None:
+        """Stop listening and abort all connections."""
         runner, self._runner = self._runner, None
         if runner is None:
             return
@@ -53,15 +53,15 @@
             connection.transport.abort()
 
 
-class EndingDesk(Ending):
-    """Be a host of the plain service that ends under calls of one path."""
+class CrashingDesk(CrashingServer):
+    """Serve the plain service as a host that crashes on calls to one path."""
 
-    def __init__(self, name: str, made: Deployment) -> None:
+    def __init__(self, name: str, env: Deployment) -> None:
         self._name = name
-        self._made = made
+        self._made = env
 
     async def start(self) -> None:
-        """Listen, and wait until the gateway knows it."""
+        """Listen, and wait until the gateway has discovered the host."""
         app = web.Application()
         app.router.add_route("*", "/{path:.*}", self._answer)
         self._made.announce(self._name, await self.listen(app), "desk")
@@ -69,38 +69,38 @@
 
     async def _answer(self, request: web.Request) -> web.Response:
         if request.path.endswith("poison"):
-            self.break_off()
+            self.abort_all()
         return await answer_whole(request)
 
 
-class EndingEngine(Ending, StagedEngine):
-    """End at once, with all its connections, as a poison prompt begins to run."""
+class CrashingEngine(CrashingServer, StagedEngine):
+    """Simulate an engine that crashes when it starts to decode a poison prompt."""
 
-    def __init__(self, name: str, phase: str, made: Deployment) -> None:
+    def __init__(self, name: str, phase: str, env: Deployment) -> None:
         super().__init__(name, phase)
-        self.ends = 0
+        self.crashes = 0
         self.arrivals = 0
-        """Poison prompts that have come to be answered."""
-        self.is_safe = False
-        """Whether it bears the prompt, as a mended release does."""
-        self._made = made
+        """Number of poison prompts that arrived for decoding."""
+        self.survives_poison = False
+        """Whether it serves the poison prompt, as a fixed release does."""
+        self._made = env
         self._name = name
 
     async def start(self) -> None:
-        """Listen where it did before, under a new id, and write its entry."""
-        self.instance = f"{self._name}-{self.ends}"
-        await self.start_again()
+        """Listen on the same address under a new id, and write its entry."""
+        self.instance = f"{self._name}-{self.crashes}"
+        await self.relisten()
 
-    async def start_again(self) -> None:
-        """Listen where it did before, as if it had never ended."""
+    async def relisten(self) -> None:
+        """Listen on the same address and under the same id as before."""
         address = await self.listen(self.build_app())
         self._made.addresses[self.instance] = address
         self._made.announce_engine(self)
 
-    async def end(self) -> None:
-        """End without a word to anybody."""
-        self.ends += not self.has_ended
-        self.break_off()
+    async def crash(self) -> None:
+        """Crash unless already crashed."""
+        self.crashes += not self.has_crashed
+        self.abort_all()
 
     async def _stream(
         self, request: web.Request, name: str, signature: str, fault: RunFault
@@ -108,45 +108,47 @@
         if await request.read() != POISON:
             return await super()._stream(request, name, signature, fault)
         self.arrivals += 1
-        if self.is_safe:
+        if self.survives_poison:
             return await super()._stream(request, name, signature, fault)
         response = web.StreamResponse(headers={"X-Server-Signature": signature})
         await response.prepare(request)
-        await self.end()
+        await self.crash()
         return response
 
 
 class Fleet:
-    """Hold engines that may end, and the gateways before them."""
+    """Hold engines that may crash, and the gateways in front of them."""
 
-    def __init__(self, made: Deployment, urls: list[str], answering: int) -> None:
-        self.made = made
+    def __init__(self, env: Deployment, urls: list[str], answering: int) -> None:
+        self.env = env
         self.urls = urls
-        self.gateways = [made.gateway]
-        self.prompts = EndingEngine("p", "prefill", made)
-        self.answers = [EndingEngine(f"d{n}", "decode", made) for n in range(answering)]
+        self.gateways = [env.gateway]
+        self.prefill_engine = CrashingEngine("p", "prefill", env)
+        self.decode_engines = [
+            CrashingEngine(f"d{n}", "decode", env) for n in range(answering)
+        ]
 
     @property
-    def ends(self) -> int:
-        """Count the ends of all engines."""
-        return sum(engine.ends for engine in self.answers)
+    def crashes(self) -> int:
+        """Return the number of crashes of the decode engines."""
+        return sum(engine.crashes for engine in self.decode_engines)
 
     @property
     def arrivals(self) -> int:
-        """Count the poison prompts that have come to be answered."""
-        return sum(engine.arrivals for engine in self.answers)
-
-    async def start_ended(self) -> None:
-        """Start the engines anew that have ended."""
-        for engine in self.answers:
-            if engine.has_ended:
-                self.made.withdraw(engine.instance)
+        """Return the number of poison prompts that arrived for decoding."""
+        return sum(engine.arrivals for engine in self.decode_engines)
+
+    async def restart_crashed(self) -> None:
+        """Restart the engines that have crashed."""
+        for engine in self.decode_engines:
+            if engine.has_crashed:
+                self.env.withdraw(engine.instance)
                 await engine.start()
 
     async def send(
         self, number: int, name: str, body: bytes = POISON, path: str = "/sheet/a"
     ) -> tuple[int, bytes]:
-        """Send a request to one of the gateways; status 0 if its answer breaks off."""
+        """Send a request to a gateway; return status 0 if its answer is aborted."""
         url = self.urls[number % len(self.urls)] + path
         async with aiohttp.ClientSession() as session:
             try:
@@ -158,7 +160,7 @@
                 return 0, b""
 
     async def ask(self, name: str) -> aiohttp.ClientResponse:
-        """Send the poison prompt to the first gateway and give the whole answer."""
+        """Send the poison prompt to the first gateway; return its complete answer."""
         async with (
             aiohttp.ClientSession() as session,
             session.post(
@@ -169,15 +171,15 @@
             return response
 
     async def wait_for_runs(self, count: int) -> None:
-        """Wait until so many requests are answered at once."""
+        """Wait until at least this many requests are running."""
         await wait_until(
-            lambda: sum(len(engine.runs) for engine in self.answers) >= count
+            lambda: sum(len(engine.runs) for engine in self.decode_engines) >= count
         )
 
     @asynccontextmanager
     async def run_another(self, host: str) -> AsyncIterator[Gateway]:
-        """Run one more gateway, linked to the others."""
-        async with run_gateway(self.made.store, host) as gateway:
+        """Run another gateway that is linked to the others."""
+        async with run_gateway(self.env.store, host) as gateway:
             self.gateways.append(gateway)
             self.urls.append(f"http://{gateway.settings.address}")
             await wait_for_engines(self)
@@ -189,9 +191,9 @@
 async def run_fleet(answering: int, gateways: int = 1) -> AsyncIterator[Fleet]:
     """Run engines behind linked gateways."""
     async with AsyncExitStack() as stack:
-        made = await stack.enter_async_context(deployment())
-        fleet = Fleet(made, [made.url], answering)
-        for engine in (fleet.prompts, *fleet.answers):
+        env = await stack.enter_async_context(deployment())
+        fleet = Fleet(env, [env.url], answering)
+        for engine in (fleet.prefill_engine, *fleet.decode_engines):
             await engine.start()
         for number in range(2, gateways + 1):
             await stack.enter_async_context(fleet.run_another(f"gateway-{number}"))
@@ -200,14 +202,16 @@
 
 
 async def wait_for_engines(fleet: Fleet) -> None:
-    """Wait until each gateway lists the engines as they are, and no other."""
-    names = {engine.instance for engine in (fleet.prompts, *fleet.answers)}
+    """Wait until each gateway lists exactly the current engines."""
+    names = {
+        engine.instance for engine in (fleet.prefill_engine, *fleet.decode_engines)
+    }
     for gateway in fleet.gateways:
         await wait_until(lambda g=gateway: g.core.links.keys() == names)
 
 
 async def wait_for_links(fleet: Fleet) -> None:
-    """Wait until each gateway has a link to each other one."""
+    """Wait until all gateways are linked to each other."""
     others = len(fleet.gateways) - 1
     for gateway in fleet.gateways if others else ():
         await wait_until(
