--- a/tests/entry/common.py
+++ b/tests/entry/common.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of the entry's core."""
+"""Helpers for the tests of the dispatch core."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class Driver:
-    """Drive one entry's core and keep what it commands."""
+    """Pass events to one dispatch core and record its commands."""
 
     def __init__(self, hosts: int = 2) -> None:
         self.core = DispatchCore("entry-0", "howrah", random.Random(1))
@@ -37,7 +37,7 @@
             self.link_up(host)
 
     def handle(self, event: events.Event) -> list[events.Command]:
-        """Give an event; return the commands but the notes."""
+        """Pass an event to the core; return its commands without recorded steps."""
         commands = [
             c
             for c in handle_event(event, self.core, self.now)
@@ -55,7 +55,7 @@
         return self.handle(events.Received(host, message))
 
     def pass_time(self, seconds: float) -> list[events.Command]:
-        """Let time pass, with ticks where the core asks for them."""
+        """Advance the clock, with a tick at each time the core asks for."""
         until = self.now + seconds
         commands = []
         while self.core.next_wake() <= until:
@@ -70,11 +70,11 @@
         return self.handle(events.Arrived(work, self.now + seconds, streamed))
 
     def wait_for_offer(self, seconds: float = 40.0) -> tuple[str, Offer]:
-        """Let time pass until there is one more offer."""
+        """Advance the clock until one more offer is sent."""
         before, until = len(self.list_offers()), self.now + seconds
         while len(self.list_offers()) == before:
             wake = self.core.next_wake()
-            assert wake <= until, "nothing more is offered"
+            assert wake <= until, "no further offer was sent in time"
             self.pass_time(max(0.0, wake - self.now))
         return self.find_offer()
 
@@ -83,7 +83,7 @@
         for command in reversed(self.log):
             if isinstance(command, events.Send) and isinstance(command.message, Offer):
                 return command.host, command.message
-        raise AssertionError("nothing was offered")
+        raise AssertionError("no offer was sent")
 
     def list_offers(self) -> list[str]:
         return [host for host, _ in self.list_sent(Offer)]
@@ -106,13 +106,13 @@
 
     @property
     def refusal(self) -> Refusal:
-        """Give the one refusal."""
+        """Return the only refusal."""
         (found,) = self.list_refusals()
         return found.refusal
 
     @property
     def answer(self) -> bytes:
-        """Give the one whole answer as its caller has it."""
+        """Return the only complete answer as its caller received it."""
         (end,) = self.list_ends()
         delivered = b"".join(part.data for part in self.list_commands(events.Deliver))
         if isinstance(end, events.End):
@@ -122,22 +122,22 @@
 
 
 def make_text(request: str = "r", **more: object) -> Work:
-    """Make a request for text."""
+    """Build work for generated text."""
     return Work(request, "team", POOL, CHAT, b"{}", "m", max_tokens=9, **more)
 
 
 def make_call(request: str = "r", **more: object) -> Work:
-    """Make a call that may not run twice."""
+    """Build a call that is not idempotent."""
     return Work(request, "team", POOL, CALL, b"body", idempotent=False, **more)
 
 
 def make_chunk(request: str, attempt: int, offset: int, data: bytes) -> Chunk:
-    """Make a part of an answer, with one token to each byte."""
+    """Build a part of an answer, with one token per byte."""
     return Chunk(request, attempt, offset, data, offset + len(data))
 
 
 def make_finished(request: str, attempt: int, data: bytes) -> Finished:
-    """Make the end of a whole answer."""
+    """Build the end of a complete answer."""
     checksum = xxhash.xxh64_intdigest(data)
     return Finished(request, attempt, len(data), checksum, 200, "stop", 5, len(data))
 
@@ -145,5 +145,5 @@
 def make_handover(
     request: str, attempt: int, data: bytes, kv: KvRef | None = None
 ) -> Handover:
-    """Make the end of an attempt that goes on elsewhere."""
+    """Build the end of an attempt that continues at another host."""
     return Handover(request, attempt, len(data), xxhash.xxh64_intdigest(data), kv)
--- a/tests/entry/http_backend.py
+++ b/tests/entry/http_backend.py
@@ -1,4 +1,4 @@
-"""Serve the HTTP side alone, with a front whose answers the test sets."""
+"""Run the HTTP server alone, with a backend whose answers the test sets."""
 
 import asyncio
 import itertools
@@ -31,7 +31,7 @@
 
 
 class FakeBackend:
-    """Give every request the parts that the test has set."""
+    """Answer every request with the parts that the test has set."""
 
     def __init__(self) -> None:
         merged = merge_files(read_sample("lagna"))
@@ -82,7 +82,7 @@
 
 
 class Reply(NamedTuple):
-    """Hold a whole answer as it came over the wire."""
+    """Hold a complete HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -90,15 +90,15 @@
 
     @property
     def error(self) -> dict:
-        """Give the error that the body tells."""
+        """Return the error object of the body."""
         return json.loads(self.body)["error"]
 
 
 class Collector(asyncio.Protocol):
-    """Keep what came, also if the other end then resets the connection.
+    """Collect the received bytes, even if the peer then resets the connection.
 
-    A server that refuses a request closes with parts of it unread, which resets the
-    connection; asyncio's streams may then give the error in place of the refusal.
+    A server that refuses a request closes with part of it unread, which resets the
+    connection. asyncio's streams may then raise the error and lose the refusal.
     """
 
     def __init__(self) -> None:
@@ -113,14 +113,14 @@
 
 
 class Wire(NamedTuple):
-    """Reach a served application."""
+    """Connect to a served application."""
 
     ip: str
     port: int
     backend: FakeBackend
 
     async def connect(self) -> tuple[asyncio.Transport, "Collector"]:
-        """Open a connection that collects what comes."""
+        """Open a connection that collects the received bytes."""
         loop = asyncio.get_running_loop()
         return await loop.create_connection(Collector, self.ip, self.port)
 
@@ -141,14 +141,14 @@
         key: str | bytes = KEY,
         headers: bytes = b"",
     ) -> Reply:
-        """Ask once on a connection of its own."""
-        return await self.send(form_request(path, body, method, key, headers))
+        """Send one request on a new connection."""
+        return await self.send(format_request(path, body, method, key, headers))
 
 
-def form_request(
+def format_request(
     path: str, body: object, method: str, key: str | bytes, headers: bytes
 ) -> bytes:
-    """Write a request; a body of bytes goes out as it is, others as JSON."""
+    """Format a request; a body of bytes is sent unchanged, any other as JSON."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     secret = key if isinstance(key, bytes) else key.encode()
     return (
@@ -159,7 +159,7 @@
 
 
 def read_reply(whole: bytes) -> Reply:
-    """Read an answer that ended with its connection."""
+    """Parse a response that ended with its connection."""
     head, _, body = whole.partition(b"\r\n\r\n")
     first, *lines = head.decode().split("\r\n")
     pairs = (line.split(": ", 1) for line in lines)
@@ -170,7 +170,7 @@
 
 
 def join_chunks(body: bytes) -> bytes:
-    """Join the chunks of a body; one that is cut short gives what there is."""
+    """Join the chunks of a body, as far as it was received."""
     joined = b""
     while body:
         size, _, body = body.partition(b"\r\n")
@@ -182,12 +182,12 @@
 
 @asynccontextmanager
 async def serve(caller_seconds: float = 20.0) -> AsyncIterator[Wire]:
-    """Serve the HTTP side on a port of the system's choice."""
+    """Run the HTTP server on a port chosen by the system."""
     backend = FakeBackend()
     app = make_app(backend, f"test-{next(NUMBERS)}", caller_seconds)
     listener = socket.create_server(("127.0.0.1", 0))
     server = await app.create_server(sock=listener, return_asyncio_server=True)
-    # Only in this mode can sanic start a second application in one process.
+    # sanic starts a second application in one process only in test mode.
     Sanic.test_mode = True
     await server.startup()
     Sanic.test_mode = False
--- a/tests/entry/network.py
+++ b/tests/entry/network.py
@@ -1,7 +1,7 @@
 """Model of the links between entries and agents, without I/O.
 
-A link keeps the order of its messages. When it breaks each end notices in its own
-time, any suffix of what is under way is lost, and the rest may arrive late, behind the
+A link keeps the order of its messages. When it breaks, each end notices independently,
+a suffix of the messages in flight is lost, and the others may arrive late, after
 messages of newer links.
 """
 
@@ -15,7 +15,7 @@
 
 
 class Ends(NamedTuple):
-    """Name the processes at both ends of a link."""
+    """Identify the processes at both ends of a link."""
 
     entry: str
     entry_incarnation: str
@@ -24,22 +24,23 @@
 
 
 class ModelLink:
-    """Carry messages both ways until both ends know that the link is gone."""
+    """Carry messages in both directions until both ends know that the link is down."""
 
     def __init__(self, ends: Ends) -> None:
         self.ends = ends
         self.queues: dict[str, deque[Message]] = {UP: deque(), DOWN: deque()}
         self.known_up = {UP: False, DOWN: True}
-        """Whether the end that messages go to knows of the link: agent, entry."""
+        """Whether the receiving end knows of the link: the agent for UP, the entry for
+    DOWN."""
         self.broken = False
 
     def send(self, direction: str, message: Message) -> None:
-        """Put a message on its way, or lose it where the link is broken."""
+        """Queue a message, or lose it if the link is broken."""
         if not self.broken:
             self.queues[direction].append(message)
 
     def cut(self, kept_up: int, kept_down: int) -> None:
-        """Break silently; so many messages of either direction still arrive."""
+        """Break silently; the given number of messages in flight still arrive."""
         self.broken = True
         for direction, kept in ((UP, kept_up), (DOWN, kept_down)):
             queue = self.queues[direction]
@@ -47,5 +48,5 @@
                 queue.pop()
 
     def drop(self, direction: str) -> None:
-        """Lose all that goes to an end that has died."""
+        """Lose all messages to an end that has died."""
         self.queues[direction].clear()
--- a/tests/entry/test_attempts.py
+++ b/tests/entry/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of what follows from a host's word on one attempt."""
+"""Tests of the handling of a host's messages about an attempt."""
 
 import random
 
@@ -19,23 +19,23 @@
 from radishtally.serving.state import DispatchCore
 
 
-class NotedPlacement(RankedPlacement):
-    """Remember at which hosts answers have begun."""
+class RecordingPlacement(RankedPlacement):
+    """Record the hosts at which answers have made progress."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.noted: list[str] = []
+        self.progressed_hosts: list[str] = []
 
     def record_progress(
         self, request: OpenRequest, host: KnownHost, now: float
     ) -> None:
-        self.noted.append(host.host)
+        self.progressed_hosts.append(host.host)
 
 
-# Prompts stay away from an engine that has room: the answer it goes on with began at
-# another one, which broke off, and its own prompt counts as unread until the end.
-def test_first_part_after_a_move_tells_that_the_prompt_is_read() -> None:
-    placement = NotedPlacement()
+# Guards against an engine with free capacity that gets no prompts: it continues an
+# answer that another engine began, and its prompt counts as unread until the end.
+def test_first_part_after_a_move_records_progress_at_the_new_host() -> None:
+    placement = RecordingPlacement()
     core = DispatchCore("g", "howrah", random.Random(1), placement)
     request = OpenRequest(Work("r", "", "llm", STREAM, b""), 10.0, True, 0.0)
     core.requests["r"] = request
@@ -44,17 +44,17 @@
         request.host, request.attempt = host, attempt
         chunk = Chunk("r", attempt, len(request.received), b"a part", attempt)
         list(receive(chunk, host, core, 0.0))
-    assert placement.noted == ["d-1", "d-2"]
+    assert placement.progressed_hosts == ["d-1", "d-2"]
 
 
-# All answers stop for as long as a crashed engine stays listed: that it is not reached
-# is seen with the first requests. One of them alone may have met a lost packet, and any
-# word of the engine's shows that it is there.
-def test_host_that_is_tried_in_vain_twice_is_out_of_reach() -> None:
+# Guards against answers that stall while a crashed engine stays listed. The first
+# requests show that it is unreachable. One failure alone may be a lost packet, and any
+# message of the engine shows that it is reachable.
+def test_host_is_out_of_reach_after_two_failed_attempts() -> None:
     core = DispatchCore("g", "howrah", random.Random(1))
     core.set_host("d-1", "howrah", "llm", live=True)
 
-    def tell(name: str, message: type, *more: object) -> None:
+    def receive_message(name: str, message: type, *more: object) -> None:
         work = Work(name, "", "llm", STREAM, b"")
         request = OpenRequest(work, 10.0, True, 0.0)
         request.host, request.attempt, request.phase = "d-1", 1, OFFERED
@@ -62,16 +62,16 @@
         list(receive(message(name, 1, *more), "d-1", core, 0.0))
 
     lost = Lost, Ran.NO, UNREACHED, 0
-    tell("a", *lost)
+    receive_message("a", *lost)
     assert not core.is_out_of_reach("d-1")
-    tell("b", *lost)
+    receive_message("b", *lost)
     assert core.is_out_of_reach("d-1")
-    tell("c", Refused, "status 503", 0.0)
+    receive_message("c", Refused, "status 503", 0.0)
     assert not core.is_out_of_reach("d-1")
-    tell("d", *lost)
-    tell("e", Accepted, 0.0)
-    tell("f", *lost)
+    receive_message("d", *lost)
+    receive_message("e", Accepted, 0.0)
+    receive_message("f", *lost)
     assert not core.is_out_of_reach("d-1")
-    tell("g", *lost)
+    receive_message("g", *lost)
     core.restart_host("d-1")
     assert not core.is_out_of_reach("d-1")
--- a/tests/entry/test_budgets.py
+++ b/tests/entry/test_budgets.py
@@ -3,9 +3,9 @@
 from radishtally.limits.retries import RetryBudgets
 
 
-# A small upstream whose hosts refuse gets more retries than requests: the requests of
-# a large one beside it paid for them, though each upstream has a bound of its own.
-def test_requests_of_one_upstream_pay_for_no_retry_of_another() -> None:
+# Guards against a small upstream with more retries than requests. Requests of a large
+# upstream must not add to the retry budget of the small one.
+def test_retry_budgets_of_upstreams_are_separate() -> None:
     budgets = RetryBudgets(0.125, 0.0)
     for _ in range(1_000):
         budgets.record_request("large", 0.0)
@@ -15,7 +15,7 @@
     assert sum(budgets.spend("large", 0.0) for _ in range(1_000)) == 125
 
 
-def test_floor_holds_for_each_upstream_and_can_change() -> None:
+def test_floor_applies_to_each_upstream_and_can_change() -> None:
     budgets = RetryBudgets(0.0, 1.0)
     assert budgets.spend("small", 0.0)
     assert not budgets.spend("small", 0.0)
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -1,4 +1,4 @@
-"""Test who may ask for what, and what work comes of it."""
+"""Tests of the authentication of callers and of the work built from requests."""
 
 import pytest
 
@@ -76,7 +76,7 @@
     assert directory.find_operator(headers) is None
 
 
-def test_keys_of_teams_and_operators_are_apart(directory: Directory) -> None:
+def test_keys_of_teams_and_operators_are_separate(directory: Directory) -> None:
     team = {"authorization": "bearer lagna-demo-key"}
     operator = {"authorization": "Bearer lagna-operator-key"}
     assert directory.find_caller(team).ok.name == "demo"
@@ -85,7 +85,7 @@
     assert directory.find_caller(operator).is_error()
 
 
-def test_adapter_brings_its_model(caller: Caller, directory: Directory) -> None:
+def test_adapter_name_selects_its_model(caller: Caller, directory: Directory) -> None:
     work = generate(caller, directory, model="fabric-tag").ok
     assert (work.model, work.adapter) == ("gown-llm", "fabric-tag")
     assert (work.team, work.upstream) == ("demo", "gown-llm")
@@ -113,7 +113,7 @@
     assert (refusal.code, refusal.ran) == (code, "no")
 
 
-def test_priority_and_share_are_the_teams(directory: Directory) -> None:
+def test_work_has_priority_and_share_of_the_team(directory: Directory) -> None:
     team = find_caller(directory, "lagna-seamstress-key")
     work = generate(team, directory).ok
     assert (work.priority, work.share) == (-1, 2.0)
@@ -147,20 +147,20 @@
 def test_dot_segments_are_refused(
     caller: Caller, directory: Directory, path: str
 ) -> None:
-    # A route says that /slots* may be repeated. A caller asks for /slots/../reminders;
-    # on its way out the path becomes /reminders, which may not be repeated, and a lost
-    # answer would make the reminder run twice. So such a path goes nowhere.
+    # A route declares /slots* as idempotent. /slots/../reminders would match it but be
+    # sent as /reminders, which is not idempotent, so a lost answer would make the
+    # reminder run twice. Such paths are refused.
     refusal = call(caller, directory, path).error
     assert (refusal.status, refusal.ran) == (400, "no")
 
 
-def test_encoded_path_meets_its_route() -> None:
+def test_first_matching_route_decides() -> None:
     routes = (Route(path="/once"), Route(path="/*", idempotent=True))
     assert not is_idempotent(routes, "POST", "/once")
     assert is_idempotent(routes, "POST", "/other")
 
 
-def test_only_harmless_headers_are_passed_on(
+def test_only_listed_headers_are_forwarded(
     caller: Caller, directory: Directory
 ) -> None:
     headers = {
@@ -183,13 +183,13 @@
     assert read_options({"idempotency-key": key}, 30.0).error.status == 400
 
 
-def test_options() -> None:
+def test_read_options() -> None:
     assert read_options({}, 30.0).ok == ("", 30.0)
     headers = {"idempotency-key": "k" * 255, "x-request-timeout": "0.25"}
     assert read_options(headers, 30.0).ok == ("k" * 255, 0.25)
 
 
-def test_token_ratio_learns() -> None:
+def test_token_ratio_follows_the_counts() -> None:
     ratio = TokenRatio()
     assert ratio.estimate("m", 400) == 100
     ratio.record_count("m", 100, 50)
--- a/tests/entry/test_calls.py
+++ b/tests/entry/test_calls.py
@@ -1,4 +1,4 @@
-"""Tests of calls that may not run twice."""
+"""Tests of calls that are not idempotent."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def driver() -> Driver:
-    """Hold a granted call that is offered."""
+    """Create a driver with a call that is granted and offered."""
     made = Driver()
     made.open(KEYED, streamed=False)
     assert made.list_commands(Claim) and not made.list_offers()
@@ -41,10 +41,10 @@
     return made
 
 
-def test_offer_that_never_came_is_made_elsewhere(driver: Driver) -> None:
-    # The caller is served although the link broke with the offer on it. The agent
-    # remembers every attempt for long, knows nothing of this one and will refuse it
-    # if it still comes: it surely did not run.
+def test_offer_lost_with_its_link_is_repeated(driver: Driver) -> None:
+    # The link breaks with the offer in flight. The agent remembers attempts for long,
+    # doesn't know this one and will refuse it if it still arrives. So it did not run,
+    # and the call can be offered again.
     host, _ = driver.find_offer()
     driver.handle(LinkDown(host))
     driver.link_up(host)
@@ -54,9 +54,9 @@
     assert offer.attempt == 2
 
 
-def test_old_offer_is_not_believed_to_be_unknown(driver: Driver) -> None:
-    # The caller is told "unknown". The entry was paused for longer than agents
-    # remember: the call may have run long ago, and "not known" proves nothing.
+def test_not_known_is_not_trusted_for_an_old_offer(driver: Driver) -> None:
+    # The entry was paused for longer than agents remember attempts. The call may have
+    # run long ago, so "not known" proves nothing and the caller is told "unknown".
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
     driver.handle(LinkDown(host))
@@ -68,13 +68,13 @@
     assert not driver.list_commands(Release)
 
 
-def test_agents_remember_longer_than_entries_rely_on() -> None:
+def test_agents_remember_attempts_longer_than_entries_trust_them() -> None:
     assert 2 * const.NOT_RUN_TRUST_SECONDS <= REMEMBER_SECONDS
 
 
-def test_unanswered_offer_waits_for_the_agents_word(driver: Driver) -> None:
-    # The caller is served once. The first agent leaves the offer without a word; it
-    # is offered elsewhere only when that agent has said that it will never run it.
+def test_unanswered_offer_is_repeated_after_its_cancellation(driver: Driver) -> None:
+    # The first agent doesn't answer the offer. The call is offered to another one only
+    # after the first has confirmed the cancel, so that it runs once.
     host, _ = driver.find_offer()
     driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     assert driver.list_sent(Cancel) == [(host, Cancel("r", 1))]
@@ -83,7 +83,7 @@
     assert len(driver.list_offers()) == 2
 
 
-def test_old_cancellation_is_not_believed(driver: Driver) -> None:
+def test_late_cancellation_is_not_trusted(driver: Driver) -> None:
     host, _ = driver.find_offer()
     driver.now += const.NOT_RUN_TRUST_SECONDS / 2
     driver.core.requests["r"].deadline = float("inf")
@@ -93,9 +93,9 @@
     assert driver.refusal.ran == Ran.UNKNOWN
 
 
-def test_begun_call_is_followed_after_its_withdrawal(driver: Driver) -> None:
-    # The caller gets its answer. The acceptance was late, the withdrawal came when
-    # the call had begun: the agent lets it end, and its outcome is fetched.
+def test_call_that_began_before_its_cancel_is_attached_again(driver: Driver) -> None:
+    # The acceptance is late, and the cancel arrives after the call has begun. The
+    # agent lets it finish, and the entry attaches to fetch the outcome.
     host, _ = driver.find_offer()
     driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     driver.receive(host, Accepted("r", 1, 0.0))
@@ -106,7 +106,7 @@
     assert driver.answer == b"sent"
 
 
-def test_withdrawal_is_repeated_over_a_new_link(driver: Driver) -> None:
+def test_cancel_is_repeated_over_a_new_link(driver: Driver) -> None:
     host, _ = driver.find_offer()
     driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     driver.handle(LinkDown(host))
@@ -119,8 +119,8 @@
 
 
 def test_restarted_agent_leaves_the_outcome_unknown(driver: Driver) -> None:
-    # The caller is told "unknown". The agent died with the withdrawal under way; the
-    # new one knows nothing of what its predecessor began and can't speak for it.
+    # The agent dies with the cancel in flight. The restarted agent doesn't know what
+    # its predecessor began, so the caller is told "unknown".
     host, _ = driver.find_offer()
     driver.pass_time(const.OFFER_TIMEOUT_SECONDS)
     driver.handle(LinkDown(host))
@@ -130,7 +130,7 @@
     assert not driver.list_commands(Release)
 
 
-def test_restart_is_seen_on_a_host_that_was_forgotten(driver: Driver) -> None:
+def test_restart_is_detected_after_the_host_was_forgotten(driver: Driver) -> None:
     host, _ = driver.find_offer()
     driver.handle(LinkDown(host))
     driver.core.forget_host(host)
@@ -139,9 +139,9 @@
     assert driver.refusal.ran == Ran.UNKNOWN
 
 
-def test_claim_granted_too_late_is_given_back() -> None:
-    # The caller was told "not run" at its deadline, with its claim still under way.
-    # Granted later and kept, the claim would answer every repeat with "unknown".
+def test_claim_granted_after_the_deadline_is_released() -> None:
+    # The caller was told "not run" at its deadline while its claim was in flight. If
+    # the claim were kept when granted later, every repeat would get "unknown".
     driver = Driver()
     driver.open(KEYED, seconds=1.0)
     driver.pass_time(1.0)
@@ -150,7 +150,7 @@
     assert driver.handle(Granted(KEYED)) == [Release(KEYED)]
 
 
-def test_claim_is_given_back_if_its_caller_has_gone() -> None:
+def test_claim_is_released_if_its_caller_disconnected() -> None:
     driver = Driver()
     driver.open(KEYED)
     driver.handle(CallerGone("r"))
@@ -166,7 +166,9 @@
     ],
     ids=["denied", "repeated"],
 )
-def test_claim_decided_for_a_gone_caller_is_dropped(event: Denied | Repeated) -> None:
+def test_claim_outcome_for_a_disconnected_caller_is_dropped(
+    event: Denied | Repeated,
+) -> None:
     driver = Driver()
     driver.open(KEYED)
     driver.handle(CallerGone("r"))
@@ -174,9 +176,9 @@
     assert not driver.core.requests
 
 
-def test_outcome_is_kept_after_the_caller_was_told_unknown(driver: Driver) -> None:
-    # The caller is told "unknown" when the link stays away, and a repeat of its key
-    # gets the first answer: the entry goes on to wait for the outcome and keeps it.
+def test_outcome_is_stored_after_an_unknown_answer(driver: Driver) -> None:
+    # The caller is told "unknown" because the link stays down. The entry continues to
+    # wait for the outcome and stores it, so that a repeat of the key gets the answer.
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
     driver.handle(LinkDown(host))
@@ -189,10 +191,10 @@
     assert not driver.list_ends()
 
 
-def test_call_is_not_begun_for_a_caller_that_was_told_unknown(driver: Driver) -> None:
-    # The caller was told "unknown" at its deadline while the call was queued. When it
-    # turns out not to have run, its claim is given back, so that a repeat of the key
-    # runs it; running it now would do it for nobody.
+def test_call_is_not_retried_after_an_unknown_answer(driver: Driver) -> None:
+    # The caller was told "unknown" at its deadline while the call was queued. When the
+    # host refuses it, the claim is released so that a repeat of the key can run it.
+    # Running it now would serve no caller.
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
     driver.pass_time(30.0)
@@ -202,7 +204,7 @@
     assert driver.list_commands(Release) == [Release(KEYED)]
 
 
-def test_outcome_is_not_awaited_for_ever(driver: Driver) -> None:
+def test_wait_for_an_outcome_is_bounded(driver: Driver) -> None:
     host, _ = driver.find_offer()
     driver.receive(host, Accepted("r", 1, 0.0))
     driver.pass_time(30.0 + const.OUTCOME_WAIT_SECONDS)
@@ -212,8 +214,8 @@
 
 
 def test_lost_call_keeps_its_claim(driver: Driver) -> None:
-    # The caller is told "unknown", and so is a repeat of its key: the call may have
-    # run, so its claim is never given back.
+    # The call may have run, so its claim is never released. The caller is told
+    # "unknown", and so is a repeat of its key.
     host, _ = driver.find_offer()
     driver.receive(host, Lost("r", 1, Ran.UNKNOWN, "reset", 0))
     assert (driver.refusal.status, driver.refusal.ran) == (502, Ran.UNKNOWN)
@@ -221,7 +223,7 @@
     assert len(driver.list_offers()) == 1
 
 
-def test_damaged_outcome_is_not_called_not_run(driver: Driver) -> None:
+def test_corrupt_outcome_is_not_reported_as_not_run(driver: Driver) -> None:
     host, _ = driver.find_offer()
     driver.receive(host, make_chunk("r", 1, 0, b"senX"))
     driver.receive(host, make_finished("r", 1, b"sent"))
@@ -244,9 +246,9 @@
     assert len(driver.list_offers()) == (2 if ran == Ran.NO else 1)
 
 
-def test_unkeyed_call_is_withdrawn_when_its_caller_goes() -> None:
-    # Nobody can ask for the outcome any more: the agent drops the call if it has not
-    # begun, and lets it end otherwise; the entry keeps nothing.
+def test_unkeyed_call_is_cancelled_when_its_caller_disconnects() -> None:
+    # Without a key the outcome can't be requested later. The agent drops the call if
+    # it has not begun and lets it finish otherwise; the entry keeps no state.
     driver = Driver()
     work: Work = make_call()
     driver.open(work)
--- a/tests/entry/test_http.py
+++ b/tests/entry/test_http.py
@@ -1,4 +1,4 @@
-"""Test the HTTP side: what is refused, cut off, streamed and closed."""
+"""Tests of the HTTP server: refusals, timeouts, streams and disconnects."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
     KEY,
     Reply,
     Wire,
-    form_request,
+    format_request,
     serve,
 )
 
@@ -29,14 +29,14 @@
 
 
 def ask(*args: object, **more: object) -> Reply:
-    """Ask a front that answers `whole` once."""
+    """Send one request to a backend that answers `whole`."""
 
     async def ask_once() -> Reply:
         async with serve() as wire:
             wire.backend.whole = b"whole"
             reply = await wire.ask(*args, **more)
             if reply.status >= 400:
-                assert wire.backend.works == [], "refused, yet brought in"
+                assert wire.backend.works == [], "refused but dispatched"
             return reply
 
     return run(ask_once())
@@ -85,7 +85,7 @@
     b"X-Request-Timeout: 3601",
 ]
 
-OTHERS = [
+BAD_REQUESTS = [
     ("/nowhere", {}, "POST", KEY, 404, "invalid_request"),
     (CHAT_PATH, b"", "GET", KEY, 405, "invalid_request"),
     (CHAT_PATH, CHAT_BODY, "POST", "no-key", 401, "invalid_api_key"),
@@ -104,7 +104,7 @@
 
 
 def check_refusal(reply: Reply, status: int, code: str) -> None:
-    """Check that a refusal has the shape that callers' libraries read."""
+    """Check that a refusal has the format that client libraries expect."""
     assert reply.status == status
     assert reply.headers["x-ran"] == "no"
     assert reply.error["code"] == code
@@ -123,19 +123,21 @@
     check_refusal(ask(headers=header + b"\r\n"), 400, "invalid_request")
 
 
-@pytest.mark.parametrize(("path", "body", "method", "key", "status", "code"), OTHERS)
+@pytest.mark.parametrize(
+    ("path", "body", "method", "key", "status", "code"), BAD_REQUESTS
+)
 def test_refusal(
     path: str, body: object, method: str, key: str | bytes, status: int, code: str
 ) -> None:
     check_refusal(ask(path, body, method=method, key=key), status, code)
 
 
-def test_team_may_not_use_upstream() -> None:
+def test_upstream_not_allowed_for_team() -> None:
     reply = ask("/services/booking-app/slots", {}, key="lagna-seamstress-key")
     check_refusal(reply, 403, "upstream_not_allowed")
 
 
-def test_headers_reach_the_work() -> None:
+def test_headers_are_copied_to_the_work() -> None:
     async def check() -> None:
         async with serve() as wire:
             wire.backend.whole = b"whole"
@@ -183,7 +185,7 @@
         CHUNKED + b"zz\r\n",
     ],
 )
-def test_no_http(data: bytes) -> None:
+def test_malformed_http(data: bytes) -> None:
     async def check() -> Reply:
         async with serve() as wire:
             return await wire.send(data)
@@ -199,9 +201,9 @@
     ],
     ids=["body", "header"],
 )
-def test_slow_sender_is_cut_off(sent: bytes) -> None:
-    # A caller begins a request and then sends no more. After the bound it is told so,
-    # and the connection is closed: it would otherwise hold its place for an hour.
+def test_sender_that_stops_is_refused(sent: bytes) -> None:
+    # A caller starts a request and then stops sending. After the timeout it gets a
+    # refusal and is disconnected; otherwise its connection would stay for an hour.
     async def check() -> Reply:
         async with serve(caller_seconds=0.1) as wire:
             return await wire.send(sent)
@@ -209,9 +211,9 @@
     check_refusal(run(check()), 408, "invalid_request")
 
 
-def test_trickling_sender_is_cut_off() -> None:
-    # A caller sends its body byte by byte, each one well within any bound on silence.
-    # The bound holds for the whole body: the caller is cut off before its last byte.
+def test_slow_sender_is_refused() -> None:
+    # A caller sends its body byte by byte, so that no idle timeout would expire. The
+    # timeout covers the whole body, so the caller is refused before its last byte.
     async def check() -> bytes:
         async with serve(caller_seconds=0.2) as wire, asyncio.timeout(30):
             transport, collector = await wire.connect()
@@ -261,10 +263,10 @@
     run(check(True))
 
 
-def test_unforeseen_fault_is_not_called_not_run() -> None:
-    # The entry's own code breaks while a request is brought in. How far the request
-    # came is not known, so the caller must not read that it surely did not run, and
-    # neither the caller nor the log gets to see what the fault's text holds.
+def test_internal_error_is_not_reported_as_not_run() -> None:
+    # The entry's code raises while it dispatches a request. How far the request got
+    # is unknown, so the refusal must not say "not run", and neither the caller nor
+    # the log may get the text of the exception.
     async def check() -> Reply:
         async with serve() as wire:
             wire.backend.broken = True
@@ -318,11 +320,11 @@
 
 @pytest.mark.parametrize("streamed", [False, True])
 @pytest.mark.parametrize("model", ["gown-llm", "fabric-tag"])
-def test_whole_answers_teach_the_tokens_of_their_model(
+def test_complete_answers_update_the_token_ratio_of_their_model(
     streamed: bool, model: str
 ) -> None:
-    # Long prompts are admitted by an estimate. It is learned for the model, also when
-    # its adapter was asked for, from streams as well as from whole answers.
+    # Long prompts are admitted by an estimate. It is updated for the model, also when
+    # an adapter was requested, by streams as well as by answers in one piece.
     async def check() -> dict[str, float]:
         async with serve() as wire:
             wire.backend.whole = b"x"
@@ -333,10 +335,10 @@
     assert run(check()) == {"gown-llm": pytest.approx(3 / characters)}
 
 
-def test_cut_stream_is_not_shown_as_whole() -> None:
-    # The upstream is lost with half of the answer out and nobody can go on. The caller
-    # has the half already; the stream ends with an error, without a finish reason and
-    # without [DONE], so that no library takes the half for the whole.
+def test_aborted_stream_does_not_look_complete() -> None:
+    # The upstream is lost after half of the answer was sent, and no host continues it.
+    # The stream ends with an error, without a finish reason and without [DONE], so
+    # that no client library treats the half as a complete answer.
     async def check() -> Reply:
         async with serve() as wire:
             wire.backend.parts = [b"half of", LOST]
@@ -361,17 +363,17 @@
     run(check(True))
 
 
-def test_caller_that_goes_is_noticed() -> None:
-    # A caller closes its connection while its answer is awaited. The front learns that
-    # the request was not answered, so that the work can be taken back.
+def test_disconnected_caller_ends_its_request() -> None:
+    # A caller disconnects while it waits for its answer. The backend must learn that
+    # the request was not answered, so that the work can be cancelled.
     async def check() -> None:
         async with serve() as wire:
-            await leave_early(wire)
+            await disconnect_early(wire)
             async with asyncio.timeout(30):
                 await wire.backend.was_closed.wait()
             assert wire.backend.closed == [False]
 
-    async def leave_early(wire: Wire) -> None:
+    async def disconnect_early(wire: Wire) -> None:
         _, writer = await asyncio.open_connection(wire.ip, wire.port)
         body = json.dumps(CHAT_BODY).encode()
         head = f"POST {CHAT_PATH} HTTP/1.1\r\nAuthorization: Bearer {KEY}\r\n"
@@ -383,10 +385,10 @@
     run(check())
 
 
-def test_caller_that_reads_no_more_is_given_up() -> None:
-    # A caller asks for a stream and then takes in nothing, as if its connection had
-    # been forgotten on the way. Its buffers fill up; after the bound the entry closes
-    # the connection and takes the work back, in place of waiting for an hour.
+def test_caller_that_stops_reading_is_disconnected() -> None:
+    # A caller requests a stream and then reads nothing, as if its connection had gone
+    # silent. The buffers fill up. After the timeout the entry closes the connection
+    # and cancels the work instead of waiting for an hour.
     async def check() -> list[bool]:
         async with serve(caller_seconds=0.1) as wire, asyncio.timeout(30):
             wire.backend.parts = [b"x" * 1_000_000] * 100
@@ -394,7 +396,7 @@
             transport, _ = await wire.connect()
             transport.pause_reading()
             body = change(stream=True)
-            transport.write(form_request(CHAT_PATH, body, "POST", KEY, b""))
+            transport.write(format_request(CHAT_PATH, body, "POST", KEY, b""))
             await wire.backend.was_closed.wait()
             transport.abort()
             return wire.backend.closed
@@ -402,13 +404,13 @@
     assert run(check()) == [False]
 
 
-def test_joiner_holds_back_cut_characters() -> None:
+def test_decoder_keeps_incomplete_characters() -> None:
     decoder = Utf8StreamDecoder()
     data = "a刺b".encode()
     assert "".join(decoder.decode(data[i : i + 1]) for i in range(len(data))) == "a刺b"
 
 
-def test_fake_front_is_a_front() -> None:
+def test_fake_backend_implements_the_protocol() -> None:
     async def check() -> Backend:
         async with serve() as wire:
             return wire.backend
--- a/tests/entry/test_leaving.py
+++ b/tests/entry/test_leaving.py
@@ -1,4 +1,4 @@
-"""What callers get whose requests are open when the process ends."""
+"""Tests of the refusals for requests that are open when the process ends."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 from tests.entry.common import Driver, make_call
 
 
-# A caller gets no word when its entry ends, and asks again what may have run, or does
-# not dare to ask again what surely has not.
+# Guards against callers that get no refusal when their entry ends. They would repeat a
+# request that may have run, or not dare to repeat one that has not.
 @pytest.mark.parametrize("is_taken", [True, False])
 def test_offered_request_may_have_run(is_taken: bool) -> None:
     driver = Driver()
@@ -34,7 +34,7 @@
     assert not driver.list_sent(Cancel)
 
 
-def test_answered_request_gets_no_second_answer() -> None:
+def test_request_of_a_disconnected_caller_gets_no_refusal() -> None:
     driver = Driver()
     driver.open(make_call())
     driver.handle(events.CallerGone("r"))
--- a/tests/entry/test_moves.py
+++ b/tests/entry/test_moves.py
@@ -1,4 +1,4 @@
-"""Tests of planned changes: they cut no request."""
+"""Tests that drains and handovers don't end open requests."""
 
 from radishtally.limits.retries import MAX_BACKOFF_SECONDS
 from radishtally.links.messages import (
@@ -23,10 +23,10 @@
 )
 
 
-def test_handed_over_answer_waits_for_a_host() -> None:
-    # The caller sees its answer pause and then go on. Its only host drains and hands
-    # the stream over; no other host is linked. A planned change must cut nobody, so
-    # the request waits for a host instead of being refused.
+def test_answer_after_a_handover_waits_for_a_host() -> None:
+    # The only host drains and hands its stream over while no other host is linked. A
+    # planned change must not end requests, so the answer pauses until a host is back
+    # and then continues, instead of being refused.
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", make_chunk("r", 1, 0, b"abc"))
@@ -58,9 +58,9 @@
     assert not driver.core.requests
 
 
-def test_many_handovers_cut_nobody() -> None:
-    # The caller sees one answer without a gap while a rolling drain moves it twenty
-    # times. Planned moves are no failures: neither attempts nor offers run out.
+def test_many_handovers_end_no_request() -> None:
+    # A rolling drain hands one answer over twenty times, and the caller sees no gap.
+    # Handovers are not failures, so they don't count against attempts or offers.
     driver = Driver(hosts=2)
     driver.open(make_text())
     for number in range(20):
@@ -75,9 +75,9 @@
     assert driver.answer == b"x" * 20
 
 
-def test_moved_work_is_never_called_not_run() -> None:
-    # The caller is refused after its prompt was prefilled and handed over. An engine
-    # has begun it, so "not run" would be a lie.
+def test_prefilled_work_is_never_reported_as_not_run() -> None:
+    # The request is refused after its prompt was prefilled and handed over. An engine
+    # has begun it, so "not run" would be wrong.
     driver = Driver(hosts=1)
     driver.open(make_text(), seconds=1.0)
     driver.receive("agent-0", make_handover("r", 1, b"", KV))
@@ -85,10 +85,10 @@
     assert driver.refusal.ran == Ran.UNKNOWN
 
 
-def test_work_given_back_by_a_drain_waits_a_while() -> None:
-    # The caller was promised an answer: its request was accepted and queued. Its host
-    # drains and gives the queue back while no other host is there. The request waits
-    # some seconds for one, then it is refused as not run.
+def test_queued_work_refused_by_a_drain_waits_for_a_host() -> None:
+    # A request was accepted and queued when its host drains and refuses its queue
+    # while no other host is linked. The request waits some seconds for a host and is
+    # then refused as not run.
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", Accepted("r", 1, 0.0))
@@ -101,7 +101,7 @@
     assert driver.refusal.retry_after is not None
 
 
-def test_new_work_that_nobody_takes_is_refused_at_once() -> None:
+def test_new_work_that_no_host_accepts_is_refused_at_once() -> None:
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", Refused("r", 1, LEAVING, 1.0))
@@ -109,9 +109,9 @@
     assert driver.refusal.retry_after == 1.0
 
 
-def test_handover_is_had_again_over_a_new_link() -> None:
-    # The caller sees no gap. The agent hands the stream over just as the link breaks;
-    # the entry asks over the new link and gets the rest and the handover.
+def test_handover_is_repeated_over_a_new_link() -> None:
+    # The agent hands the stream over just as the link breaks. The entry attaches over
+    # the new link and gets the rest and the handover, so the caller sees no gap.
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
@@ -126,7 +126,7 @@
     assert (offer.done, offer.kv) == (b"abc", KV)
 
 
-def test_prefilled_work_goes_on_with_its_cache() -> None:
+def test_decode_continues_with_the_prefilled_cache() -> None:
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
@@ -139,7 +139,7 @@
     assert request.next_stage == "decode"
 
 
-def test_prefill_moved_without_its_cache_starts_over() -> None:
+def test_prefill_moved_without_its_cache_restarts() -> None:
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
--- a/tests/entry/test_openai.py
+++ b/tests/entry/test_openai.py
@@ -1,4 +1,4 @@
-"""Test the answers as OpenAI's own client reads them, on a real fleet."""
+"""Tests of the answers with OpenAI's client library, on a real fleet."""
 
 from collections.abc import Iterator
 from urllib.error import HTTPError
@@ -80,7 +80,7 @@
     assert client.models.retrieve("fabric-tag").id == "fabric-tag"
 
 
-def test_errors_are_those_of_the_client(
+def test_errors_raise_the_clients_exceptions(
     client: openai.OpenAI, small_fleet: Fleet
 ) -> None:
     with pytest.raises(openai.NotFoundError) as missing:
@@ -93,9 +93,9 @@
         client.with_options(api_key="no-key").models.list()
 
 
-def test_deadline_that_can_not_be_met(client: openai.OpenAI) -> None:
-    # No engine makes 4,096 tokens within half a second. The caller is told so at once,
-    # and that nothing ran, in place of a late answer.
+def test_deadline_that_cannot_be_met(client: openai.OpenAI) -> None:
+    # No engine produces 4,096 tokens within half a second. The request is refused at
+    # once as not run, instead of being answered late.
     with pytest.raises(openai.RateLimitError) as refused:
         client.chat.completions.create(
             model="gown-llm",
@@ -120,7 +120,7 @@
 
 
 @given(st.binary(max_size=200), st.sampled_from([CHAT, COMPLETION]))
-def test_any_bytes_are_refused_or_read(body: bytes, kind: str) -> None:
+def test_any_bytes_are_refused_or_parsed(body: bytes, kind: str) -> None:
     parsed = parse_generation(body, kind)
     assert parsed.is_ok() or parsed.error.status == 400
 
@@ -137,7 +137,7 @@
 
 
 @given(st.dictionaries(st.sampled_from(FIELDS), JSON))
-def test_any_fields_are_refused_or_read(body: dict) -> None:
+def test_any_fields_are_refused_or_parsed(body: dict) -> None:
     import msgspec
 
     parsed = parse_generation(msgspec.json.encode(body), CHAT)
--- a/tests/entry/test_operators.py
+++ b/tests/entry/test_operators.py
@@ -1,4 +1,4 @@
-"""Test what operators may ask of an entry, and who counts as one."""
+"""Tests of the operators' routes and of their authorization."""
 
 import json
 from collections.abc import Iterator
@@ -84,7 +84,7 @@
 
 
 class NewFleet(Fleet):
-    """Start an entry that finds no configuration."""
+    """Start a fleet without a configuration."""
 
     def apply(self, *_: object) -> int:
         return 0
@@ -95,7 +95,7 @@
 
 @pytest.fixture
 def new_entry() -> Iterator[str]:
-    """Give the address of an entry alone, before the first configuration."""
+    """Run a single entry without a configuration; return its base URL."""
     files = read_sample("lagna")
     with NewFleet(files, entries_wanted=1, servers_wanted=lambda _: False) as fleet:
         url = fleet.entries["entry-1"].url
@@ -104,7 +104,7 @@
 
 
 def ask(url: str, body: object = None, key: str | None = KEY) -> tuple[int, Any]:
-    """Ask once; give the status and what the body says."""
+    """Send one request; return the status and the decoded body."""
     data = body if isinstance(body, bytes | None) else json.dumps(body).encode()
     request = Request(url, data)
     if key is not None:
@@ -120,9 +120,9 @@
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("key", [None, "no-key", "lagna-demo-key", PEER_KEY, "\xff"])
 def test_key_is_needed(base: str, path: str, key: str | None) -> None:
-    status, said = ask(f"{base}/{path}", key=key)
+    status, answer = ask(f"{base}/{path}", key=key)
     assert status == 401
-    assert "key" in said["error"]["message"]
+    assert "key" in answer["error"]["message"]
 
 
 @pytest.mark.parametrize("path", ["configuration", "hosts/gown-1/drain"])
@@ -133,7 +133,7 @@
 
 
 def list_changes(base: str) -> list[dict[str, Any]]:
-    """Give the trail without leases: the entry gains its own at any moment."""
+    """Return the audit entries without those of leases, which come at any time."""
     trail = get_json(f"{base}/audit", KEY)
     return [item for item in trail if not item["what"].startswith("lease.")]
 
@@ -141,9 +141,9 @@
 @pytest.mark.parametrize(("body", "status"), BAD_CHANGES, ids=lambda v: str(v)[-50:])
 def test_bad_change(base: str, body: object, status: int) -> None:
     before = get_json(f"{base}/configuration", KEY)
-    got, said = ask(f"{base}/configuration", body)
+    got, answer = ask(f"{base}/configuration", body)
     assert got == status
-    assert said["error"]["message"]
+    assert answer["error"]["message"]
     assert get_json(f"{base}/configuration", KEY) == before
 
 
@@ -157,37 +157,37 @@
     assert ask(f"{base}/{path}")[0] == status
 
 
-def test_confirmed_names_who_is_behind(base: str) -> None:
+def test_confirmed_lists_hosts_that_are_behind(base: str) -> None:
     query = "configuration/confirmed?revision=99&seconds=0"
-    said = get_json(f"{base}/{query}", KEY)
-    assert said["behind"] == ["booking-1", "entry-1", "gown-1"]
+    answer = get_json(f"{base}/{query}", KEY)
+    assert answer["behind"] == ["booking-1", "entry-1", "gown-1"]
 
 
-def test_revision_names_authors(base: str) -> None:
-    said = get_json(f"{base}/configuration/revisions/1", KEY)
-    assert said["author"] == "bootstrap"
-    entry = said["files"]["50-policy.json"]
+def test_revision_lists_authors(base: str) -> None:
+    answer = get_json(f"{base}/configuration/revisions/1", KEY)
+    assert answer["author"] == "bootstrap"
+    entry = answer["files"]["50-policy.json"]
     assert (entry["author"], entry["revision"]) == ("bootstrap", 1)
     assert get_json(f"{base}/configuration/revisions/0", KEY)["files"] == {}
 
 
-def test_entry_tells_its_own_state(base: str) -> None:
+def test_entry_reports_its_own_state(base: str) -> None:
     host = get_json(f"{base}/status", KEY)["hosts"]["entry-1"]
     assert host["state"] == "live"
     assert host["revision"] >= 1
 
 
-def test_peer_key_opens_until_operators_are_named(new_entry: str) -> None:
-    # The first configuration names no operators. If the peer key lost its force with
-    # it, nobody could ever change the configuration again.
+def test_peer_key_is_valid_until_operators_are_configured(new_entry: str) -> None:
+    # The first configuration names no operators. If the peer key became invalid with
+    # it, no one could change the configuration again.
     assert ask(f"{new_entry}/status", key=KEY)[0] == 503
     assert ask(f"{new_entry}/status", key=PEER_KEY)[1]["revision"] == 0
     files = read_sample("lagna")
     operators = {"45-operators.json": files.pop("45-operators.json")}
     for base, part in enumerate((files, operators)):
         body = {**CHANGE, "base": base, "files": part}
-        said = post_json(f"{new_entry}/configuration", body, PEER_KEY)
-        assert said["revision"] == base + 1
+        answer = post_json(f"{new_entry}/configuration", body, PEER_KEY)
+        assert answer["revision"] == base + 1
         by_operator = ask(f"{new_entry}/status", key=KEY)[0]
         assert by_operator == (200 if part is operators else 401)
     assert ask(f"{new_entry}/status", key=PEER_KEY)[0] == 401
--- a/tests/entry/test_planning.py
+++ b/tests/entry/test_planning.py
@@ -1,4 +1,4 @@
-"""Tests of planning for a place while its lease comes and goes."""
+"""Tests of a place's planner whose lease is gained and lost."""
 
 import asyncio
 import time
@@ -13,40 +13,40 @@
 
 
 class SlowPlans:
-    """Answer each question for the plan when told to."""
+    """Answer each read of the plan when the test sets the result."""
 
     def __init__(self) -> None:
-        self.asked: list[asyncio.Future] = []
+        self.reads: list[asyncio.Future] = []
 
     async def read_plan(self, place: str) -> Result[Plan | None, object]:
-        self.asked.append(asyncio.get_running_loop().create_future())
-        return Ok(await self.asked[-1])
+        self.reads.append(asyncio.get_running_loop().create_future())
+        return Ok(await self.reads[-1])
 
 
 class FakeLease:
-    """Be held under a number."""
+    """Provide a fencing number."""
 
     fencing = 1
 
 
 class FakeAudit:
-    """Take entries."""
+    """Discard audit entries."""
 
     def record(self, *_: object) -> None:
         pass
 
 
-async def turn() -> None:
-    """Let what is ready run."""
+async def run_ready_tasks() -> None:
+    """Run the tasks that are ready."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-# No engine changes its role any more, for as long as the lease is held: it was lost and
-# won again while the plan was being read, and the first answer came last. Planned under
-# the number of then, a plan counts as not written, and none is made beside it.
-def test_answer_for_a_lease_that_was_lost_is_not_taken() -> None:
-    async def play() -> None:
+# Guards against a planner that stops changing roles for as long as it holds the lease.
+# The lease is lost and gained again while the plan is being read, and the first read
+# ends last. Its old fencing number would make each new plan count as not written.
+def test_plan_read_under_a_lost_lease_is_ignored() -> None:
+    async def check() -> None:
         plans = SlowPlans()
         planning = PlacePlanner(
             PLACE,
@@ -62,26 +62,26 @@
         )
         planning._lease = lease = FakeLease()
         planning._on_lease_gained(1)
-        await turn()
+        await run_ready_tasks()
         planning._on_lease_lost("not renewed in time")
         lease.fencing = 2
         planning._on_lease_gained(2)
-        await turn()
-        first, second = plans.asked
+        await run_ready_tasks()
+        first, second = plans.reads
         second.set_result(None)
-        await turn()
+        await run_ready_tasks()
         assert planning._planner.fencing == 2
         first.set_result(None)
-        await turn()
+        await run_ready_tasks()
         assert planning._planner.fencing == 2
 
-    run(play())
+    run(check())
 
 
-# Two planners order roles: the machine of one was suspended past the end of its lease,
-# and the usual steady clock stood still meanwhile.
-def test_lease_does_not_outlast_a_suspended_machine(monkeypatch) -> None:
-    async def play() -> None:
+# Guards against two planners at once: a machine is suspended past the end of its lease
+# while the monotonic clock stands still, so only the boot clock shows the expiry.
+def test_lease_expires_while_the_machine_is_suspended(monkeypatch) -> None:
+    async def check() -> None:
         now = 100.0
         monkeypatch.setattr(time, "clock_gettime", lambda _: now)
         plans = SlowPlans()
@@ -104,4 +104,4 @@
         assert not planning.holds_lease
         await planning.stop()
 
-    run(play())
+    run(check())
--- a/tests/entry/test_retries.py
+++ b/tests/entry/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of failures: what goes on elsewhere, what is refused, what is ignored."""
+"""Tests of failures: which requests are retried, refused or unaffected."""
 
 import pytest
 
@@ -28,10 +28,10 @@
 )
 
 
-def test_begun_answer_waits_for_a_host_after_a_crash() -> None:
-    # The caller sees its stream pause and go on. The engine crashes with the answer
-    # half out and at that moment no other host is there: cutting it would throw away
-    # what the caller has, so it waits with backoff until its deadline.
+def test_partial_answer_waits_for_a_host_after_a_crash() -> None:
+    # The engine crashes in the middle of an answer while no other host is available.
+    # Refusing it would waste the part that the caller has, so the request is retried
+    # with backoff until its deadline, and the stream continues after a pause.
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", make_chunk("r", 1, 0, b"abc"))
@@ -41,7 +41,7 @@
     assert (offer.attempt, offer.done, offer.tokens_done) == (2, b"abc", 3)
 
 
-def test_work_not_begun_is_refused_at_once_after_a_crash() -> None:
+def test_work_without_output_is_refused_at_once_after_a_crash() -> None:
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", Lost("r", 1, Ran.UNKNOWN, "crashed", 0))
@@ -49,10 +49,10 @@
     assert driver.refusal.retry_after is not None
 
 
-def test_begun_answer_waits_for_the_retry_budget() -> None:
-    # The caller sees a pause, not a cut: a crash breaks many streams at once and the
-    # retry budget lets only some go on at first, so that the rest of the fleet is not
-    # flooded. The others wait their turn.
+def test_partial_answer_waits_for_the_retry_budget() -> None:
+    # A crash breaks many streams at once. The retry budget lets only some continue at
+    # first, so that the other hosts are not flooded. The others wait for the budget
+    # instead of being refused.
     driver = Driver(hosts=2)
     driver.core.budgets = RetryBudgets(0.0, floor=0.1)
     while driver.core.budgets.spend(make_text().upstream, driver.now):
@@ -67,10 +67,10 @@
     assert len(driver.list_offers()) == 2
 
 
-def test_surely_not_run_costs_no_retry() -> None:
-    # The caller is served by the next host. An attempt that surely did not run has
-    # cost no upstream anything; charged to the budget, a host whose engine is away
-    # would use up what the crashed streams of others need.
+def test_attempt_that_did_not_run_costs_no_retry() -> None:
+    # An attempt that did not run has cost no upstream anything. If it counted against
+    # the budget, a host whose engine is down would use up the retries that streams
+    # broken by crashes need.
     driver = Driver(hosts=2)
     driver.core.budgets = RetryBudgets(0.0, floor=0.0)
     driver.open(make_text())
@@ -105,9 +105,9 @@
     ],
     ids=lambda message: type(message).__name__,
 )
-def test_late_word_of_an_old_attempt_changes_nothing(message: Message) -> None:
-    # The caller sees its own answer only. Attempt 1 was lost; attempt 2 runs at the
-    # same host when the old attempt's messages come late. They belong to another run.
+def test_late_message_of_an_old_attempt_is_ignored(message: Message) -> None:
+    # Attempt 1 was lost, and attempt 2 runs at the same host when messages of attempt
+    # 1 arrive late. They belong to another run and must not reach the caller.
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", make_chunk("r", 1, 0, b"ab"))
@@ -121,8 +121,8 @@
 
 
 def test_late_acceptance_is_cancelled() -> None:
-    # The caller is answered by the second host. The first one's word came too late;
-    # without a cancel it would give its slot to an answer that nobody reads.
+    # The first host accepts too late, when the second one already has the request.
+    # Without a cancel it would spend a slot on an answer that is not used.
     driver = Driver(hosts=2)
     driver.open(make_text())
     first, _ = driver.find_offer()
@@ -134,10 +134,9 @@
     assert driver.list_sent(Cancel) == [(first, Cancel("r", 1))]
 
 
-def test_second_run_of_a_call_starts_from_nothing() -> None:
-    # The caller gets one run's body whole. A GET is cut half-way and run again; the
-    # second run may answer otherwise, and its bytes behind the first run's would be
-    # an answer that nobody gave.
+def test_second_run_of_a_call_discards_the_first_part() -> None:
+    # A GET is lost halfway and run again. The second run may give another answer, so
+    # its bytes must not be appended to those of the first run.
     driver = Driver(hosts=2)
     driver.open(Work("r", "team", POOL, "call", b"", method="GET"), streamed=False)
     host, _ = driver.find_offer()
@@ -150,9 +149,9 @@
     assert driver.answer == b"second run"
 
 
-def test_parts_sent_again_count_their_tokens_once() -> None:
-    # The caller's answer keeps its full length. After a break the agent sends its
-    # part again; tokens counted twice would leave the next host too few to give.
+def test_tokens_of_repeated_parts_are_counted_once() -> None:
+    # After a link break the agent repeats its part. If its tokens were counted twice,
+    # the next host would get too small a limit and the answer would be too short.
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
@@ -165,9 +164,10 @@
     assert b"".join(d.data for d in driver.list_commands(Deliver)) == b"abc"
 
 
-def test_missing_part_is_asked_for_at_each_attempt() -> None:
-    # The caller sees no gap. The end comes without a part that a break took along,
-    # and again at the next attempt from the same byte: each time it is asked for.
+def test_missing_part_is_requested_at_each_attempt() -> None:
+    # The end arrives without a part that was lost with a link, and again in the next
+    # attempt from the same byte. The part is requested each time, so that the caller
+    # sees no gap.
     driver = Driver()
     driver.open(make_text())
     for attempt in (1, 2):
@@ -178,7 +178,7 @@
     assert [m.attempt for _, m in driver.list_sent(Attach)] == [1, 2]
 
 
-def test_damaged_answer_is_not_shown_as_whole() -> None:
+def test_corrupt_answer_is_refused() -> None:
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
@@ -191,7 +191,7 @@
     assert not driver.list_ends()
 
 
-def test_engine_refusal_of_the_request_is_passed_on() -> None:
+def test_engine_refusal_is_forwarded() -> None:
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
@@ -201,9 +201,9 @@
     assert (finish.end.status, finish.end.finish_reason) == (400, "prompt too long")
 
 
-# A text ends as complete after a part: the engine that is to go on refuses the request,
-# which has grown by that part.
-def test_refusal_of_the_rest_does_not_end_a_text_as_complete() -> None:
+# Guards against a partial answer that ends as complete: the engine that should continue
+# it refuses the request, which has grown by the part.
+def test_engine_refusal_of_the_rest_does_not_complete_an_answer() -> None:
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
@@ -216,7 +216,7 @@
     assert not driver.list_ends()
 
 
-def test_end_is_confirmed_to_its_agent() -> None:
+def test_complete_answer_is_acknowledged() -> None:
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
@@ -227,8 +227,8 @@
 
 
 def test_unlinked_hosts_are_offered_nothing() -> None:
-    # The caller is told at once that nobody is in reach. An offer put on no link
-    # would only be given up a second later, and then its outcome would be unclear.
+    # No host is linked, so the request is refused at once. An offer without a link
+    # would time out a second later, and its outcome would then be unknown.
     driver = Driver(hosts=1)
     driver.handle(LinkDown("agent-0"))
     driver.open(make_text())
@@ -236,7 +236,7 @@
     assert not driver.list_offers()
 
 
-def test_each_offer_tells_the_time_that_is_left() -> None:
+def test_each_offer_carries_the_remaining_time() -> None:
     driver = Driver(hosts=2)
     driver.open(make_text(), seconds=30.0)
     assert driver.find_offer()[1].budget == 30.0
@@ -244,9 +244,9 @@
     assert driver.find_offer()[1].budget == 30.0 - const.OFFER_TIMEOUT_SECONDS
 
 
-def test_lost_offer_goes_to_the_same_host_again() -> None:
-    # The caller is served. The link broke with the offer on it; the agent knows
-    # nothing of it and is the only host: the host has refused nothing.
+def test_lost_offer_is_repeated_at_the_same_host() -> None:
+    # The link breaks with the offer in flight. The only host doesn't know the offer,
+    # but it has not refused it either, so the request is offered there again.
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.handle(LinkDown("agent-0"))
@@ -256,7 +256,7 @@
     assert offer.attempt == 2
 
 
-def test_counts_follow_a_host_that_changes_its_upstream() -> None:
+def test_in_flight_count_survives_a_change_of_upstream() -> None:
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.core.set_host("agent-0", "howrah", "other", True)
@@ -265,7 +265,7 @@
     assert driver.core.hosts["agent-0"].in_flight == 0
 
 
-def test_gone_host_is_forgotten_with_its_last_request() -> None:
+def test_removed_host_is_forgotten_after_its_last_request() -> None:
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.core.forget_host("agent-0")
--- a/tests/entry/test_world.py
+++ b/tests/entry/test_world.py
@@ -1,4 +1,4 @@
-"""Tests of the promises to callers, over entries and agents together."""
+"""Tests of the guarantees to callers, with entries and agents together."""
 
 import pytest
 from hypothesis import settings
@@ -23,23 +23,23 @@
 NUMBERS = st.integers(0, 7)
 DEADLINES = st.sampled_from([30.0, 600.0])
 SELDOM = st.integers(0, 2)
-"""Lets a fault that ends much work happen one time in three."""
+"""A fault that ends much work happens only for 0, in one of three cases."""
 
 
 class Fleet(RuleBasedStateMachine):
-    """Hold the rules that break nothing by themselves."""
+    """Define the rules that cause no fault by themselves."""
 
     roles = ROLES
-    only = ""
-    """Kind of all requests; any if empty."""
+    only_kind = ""
+    """The kind of all requests; empty for any kind."""
 
     def __init__(self) -> None:
         super().__init__()
         self.world = World(2, self.roles)
         self.count = 0
 
-    def pick(self, agent: str) -> str:
-        """Give an agent that this fleet has."""
+    def find_agent(self, agent: str) -> str:
+        """Return the agent, or another one if this fleet doesn't have it."""
         return agent if agent in self.world.agents else "agent-0"
 
     def make_work(self, kind: str, body: int, **more: object) -> Work:
@@ -67,12 +67,12 @@
     def ask_model(
         self, entry: str, body: int, streamed: bool, key: bool, seconds: float
     ) -> None:
-        """Ask for text; a repeated key may come at any entry."""
-        if self.only == CALL:
+        """Ask for text; a key may be repeated at any entry."""
+        if self.only_kind == CALL:
             self.call_once(entry, body, "", seconds)
             return
         work = self.make_work(CHAT, body, key=f"k{body}" if key else "")
-        self.world.arrive(work, entry, seconds, streamed)
+        self.world.open_request(work, entry, seconds, streamed)
 
     @rule(
         entry=ENTRIES,
@@ -81,29 +81,31 @@
         seconds=DEADLINES,
     )
     def call_once(self, entry: str, body: int, key: str, seconds: float) -> None:
-        """Call what may not run twice; a key belongs to one body."""
-        if self.only == CHAT:
+        """Make a call that is not idempotent; a key belongs to one body."""
+        if self.only_kind == CHAT:
             self.ask_model(entry, body, not key, bool(key), seconds)
             return
         number = int(key[1:]) if key else body
         work = self.make_work(CALL, number, key=key, idempotent=False)
-        self.world.arrive(work, entry, seconds, False)
+        self.world.open_request(work, entry, seconds, False)
 
     @rule(entry=ENTRIES, body=NUMBERS, seconds=DEADLINES)
     def call_again(self, entry: str, body: int, seconds: float) -> None:
-        """Call what may run again, and answers otherwise each time."""
-        if self.only:
+        """Make an idempotent call whose runs give different answers."""
+        if self.only_kind:
             self.call_once(entry, body, "c1", seconds)
             return
         work = self.make_work(CALL, body, method="GET")
-        self.world.arrive(work, entry, seconds, False)
+        self.world.open_request(work, entry, seconds, False)
 
-    @rule(number=NUMBERS, direction=st.sampled_from([UP, DOWN]), doubled=st.booleans())
-    def deliver(self, number: int, direction: str, doubled: bool) -> None:
+    @rule(
+        number=NUMBERS, direction=st.sampled_from([UP, DOWN]), duplicated=st.booleans()
+    )
+    def deliver(self, number: int, direction: str, duplicated: bool) -> None:
         full = [link for link in self.world.links if link.queues[direction]]
         if full:
             link = full[number % len(full)]
-            self.world.deliver(link, direction, doubled)
+            self.world.deliver(link, direction, duplicated)
 
     @rule()
     def deliver_all(self) -> None:
@@ -111,34 +113,34 @@
 
     @rule(agent=AGENTS)
     def step(self, agent: str) -> None:
-        self.world.step(self.pick(agent))
+        self.world.step(self.find_agent(agent))
 
     @rule(agent=AGENTS, whole=st.booleans())
     def export(self, agent: str, whole: bool) -> None:
-        self.world.export(self.pick(agent), whole)
+        self.world.export(self.find_agent(agent), whole)
 
-    @precondition(lambda self: self.world.claims.asked)
+    @precondition(lambda self: self.world.claims.pending)
     @rule(away=st.booleans())
-    def settle_claim(self, away: bool) -> None:
-        self.world.settle_claim(away)
+    def answer_claim(self, away: bool) -> None:
+        self.world.answer_claim(away)
 
     @rule()
-    def relink(self) -> None:
-        self.world.relink()
+    def redial(self) -> None:
+        self.world.redial()
 
     @rule(times=st.integers(1, 6))
-    def turn(self, times: int) -> None:
-        """Let everything go on for some steps."""
+    def run_steps(self, times: int) -> None:
+        """Advance all processes by some steps."""
         for _ in range(times):
-            self.world.turn(0.03)
+            self.world.run_steps(0.03)
 
     @invariant()
-    def keep_few_names(self) -> None:
+    def check_link_count(self) -> None:
         assert len(self.world.links) < 500
 
     def teardown(self) -> None:
-        self.world.settle_down()
-        self.world.check_quiet()
+        self.world.heal_and_finish()
+        self.world.check_finished()
 
 
 class FaultyFleet(Fleet):
@@ -150,17 +152,17 @@
 
     @rule(agent=AGENTS)
     def fail_upstream(self, agent: str) -> None:
-        self.world.fail(self.pick(agent))
+        self.world.fail(self.find_agent(agent))
 
     @rule(agent=AGENTS, seldom=SELDOM)
     def change_readiness(self, agent: str, seldom: int) -> None:
-        agent = self.pick(agent)
+        agent = self.find_agent(agent)
         self.world.ready[agent] = bool(seldom)
         self.world.read_upstream(agent)
 
     @rule(agent=AGENTS)
-    def begin_ghosts(self, agent: str) -> None:
-        self.world.upstreams[self.pick(agent)].begin_ghosts()
+    def begin_abandoned(self, agent: str) -> None:
+        self.world.upstreams[self.find_agent(agent)].begin_abandoned()
 
     @rule(number=NUMBERS, up=st.integers(0, 3), down=st.integers(0, 3))
     def cut(self, number: int, up: int, down: int) -> None:
@@ -169,9 +171,9 @@
             links[number % len(links)].cut(up, down)
 
     @rule(number=NUMBERS, agent=AGENTS)
-    def work_unheard(self, number: int, agent: str) -> None:
-        """Let an upstream go on to the end while a link takes nothing."""
-        agent = self.pick(agent)
+    def run_without_link(self, number: int, agent: str) -> None:
+        """Advance an upstream while links to its agent are cut."""
+        agent = self.find_agent(agent)
         links = [k for k in self.world.links if k.ends.agent == agent and not k.broken]
         for link in links[: 1 + number % 2]:
             link.cut(0, 0)
@@ -179,21 +181,21 @@
             self.world.step(agent)
 
     @rule(number=NUMBERS)
-    def swap(self, number: int) -> None:
+    def replace_link(self, number: int) -> None:
         links = [link for link in self.world.links if link.known_up[DOWN]]
         if links:
-            self.world.swap(links[number % len(links)])
+            self.world.replace_link(links[number % len(links)])
 
     @rule(number=NUMBERS, end=st.sampled_from([UP, DOWN]))
     def notice_cut(self, number: int, end: str) -> None:
         broken = [k for k in self.world.links if k.broken and k.known_up[end]]
         if broken:
-            self.world.notice(broken[number % len(broken)], end)
+            self.world.notice_break(broken[number % len(broken)], end)
 
     @rule(agent=AGENTS, seldom=SELDOM)
     def kill_agent(self, agent: str, seldom: int) -> None:
         if not seldom:
-            self.world.start_agent(self.pick(agent))
+            self.world.start_agent(self.find_agent(agent))
 
     @rule(entry=ENTRIES, seldom=SELDOM)
     def kill_entry(self, entry: str, seldom: int) -> None:
@@ -202,7 +204,7 @@
 
     @rule(entry=ENTRIES, seldom=SELDOM)
     def pause_entry(self, entry: str, seldom: int) -> None:
-        """Pause an entry for longer than agents remember."""
+        """Pause an entry for longer than agents remember attempts."""
         if seldom:
             return
         self.world.paused.add(entry)
@@ -211,49 +213,49 @@
         self.world.paused.discard(entry)
         for link in list(self.world.links):
             if link.ends.entry == entry and link.broken:
-                self.world.notice(link, DOWN)
-        self.world.relink()
+                self.world.notice_break(link, DOWN)
+        self.world.redial()
         self.world.deliver_all()
 
     @rule(agent=AGENTS, seconds=st.sampled_from([0.0, 1.0]), final=st.booleans())
     def drain(self, agent: str, seconds: float, final: bool) -> None:
         event = agent_events.Drain(f"drain-{final}", seconds, final)
-        self.world.to_agent(self.pick(agent), event)
+        self.world.to_agent(self.find_agent(agent), event)
 
     @rule(agent=AGENTS, final=st.booleans())
     def undrain(self, agent: str, final: bool) -> None:
-        agent = self.pick(agent)
+        agent = self.find_agent(agent)
         self.world.to_agent(agent, agent_events.Undrain(f"drain-{final}"))
 
     @rule(number=NUMBERS)
-    def leave(self, number: int) -> None:
+    def disconnect_caller(self, number: int) -> None:
         names = [n for n, c in self.world.callers.items() if c.end is None]
         if names:
-            self.world.leave(names[number % len(names)])
+            self.world.disconnect_caller(names[number % len(names)])
 
 
 class TextFleet(FaultyFleet):
-    """Have one agent and text only, so that attempts follow each other there."""
+    """Use one agent and text only, so that all attempts run at the same host."""
 
     roles = ["mixed"]
-    only = CHAT
+    only_kind = CHAT
 
 
 class CallFleet(FaultyFleet):
-    """Have calls that may not run twice only."""
+    """Make only calls that are not idempotent."""
 
     roles = ["mixed", "mixed"]
-    only = CALL
+    only_kind = CALL
 
 
 class PlannedFleet(Fleet):
-    """Add planned changes only: one agent at a time is drained, or stopped for good."""
+    """Add planned changes only: one agent at a time is drained or restarted."""
 
     leaving = ""
 
     @rule(agent=AGENTS)
     def drain(self, agent: str) -> None:
-        agent = self.pick(agent)
+        agent = self.find_agent(agent)
         if not self.leaving:
             self.leaving = agent
             self.world.deliver_all()
@@ -264,8 +266,8 @@
 
     @precondition(lambda self: self.leaving)
     @rule(stopped=st.booleans())
-    def come_back(self, stopped: bool) -> None:
-        """Take the drain back, or start a new process once the old one is empty."""
+    def undrain_or_restart(self, stopped: bool) -> None:
+        """End the drain, or restart the agent once it has no work left."""
         agent, core = self.leaving, self.world.agents[self.leaving]
         if not stopped:
             self.world.to_agent(agent, agent_events.Undrain("drain"))
@@ -273,13 +275,13 @@
             return
         self.world.to_agent(agent, agent_events.Drain("stop", 0.0, final=True))
         for _ in range(20):
-            self.world.turn(0.03)
+            self.world.run_steps(0.03)
         assert not core.running and not len(core.queue)
         assert agent in self.world.drained
         self.world.start_agent(agent)
         for link in list(self.world.links):
             if link.ends.agent == agent:
-                self.world.notice(link, DOWN)
+                self.world.notice_break(link, DOWN)
         self.leaving = ""
 
     def teardown(self) -> None:
@@ -289,29 +291,29 @@
                 assert not isinstance(caller.end, Refusal), caller.end
 
 
-class LoneFleet(PlannedFleet):
-    """Have one agent only, so that work has nowhere else to go while it drains."""
+class SingleAgentFleet(PlannedFleet):
+    """Use one agent, so that there is no other host for work while it drains."""
 
     roles = ["mixed"]
 
 
 @pytest.mark.parametrize("fleet", [FaultyFleet, TextFleet, CallFleet])
-def test_callers_get_their_own_whole_answer(fleet: type[Fleet]) -> None:
-    # The caller sees its own right answer whole, or a refusal that tells the truth.
-    # Links break silently and lose suffixes, messages of old links come late, agents,
-    # entries and engines die, drains come and go, claims are denied, keys repeated.
-    # Attempt numbers, offsets, checksums and remembered names make each late message
-    # harmless; whatever is not surely "not run" is called unknown.
+def test_callers_get_complete_answers_or_truthful_refusals(fleet: type[Fleet]) -> None:
+    # Each caller gets its own complete answer or a truthful refusal. Links break
+    # silently and lose suffixes, messages of old links arrive late, agents, entries
+    # and engines die, hosts are drained, claims are denied and keys are repeated.
+    # Attempt numbers, offsets, checksums and remembered names make late messages
+    # harmless. Unless it is certain that a request did not run, it is "unknown".
     run_state_machine_as_test(
         fleet, settings=settings(max_examples=80, stateful_step_count=60)
     )
 
 
-@pytest.mark.parametrize("fleet", [PlannedFleet, LoneFleet])
-def test_planned_changes_cut_nobody(fleet: type[Fleet]) -> None:
-    # Every request that began ends whole, while agents are drained one at a time,
-    # some of them stopped and started anew, and links work. Streams are handed over
-    # with their text so far, queued work is given back, and both wait for a host.
+@pytest.mark.parametrize("fleet", [PlannedFleet, SingleAgentFleet])
+def test_planned_changes_end_no_request(fleet: type[Fleet]) -> None:
+    # Every request that began ends complete while agents are drained one at a time,
+    # some of them restarted, and all links work. Streams are handed over with their
+    # text so far, queued work is refused, and both wait for another host.
     run_state_machine_as_test(
         fleet, settings=settings(max_examples=50, stateful_step_count=30)
     )
--- a/tests/entry/upstreams.py
+++ b/tests/entry/upstreams.py
@@ -1,6 +1,6 @@
-"""Model of what stands behind the agents: engines and plain services.
+"""Model of the upstreams behind the agents: engines and plain services.
 
-No two runs answer alike, so that an answer put together of two runs shows.
+No two runs give the same answer, so an answer mixed from two runs is detected.
 """
 
 from radishtally.agent import events
@@ -12,30 +12,30 @@
 
 
 def count_tokens(work: Work) -> int:
-    """Give the number of tokens of the whole answer to a request for text."""
+    """Return the number of tokens in the complete answer to a request for text."""
     return min(2 + sum(work.body) % 7, work.max_tokens)
 
 
 def make_token(run: int, place: int) -> bytes:
-    """Make a token that no other run has at any place."""
+    """Build a token that is unique to one run and position."""
     return f"{CHARACTERS[(run + place) % 4]}{run}.{place} ".encode()
 
 
 class Ledger:
-    """Record what began at any upstream, and what callers were told of it."""
+    """Record the work begun at all upstreams and the answers sent to callers."""
 
     def __init__(self) -> None:
         self.begun: set[str] = set()
         self.not_run: set[str] = set()
         self.effects: dict[tuple[str, str], int] = {}
         self.texts: dict[str, list[bytes]] = {}
-        """What each run gave, its beginning by earlier runs included, by owner."""
+        """Answers of all runs by owner, with the part that earlier runs produced."""
         self.runs = 0
 
-    def begin(self, offer: Offer) -> list[bytes]:
-        """Take note that an upstream begins a request; give its answer's parts."""
+    def record_begin(self, offer: Offer) -> list[bytes]:
+        """Record that an upstream begins a request; return the parts of its answer."""
         work = offer.work
-        assert work.request not in self.not_run, "began after its refusal as not run"
+        assert work.request not in self.not_run, "began after a refusal as not run"
         self.begun.add(work.request)
         self.runs += 1
         parts = self._make_parts(offer)
@@ -58,34 +58,34 @@
         left = count_tokens(offer.work) - place
         if left == 0 and place < offer.work.max_tokens:
             return []
-        # An engine gives at least one token, whatever is left.
+        # An engine always produces at least one token.
         wanted = max(1, min(wanted, left))
         return [make_token(self.runs, place + n) for n in range(wanted)]
 
-    def refuse_not_run(self, request: str) -> None:
-        """Take note that a caller is told "not run"."""
-        assert request not in self.begun, "told not run although it began"
+    def record_not_run(self, request: str) -> None:
+        """Record that a caller is refused with "not run"."""
+        assert request not in self.begun, "refused as not run although it began"
         self.not_run.add(request)
 
     def check_part(self, work: Work, data: bytes) -> None:
-        """Check that a part is the beginning of one run's answer to this request."""
+        """Check that the data is a prefix of one run's answer to this request."""
         texts = self.texts[find_owner(work)]
-        assert any(text.startswith(data) for text in texts), "nobody's answer"
+        assert any(text.startswith(data) for text in texts), "no run's answer"
 
     def check_whole(self, work: Work, data: bytes) -> None:
-        """Check that an answer is whole and of one run to this request."""
-        assert data in self.texts[find_owner(work)], "nobody's answer"
+        """Check that an answer is complete and from one run of this request."""
+        assert data in self.texts[find_owner(work)], "no run's answer"
         if work.kind != CALL:
-            assert data.count(b" ") == count_tokens(work), "not the whole answer"
+            assert data.count(b" ") == count_tokens(work), "incomplete answer"
 
 
 def find_owner(work: Work) -> str:
-    """Find by what an answer belongs to a request: its key, or its own name."""
+    """Return the owner of an answer: the idempotency key, else the request."""
     return f"key {work.key}" if work.key else work.request
 
 
 class Run:
-    """Follow one piece of work at an upstream."""
+    """Track one attempt at an upstream."""
 
     def __init__(self, offer: Offer) -> None:
         self.offer = offer
@@ -98,20 +98,20 @@
 
     @property
     def reason(self) -> str:
-        """Tell why the answer ends once all parts are out."""
+        """Return the finish reason for the end of all parts."""
         is_part = self.offer.stage == PREFILL and self.tokens < count_tokens(
             self.offer.work
         )
-        return "length" if is_part or self.tokens >= self.most else "stop"
+        return "length" if is_part or self.tokens >= self.max_tokens else "stop"
 
     @property
-    def most(self) -> int:
+    def max_tokens(self) -> int:
         return self.offer.work.max_tokens
 
     def begin(self, ledger: Ledger) -> None:
-        """Begin, as the upstream does once it has read the request."""
+        """Begin the run; the upstream has read the request."""
         self.begun = True
-        self.parts = ledger.begin(self.offer)
+        self.parts = ledger.record_begin(self.offer)
         self.tokens = self.offer.tokens_done + len(self.parts)
 
 
@@ -122,35 +122,35 @@
         self.host = host
         self.ledger = ledger
         self.runs: dict[Name, Run] = {}
-        self.ghosts: list[Run] = []
-        """Work that was sent and that nobody waits for any more; it may yet begin."""
+        self.abandoned: list[Run] = []
+        """Work whose request is in flight but no longer awaited; it may still begin."""
         self.exports: list[Name] = []
 
     def start(self, offer: Offer) -> None:
-        """Take work, which begins a little later."""
+        """Accept work; it begins at the next step."""
         run = Run(offer)
         assert run.name not in self.runs
         self.runs[run.name] = run
 
     def abort(self, name: Name) -> None:
-        """End work; what is only on its way may still begin."""
+        """Abort work; if its request is still in flight it may begin later."""
         run = self.runs.pop(name, None)
         if run is not None and not run.begun:
-            self.ghosts.append(run)
+            self.abandoned.append(run)
 
-    def forget(self) -> None:
-        """Lose the agent; its work goes on unseen or is cancelled."""
+    def abandon_all(self) -> None:
+        """Abort all work because the agent died."""
         for name in list(self.runs):
             self.abort(name)
         self.exports.clear()
 
-    def begin_ghosts(self) -> None:
-        """Begin the work that is still on its way."""
-        while self.ghosts:
-            self.ghosts.pop().begin(self.ledger)
+    def begin_abandoned(self) -> None:
+        """Begin the abandoned work whose requests are still in flight."""
+        while self.abandoned:
+            self.abandoned.pop().begin(self.ledger)
 
     def step(self, name: Name) -> events.Event | None:
-        """Go on with one piece of work; give what the agent hears."""
+        """Advance one attempt; return the agent's event, if any."""
         run = self.runs[name]
         if not run.begun:
             run.begin(self.ledger)
@@ -162,13 +162,13 @@
         return events.Completed(*name, 200, run.reason, 7, 0, (), 0.1)
 
     def fail(self, name: Name) -> events.Event:
-        """Fail one piece of work, with "not run" where it surely did not begin."""
+        """Fail one attempt, with "not run" if it did not begin."""
         run = self.runs.pop(name)
         ran = Ran.UNKNOWN if run.begun else Ran.NO
         return events.Failed(*name, ran, "the upstream failed")
 
     def export(self, name: Name, whole: bool) -> events.Event:
-        """End work in good order, with its KV cache or without."""
+        """Hand over one attempt, with or without its KV cache."""
         self.exports.remove(name)
         self.runs.pop(name, None)
         kv = KvRef(self.host, "http://127.0.0.1", "handle", 1) if whole else None
--- a/tests/entry/world.py
+++ b/tests/entry/world.py
@@ -1,4 +1,4 @@
-"""Model of a fleet: real cores of entries and agents, joined by model parts."""
+"""Model of a fleet: real cores of entries and agents, modelled links and upstreams."""
 
 import random
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass
 class Caller:
-    """Follow what one caller is told."""
+    """Record the answer that one caller receives."""
 
     work: Work
     entry: str
@@ -30,7 +30,7 @@
 
     @property
     def whole(self) -> bytes:
-        """Give the whole answer; empty if there is none."""
+        """Return the complete answer; empty if there is none."""
         if isinstance(self.end, entry_events.Finish):
             return self.end.body
         return self.delivered if isinstance(self.end, entry_events.End) else b""
@@ -41,36 +41,36 @@
         ledger.check_part(self.work, self.delivered)
 
     def finish(self, end: entry_events.Finish, ledger: Ledger) -> None:
-        assert self.end is None, "two final words"
+        assert self.end is None, "a second end of one request"
         self.end = end
         ledger.check_whole(self.work, end.body)
         assert not self.streamed or self.delivered == end.body
 
     def finish_stream(self, end: entry_events.End, ledger: Ledger) -> None:
-        assert self.end is None, "two final words"
+        assert self.end is None, "a second end of one request"
         assert self.streamed and self.delivered
         self.end = end
         ledger.check_whole(self.work, self.delivered)
 
     def refuse(self, refusal: Refusal, ledger: Ledger) -> None:
-        assert self.end is None, "two final words"
+        assert self.end is None, "a second end of one request"
         self.end = refusal
         assert not (self.delivered and refusal.ran == Ran.NO)
         if refusal.ran == Ran.NO:
-            ledger.refuse_not_run(self.work.request)
+            ledger.record_not_run(self.work.request)
 
 
 @dataclass
 class Claims:
-    """Keep claims as the table does."""
+    """Store claims as the table does."""
 
     rows: dict[tuple[str, str], tuple[str, str, bytes]] = field(default_factory=dict)
-    """State, request and answer of each key."""
-    asked: list[tuple[str, str, Work]] = field(default_factory=list)
-    """Claims under way: entry, its incarnation, work."""
+    """State, request and answer by team and key."""
+    pending: list[tuple[str, str, Work]] = field(default_factory=list)
+    """Claims in flight: entry, its incarnation, work."""
 
-    def settle(self, work: Work, away: bool) -> entry_events.Event:
-        """Decide a claim that was asked for."""
+    def decide(self, work: Work, away: bool) -> entry_events.Event:
+        """Return the event that answers a claim."""
         if away:
             return entry_events.Denied(work.request, STORE_AWAY)
         state, _, body = self.rows.get((work.team, work.key), ("", "", b""))
@@ -82,27 +82,27 @@
         return entry_events.Granted(work)
 
     def release(self, work: Work) -> None:
-        """Take a claim back."""
+        """Delete a claim."""
         state, request, _ = self.rows[work.team, work.key]
         assert (state, request) == ("claimed", work.request)
         del self.rows[work.team, work.key]
 
     def finish(self, work: Work, body: bytes) -> None:
-        """Keep an outcome."""
+        """Store the outcome of a claimed call."""
         state, request, _ = self.rows[work.team, work.key]
         assert (state, request) == ("claimed", work.request)
         self.rows[work.team, work.key] = "done", work.request, body
 
     def check_released(self, callers: dict[str, Caller]) -> None:
-        """Check that a call which its caller was told did not run may run again."""
+        """Check that no claim remains for a call that was refused as not run."""
         for state, request, _ in self.rows.values():
             caller = callers[request]
             if state == "claimed" and not caller.gone:
-                assert caller.end.ran != Ran.NO, "a claim that nobody gives back"
+                assert caller.end.ran != Ran.NO, "a claim was not released"
 
 
 class World:
-    """Drive entries and agents with one virtual clock."""
+    """Run entries and agents on one virtual clock."""
 
     def __init__(self, entries: int, roles: list[str], seed: int = 0) -> None:
         self.now = 1_000.0
@@ -123,13 +123,13 @@
             self.start_agent(host)
         for number in range(entries):
             self.start_entry(f"entry-{number}")
-        self.relink()
+        self.redial()
         self.deliver_all()
 
     # Processes
 
     def start_entry(self, host: str) -> None:
-        """Start an entry, or a new one in its place."""
+        """Start an entry, or restart it without its state."""
         self.incarnations[host] = self.incarnations.get(host, 0) + 1
         core = entry.DispatchCore(
             host, "salt-lake", random.Random(self.random.random())
@@ -146,9 +146,9 @@
                 link.broken = True
 
     def start_agent(self, host: str) -> None:
-        """Start an agent, or a new one in its place, which remembers nothing."""
+        """Start an agent, or restart it without its state."""
         self.incarnations[host] += 1
-        self.upstreams[host].forget()
+        self.upstreams[host].abandon_all()
         self.agents[host] = agent.AgentCore(host, POOL)
         self.drained.discard(host)
         for link in self.links:
@@ -159,7 +159,7 @@
         self.read_upstream(host)
 
     def read_upstream(self, host: str) -> None:
-        """Tell an agent what its upstream is now."""
+        """Pass the upstream's current state to its agent."""
         ready = self.ready[host]
         state = agent_events.UpstreamRead(
             ready, 2 if ready else 0, 1e6, 1e-6, self.roles[host], "m", "1", ()
@@ -169,14 +169,14 @@
     # Events and commands
 
     def to_entry(self, host: str, event: entry_events.Event) -> None:
-        """Give an entry an event and carry out its commands."""
+        """Pass an event to an entry and execute its commands."""
         core = self.entries[host]
         for command in entry.handle_event(event, core, self.now):
             self._execute_entry(host, command)
         assert all(known.in_flight >= 0 for known in core.hosts.values())
 
     def to_agent(self, host: str, event: agent_events.Event) -> None:
-        """Give an agent an event and carry out its commands."""
+        """Pass an event to an agent and execute its commands."""
         core = self.agents[host]
         for command in agent.handle_event(event, core, self.now):
             self._execute_agent(host, command)
@@ -186,7 +186,7 @@
             case entry_events.Send(to, message):
                 self._send(host, to, UP, message)
             case entry_events.Claim(work):
-                self.claims.asked.append((host, self.incarnations[host], work))
+                self.claims.pending.append((host, self.incarnations[host], work))
             case entry_events.Release(work):
                 self.claims.release(work)
             case entry_events.Settle(work, _, _, body):
@@ -225,41 +225,43 @@
         for link in reversed(self.links):
             if (link.ends.entry, link.ends.agent) != (entry_host, host):
                 continue
-            # A process sends over the newest link that it knows of.
+            # A process sends on the newest link it knows.
             if link.known_up[sender]:
                 link.send(direction, what)
                 return
 
-    def deliver(self, link: ModelLink, direction: str, doubled: bool = False) -> None:
-        """Let the next message of a link arrive."""
+    def deliver(
+        self, link: ModelLink, direction: str, duplicated: bool = False
+    ) -> None:
+        """Deliver the next message of a link, twice if asked for."""
         if not link.queues[direction]:
             return
         message = link.queues[direction].popleft()
-        for _ in range(1 + doubled):
-            self._arrive(link, direction, message)
+        for _ in range(1 + duplicated):
+            self._receive(link, direction, message)
 
-    def _arrive(self, link: ModelLink, direction: str, message: Message) -> None:
+    def _receive(self, link: ModelLink, direction: str, message: Message) -> None:
         if direction == DOWN:
             event = entry_events.Received(link.ends.agent, message)
             self.to_entry(link.ends.entry, event)
             return
         host = link.ends.agent
         if isinstance(message, Hello):
-            self._meet(link)
+            self._accept_link(link)
             return
         self.to_agent(host, agent_events.Received(link.ends.entry, message))
 
-    def _meet(self, link: ModelLink) -> None:
-        """Let an agent take a new link; an older one to the same entry ends."""
+    def _accept_link(self, link: ModelLink) -> None:
+        """Accept a new link at an agent and end older ones to the same entry."""
         for old in self.links:
             same = old.ends.entry == link.ends.entry
             if same and old.ends.agent == link.ends.agent and old.known_up[UP]:
-                self.notice(old, UP)
+                self.notice_break(old, UP)
         link.known_up[UP] = True
         self.to_agent(link.ends.agent, agent_events.LinkUp(link.ends.entry))
 
-    def notice(self, link: ModelLink, end: str) -> None:
-        """Let one end find that its link is gone."""
+    def notice_break(self, link: ModelLink, end: str) -> None:
+        """Let one end of a link notice that it is broken."""
         link.broken = True
         if not link.known_up[end]:
             return
@@ -269,8 +271,8 @@
         else:
             self.to_entry(link.ends.entry, entry_events.LinkDown(link.ends.agent))
 
-    def relink(self) -> None:
-        """Dial anew where an entry knows of no link."""
+    def redial(self) -> None:
+        """Open a link wherever an entry knows of none."""
         for entry_host in self.entries:
             for host in self.agents:
                 if not self._is_linked(entry_host, host):
@@ -292,14 +294,14 @@
         hello = Hello(host, "salt-lake", "agent", ends.agent_incarnation, 0)
         self.to_entry(entry_host, entry_events.LinkUp(hello))
 
-    def swap(self, link: ModelLink) -> None:
-        """Replace a link at once; what was under way on the old one comes late."""
+    def replace_link(self, link: ModelLink) -> None:
+        """Replace a link; messages in flight on the old one arrive late."""
         link.broken = True
-        self.notice(link, DOWN)
-        self.relink()
+        self.notice_break(link, DOWN)
+        self.redial()
 
     def deliver_all(self) -> None:
-        """Let everything arrive that is under way, and what follows from it."""
+        """Deliver all messages in flight and those sent in response."""
         moved = True
         while moved:
             moved = False
@@ -313,7 +315,7 @@
     # Time and work
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and send the ticks that are due."""
         self.now += seconds
         for host, agent_core in self.agents.items():
             if agent_core.next_wake(self.now) <= self.now or seconds > 0:
@@ -322,29 +324,31 @@
             if entry_core.next_wake() <= self.now and host not in self.paused:
                 self.to_entry(host, entry_events.Tick())
 
-    def arrive(self, work: Work, host: str, seconds: float, streamed: bool) -> None:
-        """Bring a caller's request to an entry."""
+    def open_request(
+        self, work: Work, host: str, seconds: float, streamed: bool
+    ) -> None:
+        """Send a caller's request to an entry."""
         streamed = streamed and work.kind != CALL
         self.callers[work.request] = Caller(work, host, streamed)
         arrived = entry_events.Arrived(work, self.now + seconds, streamed)
         self.to_entry(host, arrived)
 
-    def leave(self, request: str) -> None:
-        """Let a caller go."""
+    def disconnect_caller(self, request: str) -> None:
+        """Disconnect a caller whose request is open."""
         caller = self.callers[request]
         if caller.end is None and not caller.gone:
             caller.gone = True
             self.to_entry(caller.entry, entry_events.CallerGone(request))
 
-    def settle_claim(self, away: bool = False) -> None:
-        """Answer the oldest claim under way."""
-        host, incarnation, work = self.claims.asked.pop(0)
-        event = self.claims.settle(work, away)
+    def answer_claim(self, away: bool = False) -> None:
+        """Answer the oldest claim in flight."""
+        host, incarnation, work = self.claims.pending.pop(0)
+        event = self.claims.decide(work, away)
         if incarnation == self.incarnations[host]:
             self.to_entry(host, event)
 
     def step(self, host: str) -> None:
-        """Let an upstream go on with all its work by one step."""
+        """Advance all work of an upstream by one step."""
         upstream = self.upstreams[host]
         for name in list(upstream.runs):
             event = upstream.step(name) if name in upstream.runs else None
@@ -352,23 +356,23 @@
                 self.to_agent(host, event)
 
     def fail(self, host: str) -> None:
-        """Let an upstream fail all its work."""
+        """Fail all work of an upstream."""
         upstream = self.upstreams[host]
         for name in list(upstream.runs):
             self.to_agent(host, upstream.fail(name))
 
     def export(self, host: str, whole: bool = True) -> None:
-        """Let an engine end the work that is wanted from it in good order."""
+        """Hand over the work whose export is requested from an engine."""
         upstream = self.upstreams[host]
         for name in list(upstream.exports):
             self.to_agent(host, upstream.export(name, whole))
 
-    def settle_down(self, seconds: float = 0.2) -> None:
-        """Heal everything and let all work end."""
+    def heal_and_finish(self, seconds: float = 0.2) -> None:
+        """Undo all faults and run until all work has ended."""
         for link in self.links:
             if link.broken:
-                self.notice(link, UP)
-                self.notice(link, DOWN)
+                self.notice_break(link, UP)
+                self.notice_break(link, DOWN)
         for host in self.agents:
             for reason in list(self.agents[host].drains):
                 self.to_agent(host, agent_events.Undrain(reason))
@@ -376,29 +380,29 @@
             self.read_upstream(host)
         self.paused.clear()
         for _ in range(400):
-            self.turn(seconds)
-            if self._is_quiet():
+            self.run_steps(seconds)
+            if self._is_idle():
                 break
 
-    def turn(self, seconds: float) -> None:
-        """Let everything go on by one step."""
-        self.relink()
+    def run_steps(self, seconds: float) -> None:
+        """Advance all processes, claims and upstreams by one step."""
+        self.redial()
         self.deliver_all()
-        while self.claims.asked:
-            self.settle_claim()
+        while self.claims.pending:
+            self.answer_claim()
         for host, upstream in self.upstreams.items():
-            upstream.begin_ghosts()
+            upstream.begin_abandoned()
             self.export(host)
             self.step(host)
         self.advance(seconds)
         self.deliver_all()
 
-    def _is_quiet(self) -> bool:
+    def _is_idle(self) -> bool:
         open_work = any(core.requests for core in self.entries.values())
         return not open_work and not any(u.runs for u in self.upstreams.values())
 
-    def check_quiet(self) -> None:
-        """Check that all have their final word and that nothing is kept."""
+    def check_finished(self) -> None:
+        """Check that every request has ended and no state is left over."""
         for caller in self.callers.values():
             assert caller.gone or caller.end is not None, caller.work.request
         self.claims.check_released(self.callers)
