--- a/tests/gateway/test_starts_machine.py
+++ b/tests/gateway/test_starts_machine.py
@@ -1,7 +1,7 @@
-"""Drive one host through restarts, with a list and reports that lag behind it.
+"""State machine test of one host that restarts, with a delayed list and reports.
 
-What is wrong shows as a host that is taken for its earlier start again, that drains
-though only an earlier start said so, or that gets an order meant for another start.
+Guards against a host that is taken for its earlier start again, that counts as draining
+although only an earlier start was, or that gets an order meant for another start.
 """
 
 from dataclasses import dataclass, replace
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Start:
-    """Hold one start of the host as it is."""
+    """Hold the actual state of one start of the host."""
 
     number: int
     started_ms: int
@@ -34,7 +34,7 @@
     is_draining: bool = False
 
     def make_entry(self) -> Instance:
-        """Make what its heartbeat writes."""
+        """Make the entry that its heartbeat writes."""
         return Instance(
             HOST,
             "llm",
@@ -47,12 +47,12 @@
         )
 
     def make_report(self) -> EngineReport:
-        """Make what it says when asked."""
+        """Make its answer to a report query."""
         return EngineReport(DECODE, 0, False, self.started_ms)
 
 
 class StartsMachine(RuleBasedStateMachine):
-    """Let the list and reports lag in any way, and look at what is believed."""
+    """Delay the list and reports in any way, and check which start is current."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -60,18 +60,18 @@
         self.members = Members()
         self.starts: list[Start] = []
         self.drained: set[int] = set()
-        """Starts that have said that they drain."""
+        """Start times of starts that have announced a drain."""
         self.row: Instance | None = None
         self.feed: list[Instance | None] = []
-        """Changes of the list that have not come yet."""
+        """Changes of the list that have not been read yet."""
         self.reports: list[tuple[Instance, EngineReport]] = []
-        self.believed = -1
-        """Number of the start that was last believed to be the present one."""
+        self.current = -1
+        """Number of the start that the members last took for the current one."""
 
     @initialize(started_ms=st.integers(1, 6))
     def begin(self, started_ms: int) -> None:
         self.starts = [Start(0, started_ms, "a:0")]
-        self.beat()
+        self.send_heartbeat()
 
     @property
     def present(self) -> Start:
@@ -84,23 +84,23 @@
     def find(self, started_ms: int) -> Start:
         return next(s for s in self.starts if s.started_ms == started_ms)
 
-    def take(self, changes: list[HostChange]) -> None:
-        """Follow changes: each new start is told once, with what it follows."""
+    def check_changes(self, changes: list[HostChange]) -> None:
+        """Check changes: each new start is reported once, with its predecessor."""
         for change in changes:
             if not isinstance(change, HostRestarted):
                 continue
-            assert change.before == self.starts[self.believed].started_ms
+            assert change.before == self.starts[self.current].started_ms
             number = self.find(change.after).number
-            assert number > self.believed
-            self.believed = number
-        if self.known is not None and self.believed < 0:
-            self.believed = self.find(self.known.started_ms).number
+            assert number > self.current
+            self.current = number
+        if self.known is not None and self.current < 0:
+            self.current = self.find(self.known.started_ms).number
 
     @rule(started_ms=st.integers(1, 60), moves=st.booleans())
     def restart(self, started_ms: int, moves: bool) -> None:
         if any(start.started_ms == started_ms for start in self.starts):
             return
-        # More starts than are remembered in the time of one late message are no case.
+        # More restarts than are remembered can't happen while a message is in transit.
         if len(self.starts) > 6:
             return
         number = len(self.starts)
@@ -113,12 +113,12 @@
         self.drained.add(self.present.started_ms)
 
     @rule()
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         self.row = self.present.make_entry()
         self.feed.append(self.row)
 
     @rule()
-    def lapse(self) -> None:
+    def expire_entry(self) -> None:
         self.row = None
         self.feed.append(None)
 
@@ -127,20 +127,20 @@
     def read_change(self, after_outage: bool) -> None:
         entry = self.feed.pop(0)
         if entry is None:
-            self.take(self.members.remove([HOST], self.now, after_outage))
+            self.check_changes(self.members.remove([HOST], self.now, after_outage))
         else:
-            self.take(self.members.update(entry))
+            self.check_changes(self.members.update(entry))
 
     @rule(after_outage=st.booleans())
     def read_whole_list(self, after_outage: bool) -> None:
         self.feed.clear()
         rows = [] if self.row is None else [self.row]
-        self.take(self.members.replace(rows, self.now, after_outage))
+        self.check_changes(self.members.replace(rows, self.now, after_outage))
 
     @rule(seconds=st.sampled_from([0.5, MISSING_GRACE_SECONDS]))
     def expire(self, seconds: float) -> None:
         self.now += seconds
-        self.take(self.members.expire(self.now, False))
+        self.check_changes(self.members.expire(self.now, False))
 
     @precondition(lambda self: self.known is not None)
     @rule()
@@ -150,26 +150,26 @@
 
     @precondition(lambda self: self.reports)
     @rule(data=st.data())
-    def hear_report(self, data: st.DataObject) -> None:
+    def receive_report(self, data: st.DataObject) -> None:
         index = data.draw(st.integers(0, len(self.reports) - 1))
-        asked, report = self.reports.pop(index)
-        self.take(self.members.apply_report(asked, report))
+        queried, report = self.reports.pop(index)
+        self.check_changes(self.members.apply_report(queried, report))
         if self.known is None or not is_same_start(
-            self.known.started_ms, asked.started_ms
+            self.known.started_ms, queried.started_ms
         ):
             return
-        if is_same_start(report.started_ms, asked.started_ms):
-            self.give_order(asked, report)
+        if is_same_start(report.started_ms, queried.started_ms):
+            self.give_order(queried, report)
 
-    def give_order(self, asked: Instance, report: EngineReport) -> None:
-        """Look at an order that is given: its count is that of the start it is for."""
-        assert asked.started_ms == report.started_ms == self.known.started_ms
-        assert self.find(report.started_ms).number == self.believed
+    def give_order(self, queried: Instance, report: EngineReport) -> None:
+        """Check that an order is given only to the start that was queried."""
+        assert queried.started_ms == report.started_ms == self.known.started_ms
+        assert self.find(report.started_ms).number == self.current
 
     @invariant()
     def start_never_goes_back(self) -> None:
         if self.known is not None:
-            assert self.find(self.known.started_ms).number == self.believed
+            assert self.find(self.known.started_ms).number == self.current
 
     @invariant()
     def drain_is_the_starts_own(self) -> None:
@@ -178,7 +178,7 @@
 
     @invariant()
     def reading_all_shows_the_present_start(self) -> None:
-        """Let a copy catch up, as the host goes on and the list is read."""
+        """Check with a copy that reading the list shows the host's current start."""
         if not self.starts:
             return
         copy = Members()
