--- a/radishtally/entry/callers.py
+++ b/radishtally/entry/callers.py
@@ -195,7 +195,7 @@
     )
 
 
-def make_call(
+def make_call_work(
     caller: Caller,
     name: str,
     method: str,
--- a/radishtally/entry/core.py
+++ b/radishtally/entry/core.py
@@ -29,7 +29,7 @@
     core: DispatchCore
     configurations: ConfigurationStore
     plans: PlanStore
-    planning: PlacePlanners
+    planners: PlacePlanners
     steps: RequestSteps
     watcher: HeadReader
 
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -72,7 +72,7 @@
         self.plans = PlanStore(
             self.process.table, settings.host, self.process.write_ids
         )
-        self.planning = PlacePlanners(
+        self.planners = PlacePlanners(
             PlannerDependencies(
                 settings.host,
                 self.process.write_ids,
@@ -83,7 +83,7 @@
                 self.process.spawn,
             )
         )
-        self.process.describe_state = lambda: {"leases": self.planning.describe()}
+        self.process.describe_state = lambda: {"leases": self.planners.describe()}
         self.watcher = Watcher(self)
         self._started: dict[str, float] = {}
         self._closed = False
@@ -98,7 +98,7 @@
         server = await self._serve_http()
         log_message("entry:ready", address=self.settings.http_address)
         await self.process.stopping.wait()
-        await self.planning.stop()
+        await self.planners.stop()
         if not self.process.broken:
             await self._shut_down(server)
         self.waker.stop()
@@ -255,7 +255,7 @@
         self.core.budgets = RetryBudgets(policy.retry_budget)
         self.core.placement = RankedPlacement(POLICIES[policy.routing])
         self.members.configure(current.configuration)
-        self.planning.configure(current.configuration)
+        self.planners.configure(current.configuration)
 
     def _link_up(self, hello: Hello) -> None:
         self.process.request_newer_configuration(hello.host, hello.revision)
@@ -276,7 +276,7 @@
             return
         if isinstance(message, Load) and host in self.core.hosts:
             known = self.core.hosts[host]
-            self.planning.record_load(known.upstream, known.place, message)
+            self.planners.record_load(known.upstream, known.place, message)
         self.handle(events.Received(host, message))
 
     def _is_busy(self, host: str) -> bool:
--- a/radishtally/entry/http.py
+++ b/radishtally/entry/http.py
@@ -19,7 +19,7 @@
     Directory,
     RequestOptions,
     TokenRatio,
-    make_call,
+    make_call_work,
     make_generation_work,
     read_options,
 )
@@ -262,7 +262,7 @@
     caller, options = admitted.ok
     backend: Backend = request.app.ctx.backend
     full = f"/{path}?{request.query_string}" if request.query_string else f"/{path}"
-    made = make_call(
+    made = make_call_work(
         caller,
         service,
         request.method,
@@ -284,7 +284,7 @@
     streamed: bool,
     respond: Callable[[asyncio.Queue[Reply]], Awaitable[HTTPResponse | None]],
 ) -> HTTPResponse | None:
-    """Dispatch work, send its answer and report whether the caller stayed."""
+    """Dispatch work, send its answer and report whether it was sent completely."""
     parts = backend.open(work, options.timeout, streamed)
     done = False
     try:
--- a/radishtally/entry/operators.py
+++ b/radishtally/entry/operators.py
@@ -105,7 +105,7 @@
             "place": entry.settings.place,
             "revision": keeper.revision,
             "open_requests": len(entry.core.requests),
-            "planner": entry.planning.describe(),
+            "planner": entry.planners.describe(),
             "audit": {
                 "waiting": entry.process.audit.waiting,
                 "dropped": entry.process.audit.dropped,
@@ -287,7 +287,7 @@
             and not known.breaker.allows(now),
             "whose_fault": fault_location if state == UNREACHABLE else None,
             "drain": await _describe_drain(entry, host),
-            "plan": entry.planning.describe_host(host),
+            "plan": entry.planners.describe_host(host),
             **describe_load(entry, host),
         }
     )
@@ -306,4 +306,4 @@
     current = entry.process.keeper.current
     if current is None or place not in current.configuration.places:
         return respond_error(404, f"place {place!r} is not known")
-    return respond_json(await entry.planning.describe_place(place))
+    return respond_json(await entry.planners.describe_place(place))
--- a/radishtally/entry/places.py
+++ b/radishtally/entry/places.py
@@ -21,19 +21,19 @@
     def __init__(self, dependencies: PlannerDependencies) -> None:
         self._dependencies = dependencies
         self._configuration: Configuration | None = None
-        self._places: dict[str, PlacePlanner] = {}
+        self._planners: dict[str, PlacePlanner] = {}
 
     async def stop(self) -> None:
         """Stop all planners and give up their leases."""
-        for planning in self._places.values():
-            await planning.stop()
-        self._places.clear()
+        for planner in self._planners.values():
+            await planner.stop()
+        self._planners.clear()
 
     def configure(self, configuration: Configuration) -> None:
         """Apply the policy and the configured roles to all planners."""
         self._configuration = configuration
-        for planning in self._places.values():
-            planning.configure(configuration)
+        for planner in self._planners.values():
+            planner.configure(configuration)
 
     async def contend(self, entries: Mapping[str, str]) -> None:
         """Start or stop the planner of each place, given the live entries' places."""
@@ -41,36 +41,34 @@
             return
         for place in self._configuration.places:
             should_contend = self._dependencies.host in find_contenders(place, entries)
-            planning = self._places.get(place)
-            if should_contend and planning is None:
+            planner = self._planners.get(place)
+            if should_contend and planner is None:
                 self._start_planner(place)
             # A held lease is kept: giving it up because another entry joined would
             # change the planner without need.
-            elif (
-                not should_contend and planning is not None and not planning.holds_lease
-            ):
-                del self._places[place]
-                await planning.stop()
+            elif not should_contend and planner is not None and not planner.holds_lease:
+                del self._planners[place]
+                await planner.stop()
 
     def record_load(self, upstream: str, place: str, load: Load) -> None:
         """Record a load report with the planner of its place."""
-        planning = self._places.get(place)
-        if planning is not None:
-            planning.record_load(upstream, place, load)
+        planner = self._planners.get(place)
+        if planner is not None:
+            planner.record_load(upstream, place, load)
 
     def remove_host(self, host: str) -> None:
         """Remove a host from all planners."""
-        for planning in self._places.values():
-            planning.remove_host(host)
+        for planner in self._planners.values():
+            planner.remove_host(host)
 
     def describe(self) -> dict[str, Any]:
         """Return the lease state of each place that this entry contends for."""
-        return {place: one.describe() for place, one in self._places.items()}
+        return {place: planner.describe() for place, planner in self._planners.items()}
 
     def describe_host(self, host: str) -> dict[str, Any] | None:
         """Return the host's part of the last plan known here; None if it has none."""
-        for planning in self._places.values():
-            wanted = planning.describe_host(host)
+        for planner in self._planners.values():
+            wanted = planner.describe_host(host)
             if wanted is not None:
                 return wanted
         return None
@@ -79,20 +77,20 @@
         """Return the plan in force for a place and the demand on its pools."""
         read = await self._dependencies.plans.read_plan(place)
         plan = read.ok if read.is_ok() else None
-        planning = self._places.get(place)
+        planner = self._planners.get(place)
         return {
             "place": place,
             "store_away": read.is_error(),
             "plan": None if plan is None else plan._asdict(),
-            "planned_here": planning is not None and planning.holds_lease,
-            "pools": {} if planning is None else planning.describe_pools(),
+            "planned_here": planner is not None and planner.holds_lease,
+            "pools": {} if planner is None else planner.describe_pools(),
         }
 
     def _start_planner(self, place: str) -> None:
-        planning = PlacePlanner(place, self._dependencies)
-        planning.configure(self._configuration)
-        self._places[place] = planning
-        planning.start()
+        planner = PlacePlanner(place, self._dependencies)
+        planner.configure(self._configuration)
+        self._planners[place] = planner
+        planner.start()
 
 
 def find_contenders(place: str, entries: Mapping[str, str]) -> list[str]:
--- a/radishtally/entry/planning.py
+++ b/radishtally/entry/planning.py
@@ -125,7 +125,7 @@
 
     def _handle_event(self, event: object) -> None:
         for command in handle(event, self._planner, time.monotonic()):
-            self._spawn(self._write(command))
+            self._spawn(self._write_plan(command))
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = self._dependencies.start_task(coroutine)
@@ -162,7 +162,7 @@
                 return
             await asyncio.sleep(PLAN_RETRY_SECONDS)
 
-    async def _write(self, change: planner.WritePlan) -> None:
+    async def _write_plan(self, change: planner.WritePlan) -> None:
         """Write a role change as the place's next plan and notify the hosts."""
         written = await self._dependencies.plans.write_plan(
             self._place, change.previous, change.wanted, change.cause, self._lease
--- a/radishtally/entry/watch.py
+++ b/radishtally/entry/watch.py
@@ -98,5 +98,5 @@
         while True:
             members = self._entry.members
             members.tick()
-            await self._entry.planning.contend(members.list_entries())
+            await self._entry.planners.contend(members.list_entries())
             await asyncio.sleep(TICK_SECONDS)
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -11,7 +11,7 @@
     RequestOptions,
     TokenRatio,
     is_idempotent,
-    make_call,
+    make_call_work,
     make_generation_work,
     read_options,
 )
@@ -54,7 +54,7 @@
     **headers: str,
 ) -> Result[object, Refusal]:
     body = b"{}"
-    return make_call(
+    return make_call_work(
         caller, "booking-app", method, path, headers, body, OPTIONS, directory
     )
 
