--- a/radishtally/entry/operators.py
+++ b/radishtally/entry/operators.py
@@ -176,7 +176,7 @@
 
 
 def _find_behind(entry: Entry, revision: int) -> list[str]:
-    """Return the hosts that have not confirmed a revision, with the unreachable."""
+    """Return the hosts that have not confirmed a revision or are unreachable."""
     keeper = entry.process.keeper
     behind = set(keeper.find_behind(revision))
     behind |= set(entry.members.membership.members) - set(keeper.peers)
--- a/tests/integration/callers.py
+++ b/tests/integration/callers.py
@@ -1,4 +1,4 @@
-"""Callers that note what they see of their answers."""
+"""Callers that record the answers they receive."""
 
 import http.client
 import json
@@ -11,16 +11,16 @@
 from standins.completions import build_token, digest_seed
 
 KEY: Final = "lagna-demo-key"
-CALLER_SECONDS: Final = 60.0
-REMINDER_TIMEOUT: Final = "10"
-JOIN_SECONDS: Final = 90.0
+CALLER_TIMEOUT_SECONDS: Final = 60.0
+REMINDER_TIMEOUT_SECONDS: Final = "10"
+JOIN_TIMEOUT_SECONDS: Final = 90.0
 DONE: Final = "[DONE]"
 NO_REPLY: Final = 0
-"""Status of a call whose connection broke before any answer."""
+"""Status of a call whose connection broke before a response arrived."""
 
 
 class Reply(NamedTuple):
-    """Hold what came back for one call."""
+    """Hold the response to one call."""
 
     status: int
     headers: dict[str, str]
@@ -28,7 +28,7 @@
 
     @property
     def ran(self) -> str:
-        """Give what a refusal says of the work; empty if it says nothing."""
+        """Return a refusal's `ran` value; empty if it has none."""
         if not isinstance(self.body, dict):
             return ""
         error = self.body.get("error")
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Hold what one caller has seen of a streamed answer."""
+    """Hold the part of a streamed answer that one caller has received."""
 
     prompt: str
     max_tokens: int
@@ -49,22 +49,22 @@
 
     @property
     def text(self) -> str:
-        """Give the text so far."""
+        """Return the text received so far."""
         return "".join(self.parts)
 
     @property
     def expected(self) -> str:
-        """Give what the engine stand-in answers to the prompt."""
+        """Return the engine stand-in's complete answer to the prompt."""
         return expect_text(self.prompt, self.max_tokens)
 
     @property
-    def is_whole(self) -> bool:
-        """Tell whether a caller takes the answer for whole."""
+    def is_complete(self) -> bool:
+        """Return whether the answer looks complete to its caller."""
         return self.done and self.finish_reason is not None and self.error is None
 
     def check(self) -> None:
-        """Hold the answer to be whole and its own, or visibly incomplete."""
-        if self.is_whole:
+        """Check that the answer is correct and complete, or visibly incomplete."""
+        if self.is_complete:
             assert self.text == self.expected
             return
         assert not self.done and self.finish_reason is None, self
@@ -72,7 +72,7 @@
 
 
 class Stream(threading.Thread):
-    """Ask for a streamed answer in a thread of its own."""
+    """Request a streamed answer in a separate thread."""
 
     def __init__(self, url: str, prompt: str, max_tokens: int) -> None:
         super().__init__(daemon=True)
@@ -81,7 +81,7 @@
         self.start()
 
     def run(self) -> None:
-        """Ask, and note what comes."""
+        """Send the request and record the answer."""
         try:
             self._ask()
         except (OSError, http.client.HTTPException) as error:
@@ -106,10 +106,10 @@
             return
         for line in response:
             if line.startswith(b"data: "):
-                self._take(line.removeprefix(b"data: ").decode().strip())
+                self._handle_event(line.removeprefix(b"data: ").decode().strip())
         connection.close()
 
-    def _take(self, data: str) -> None:
+    def _handle_event(self, data: str) -> None:
         if data == DONE:
             self.answer.done = True
             return
@@ -123,13 +123,13 @@
 
     def wait(self) -> Answer:
         """Wait for the end of the answer."""
-        self.join(JOIN_SECONDS)
-        assert not self.is_alive(), "the caller still waits for its answer"
+        self.join(JOIN_TIMEOUT_SECONDS)
+        assert not self.is_alive(), "the answer did not end in time"
         return self.answer
 
 
 class Load:
-    """Keep asking at some entries until it is stopped."""
+    """Send requests to some entries continuously until it is stopped."""
 
     def __init__(self, urls: Iterable[str], callers: int, max_tokens: int) -> None:
         self._urls = list(urls)
@@ -144,11 +144,11 @@
             thread.start()
 
     def stop(self) -> list[Answer]:
-        """Ask no more; wait for the answers that are under way."""
+        """Send no more requests and wait for the answers in flight."""
         self._stopping.set()
         for thread in self._threads:
-            thread.join(JOIN_SECONDS)
-            assert not thread.is_alive(), "a caller still waits for its answer"
+            thread.join(JOIN_TIMEOUT_SECONDS)
+            assert not thread.is_alive(), "an answer did not end in time"
         return self.answers
 
     def _run(self, number: int) -> None:
@@ -161,7 +161,7 @@
 
 
 class Reminder(threading.Thread):
-    """Send one reminder under a key, repeating it until it is answered."""
+    """Send one reminder under a key and repeat it until it succeeds."""
 
     def __init__(self, urls: list[str], key: str, tries: int, path: str) -> None:
         super().__init__(daemon=True)
@@ -173,7 +173,7 @@
         self.start()
 
     def run(self) -> None:
-        """Repeat the call, at the entries in turn."""
+        """Repeat the call at the entries in turn."""
         for number in range(self._tries):
             url = self._urls[number % len(self._urls)]
             reply = send_reminder(url, self.key, self._path)
@@ -183,14 +183,14 @@
             time.sleep(float(reply.headers.get("Retry-After", "0.2")) / 2)
 
     def wait(self) -> list[Reply]:
-        """Wait until it is answered or given up."""
-        self.join(JOIN_SECONDS)
-        assert not self.is_alive(), "the caller still waits for its answer"
+        """Wait until the call has succeeded or the tries are used up."""
+        self.join(JOIN_TIMEOUT_SECONDS)
+        assert not self.is_alive(), "the reminder did not end in time"
         return self.replies
 
 
 def expect_text(prompt: str, max_tokens: int) -> str:
-    """Give the stand-in's answer: the prompt's hash, then numbered words."""
+    """Return the stand-in's answer: the prompt's hash, then numbered words."""
     digest = digest_seed(prompt)
     return "".join(build_token(digest, index) for index in range(max_tokens))
 
@@ -200,7 +200,7 @@
 ) -> Reply:
     """Send a reminder once."""
     body = json.dumps({"bride": key, "trial": "Friday"})
-    headers = {"Idempotency-Key": key, "X-Request-Timeout": REMINDER_TIMEOUT}
+    headers = {"Idempotency-Key": key, "X-Request-Timeout": REMINDER_TIMEOUT_SECONDS}
     return call(url, "POST", path, body, headers)
 
 
@@ -211,7 +211,7 @@
     body: str = "",
     headers: dict[str, str] | None = None,
 ) -> Reply:
-    """Make one call on a connection of its own."""
+    """Send one request on a new connection."""
     try:
         connection = connect(url)
         connection.request(method, path, body, {**make_headers(), **(headers or {})})
@@ -226,10 +226,10 @@
 def connect(url: str) -> http.client.HTTPConnection:
     """Open a connection to an entry."""
     return http.client.HTTPConnection(
-        url.removeprefix("http://"), timeout=CALLER_SECONDS
+        url.removeprefix("http://"), timeout=CALLER_TIMEOUT_SECONDS
     )
 
 
 def make_headers(key: str = KEY) -> dict[str, str]:
-    """Give the headers of a caller."""
+    """Return the headers of a caller's request."""
     return {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
--- a/tests/integration/common.py
+++ b/tests/integration/common.py
@@ -1,4 +1,4 @@
-"""Small fleets of the Lagna sample, and what the tests ask of them."""
+"""Small fleets of the Lagna sample and helpers to inspect and disturb them."""
 
 import asyncio
 import json
@@ -24,10 +24,10 @@
     "policy": {"planning": "static", "min_dwell_seconds": 0, "retry_budget": 1}
 }
 STREAM_TOKENS: Final = 100
-"""Two seconds of answer at the stand-in's pace."""
+"""Tokens that the stand-in produces in two seconds."""
 READY_DELAY: Final = 1.0
-"""Seconds in which a stopping entry still answers."""
-FLOWING_PARTS: Final = 3
+"""Seconds for which a stopping entry still accepts requests."""
+MIN_STREAMED_PARTS: Final = 3
 
 T = TypeVar("T")
 
@@ -39,7 +39,7 @@
     files: dict[str, Any] | None = None,
     **more: Any,
 ) -> Fleet:
-    """Describe two entries, three engines of one place and two service hosts."""
+    """Create a fleet of two entries, three engines of one place, two service hosts."""
     written = {POLICY_FILE: POLICY, **(files or {})}
     texts = {name: json.dumps(content) for name, content in written.items()}
     wanted = {*ENGINES, *SERVICES}
@@ -56,7 +56,7 @@
 
 
 def restore(fleet: Fleet) -> None:
-    """Undo all faults and start what has ended, until the fleet is as it was."""
+    """Undo all faults, restart ended processes and wait until the fleet is ready."""
     fleet.network.heal()
     for kind in ("table", "objects", "hosts"):
         set_fault(fleet.standins[kind].url, mode="up")
@@ -74,27 +74,27 @@
 
 
 def set_fault(url: str, **fault: Any) -> None:
-    """Let a stand-in show a fault."""
+    """Inject a fault into a stand-in."""
     post_json(f"{url}/_fault", fault)
 
 
 def start_streams(fleet: Fleet, count: int, name: str) -> list[Stream]:
-    """Ask for answers at all entries in turn and wait until all of them flow."""
+    """Request answers from all entries in turn and wait until all are streaming."""
     urls = [entry.url for entry in fleet.entries.values()]
     streams = [
         Stream(urls[number % len(urls)], f"{name} {number}", STREAM_TOKENS)
         for number in range(count)
     ]
 
-    def flow() -> bool:
-        return all(len(one.answer.parts) >= FLOWING_PARTS for one in streams)
+    def have_started() -> bool:
+        return all(len(one.answer.parts) >= MIN_STREAMED_PARTS for one in streams)
 
-    fleet.wait_until(flow, "all answers to flow")
+    fleet.wait_until(have_started, "all answers to stream")
     return streams
 
 
 def find_busy_engine(fleet: Fleet) -> str:
-    """Find the engine that most answers come from now."""
+    """Find the engine that runs most of the answers in flight."""
     total: Counter[str] = Counter()
     for entry in fleet.entries:
         hosts = fleet.status(entry)["hosts"]
@@ -103,17 +103,17 @@
 
 
 def read_engine(fleet: Fleet, host: str) -> dict[str, Any]:
-    """Read what an engine has counted."""
+    """Read the counts of an engine."""
     return get_json(f"{fleet.upstreams[host].url}/_counts")
 
 
 def read_state(fleet: Fleet, host: str) -> dict[str, Any]:
-    """Read what an engine says it is."""
+    """Read the state that an engine reports."""
     return get_json(f"{fleet.upstreams[host].url}/state")
 
 
 def has_role(fleet: Fleet, host: str, role: str) -> bool:
-    """Tell whether an engine has taken on a role."""
+    """Return whether an engine has finished its change to a role."""
     try:
         state = read_state(fleet, host)
     except (urllib.error.URLError, OSError):
@@ -122,7 +122,7 @@
 
 
 def count_runs(fleet: Fleet) -> Counter[str]:
-    """Add up what the service's servers have run, by key."""
+    """Count the runs of each key at all servers of the service."""
     total: Counter[str] = Counter()
     for host in SERVICES:
         total.update(get_json(f"{fleet.upstreams[host].url}/_counts"))
@@ -132,7 +132,7 @@
 def configure(
     fleet: Fleet, files: dict[str, Any], entry: str = "entry-1", base: int | None = None
 ) -> int:
-    """Apply a change of the configuration at an entry; give the revision."""
+    """Apply a configuration change at an entry; return the revision."""
     url = f"{fleet.entries[entry].url}/operators/v1/configuration"
     if base is None:
         base = get_json(url, fleet.operator_key)["revision"]
@@ -145,7 +145,7 @@
 
 
 def make_roles(**roles: str) -> dict[str, Any]:
-    """Give the file that sets the roles of some engines."""
+    """Build a configuration file that sets the roles of some engines."""
     servers = {
         host.replace("_", "-"): {"place": PLACE, "role": role}
         for host, role in roles.items()
@@ -167,7 +167,7 @@
 
 
 def run(coroutine: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine on a loop of its own."""
+    """Run a coroutine on a new event loop."""
     return asyncio.run(coroutine)
 
 
@@ -180,13 +180,13 @@
 
 
 def find_revisions(fleet: Fleet, entry: str) -> dict[str, int | None]:
-    """Give the revision in force at each host, as one entry knows it."""
+    """Return the revision in force at each host in the view of one entry."""
     status = fleet.status(entry)
     hosts = {host: known["revision"] for host, known in status["hosts"].items()}
     return {**hosts, entry: status["revision"]}
 
 
 def read_log(fleet: Fleet, host: str) -> list[dict[str, Any]]:
-    """Read a daemon's log."""
+    """Read the log messages of a daemon."""
     lines = (fleet.folder / f"{host}.log").read_text().splitlines()
     return [json.loads(line) for line in lines if line.startswith("{")]
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets that the integration tests share."""
+"""Fixtures that the integration tests share."""
 
 from collections.abc import Iterator
 
@@ -10,13 +10,13 @@
 
 @pytest.fixture(scope="module")
 def shared_fleet() -> Iterator[Fleet]:
-    """Run one fleet for the tests of a module."""
+    """Run one fleet for all tests of a module."""
     with make_fleet() as fleet:
         yield fleet
 
 
 @pytest.fixture
 def fleet(shared_fleet: Fleet) -> Iterator[Fleet]:
-    """Give the module's fleet as it was at its start."""
+    """Return the module's fleet, restored to its initial state."""
     restore(shared_fleet)
     yield shared_fleet
--- a/tests/integration/test_answers.py
+++ b/tests/integration/test_answers.py
@@ -1,4 +1,4 @@
-"""Test that each caller gets its own whole answer, once, whatever fails under it."""
+"""Tests that each caller gets its own complete answer once, despite faults."""
 
 import json
 from collections.abc import Callable
@@ -75,46 +75,46 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_answers_survive_a_fault(fleet: Fleet, fault: str) -> None:
-    """Callers see their answers go on after a pause, without a gap or a repeat.
+    """Answers continue after a pause, without gaps or repeated tokens.
 
-    Eight answers flow over both entries when the engine that runs most of them, its
-    agent or the links to it fail. The entries find the link silent or closed, come back
-    to the agent or go on at another engine from the last token they have.
+    Eight answers stream through both entries when the engine that runs most of them,
+    its agent or the links to it fail. The entries detect the silent or closed link and
+    attach to the agent again or continue at another engine from the last token.
     """
     streams = start_streams(fleet, STREAMS, fault)
     FAULTS[fault](fleet, find_busy_engine(fleet))
-    check_all_whole([stream.wait() for stream in streams])
+    check_all_complete([stream.wait() for stream in streams])
 
 
-def test_a_paused_agent_that_wakes_adds_nothing(fleet: Fleet) -> None:
-    """Callers see each token once, though two engines made some of them.
+def test_tokens_of_a_resumed_agent_are_ignored(fleet: Fleet) -> None:
+    """Callers get each token once although two engines produced some of them.
 
-    The agent is paused until the entries have gone on elsewhere, and wakes while the
-    answers still flow: it sends the tokens of its old attempts. Only the attempt that
-    an entry listens to now may reach the caller.
+    An agent is paused until the entries have continued at other hosts. It resumes
+    while the answers still stream and sends the tokens of its old attempts. Only
+    tokens of the current attempt may reach the caller.
     """
     streams = start_streams(fleet, STREAMS, "late")
     host = find_busy_engine(fleet)
     fleet.pause(host)
-    half = [len(stream.answer.parts) for stream in streams]
+    parts_before = [len(stream.answer.parts) for stream in streams]
 
-    def went_on() -> bool:
-        pairs = zip(streams, half, strict=True)
+    def have_continued() -> bool:
+        pairs = zip(streams, parts_before, strict=True)
         return all(
             not one.is_alive() or len(one.answer.parts) > parts + 2
             for one, parts in pairs
         )
 
-    fleet.wait_until(went_on, "the answers to go on elsewhere")
+    fleet.wait_until(have_continued, "the answers to go on elsewhere")
     fleet.resume(host)
-    check_all_whole([stream.wait() for stream in streams])
+    check_all_complete([stream.wait() for stream in streams])
 
 
-def test_answers_of_a_killed_entry_are_never_taken_for_whole(fleet: Fleet) -> None:
-    """Callers of the killed entry see their connections end early, and no [DONE].
+def test_answers_of_a_killed_entry_never_look_complete(fleet: Fleet) -> None:
+    """Streams of a killed entry end early and without [DONE].
 
-    An entry is killed with answers half out; nobody can finish them, since the callers'
-    connections died with it. Callers of the other entry notice nothing.
+    An entry is killed in the middle of answers. They can't be completed because the
+    callers' connections ended with it. Answers of the other entry are not affected.
     """
     streams = start_streams(fleet, STREAMS, "entry killed")
     fleet.kill("entry-1")
@@ -122,20 +122,20 @@
     for answer in answers:
         answer.check()
     lost = [s.answer for s in streams if s.url == fleet.entries["entry-1"].url]
-    assert lost and not any(answer.is_whole for answer in lost)
-    assert all(a.is_whole for a in answers if a not in lost)
+    assert lost and not any(answer.is_complete for answer in lost)
+    assert all(a.is_complete for a in answers if a not in lost)
 
 
 def test_answers_that_are_not_streamed_survive_a_fault(fleet: Fleet) -> None:
-    """Callers who wait for whole answers get them a little later, complete.
+    """Answers that are not streamed arrive complete, with a delay.
 
-    The answers are half made when the agent of the busiest engine is killed; another
-    engine goes on from the tokens that the entries have.
+    The agent of the busiest engine is killed in the middle of the answers. Another
+    engine continues from the tokens that the entries have received.
     """
     with ThreadPoolExecutor(STREAMS) as callers:
         urls = [entry.url for entry in fleet.entries.values()]
         asked = [
-            callers.submit(ask_whole, urls[number % 2], f"whole {number}")
+            callers.submit(request_completion, urls[number % 2], f"whole {number}")
             for number in range(STREAMS)
         ]
         fleet.wait_until(lambda: count_open(fleet) == STREAMS, "the engines to begin")
@@ -149,50 +149,50 @@
 
 
 @pytest.mark.parametrize("host", ["busy agent", "entry-1"])
-def test_a_planned_stop_cuts_nothing(fleet: Fleet, host: str) -> None:
-    """Callers notice nothing of a planned stop; the process ends by itself with code 0.
+def test_planned_stop_interrupts_no_answer(fleet: Fleet, host: str) -> None:
+    """A planned stop interrupts no answer, and the process exits with code 0.
 
-    SIGTERM comes with answers half out. An agent tells its entries, gives back what has
-    not begun and lets the rest finish; an entry takes no new connections and ends when
-    the last byte of its last answer is out. No engine begins anything a second time.
+    SIGTERM arrives in the middle of answers. An agent notifies its entries, refuses
+    queued work and lets the rest finish. An entry accepts no new connections and exits
+    after the last byte of its last answer is sent. No engine begins any work twice.
     """
     streams = start_streams(fleet, STREAMS, f"stop of {host}")
-    begun = list_begun(fleet)
+    begun = list_begun_attempts(fleet)
     chosen = find_busy_engine(fleet) if host == "busy agent" else host
     process = fleet.terminate(chosen).process
-    check_all_whole([stream.wait() for stream in streams])
-    assert list_begun(fleet) == begun
+    check_all_complete([stream.wait() for stream in streams])
+    assert list_begun_attempts(fleet) == begun
     assert process.wait(30) == 0
 
 
-def test_a_short_drain_moves_answers_and_cuts_nothing(fleet: Fleet) -> None:
-    """Callers notice nothing, though their engine's agent stops before they are done.
+def test_short_drain_hands_over_all_answers(fleet: Fleet) -> None:
+    """A drain that is shorter than the running answers interrupts none of them.
 
     The policy gives running answers less time than they need. The agent has the engine
-    export their KV cache and hands them over; other engines go on from there.
+    export their KV cache and hands them over, and other engines continue them.
     """
     short = {"policy": {**POLICY["policy"], "drain_seconds": SHORT_DRAIN_SECONDS}}
     revision = configure(fleet, {POLICY_FILE: short})
     fleet.wait_until(lambda: is_in_force(fleet, revision), "the policy to be in force")
     streams = start_streams(fleet, STREAMS, "short drain")
-    begun = list_begun(fleet)
+    begun = list_begun_attempts(fleet)
     host = find_busy_engine(fleet)
     process = fleet.terminate(host).process
-    check_all_whole([stream.wait() for stream in streams])
+    check_all_complete([stream.wait() for stream in streams])
     assert process.wait(30) == 0
-    assert list_begun(fleet) > begun
+    assert list_begun_attempts(fleet) > begun
     configure(fleet, {POLICY_FILE: POLICY})
 
 
-def test_a_drain_by_an_operator_cuts_nothing(fleet: Fleet) -> None:
-    """Callers notice nothing of a drain and of its end.
+def test_drain_by_an_operator_interrupts_no_answer(fleet: Fleet) -> None:
+    """A drain by an operator and its end interrupt no answer.
 
-    An operator drains the busiest engine with answers half out; they finish there, and
-    new work goes to the others until the drain is taken back.
+    An operator drains the busiest engine in the middle of answers. They finish there,
+    and new work goes to the other engines until the drain ends.
     """
     streams = start_streams(fleet, STREAMS, "drain")
     host = find_busy_engine(fleet)
-    order_drain(fleet, host, True)
+    set_drain(fleet, host, True)
     fleet.wait_until(lambda: is_draining(fleet, host), "the drain to be seen")
     before = set(read_engine(fleet, host)["requests"])
     later = [
@@ -200,17 +200,17 @@
         for number in range(6)
         for entry in fleet.entries.values()
     ]
-    check_all_whole([stream.wait() for stream in (*streams, *later)])
+    check_all_complete([stream.wait() for stream in (*streams, *later)])
     assert set(read_engine(fleet, host)["requests"]) == before
-    order_drain(fleet, host, False)
+    set_drain(fleet, host, False)
 
 
-def test_role_changes_under_load_cut_nothing(fleet: Fleet) -> None:
-    """Callers notice nothing while an engine changes its role and back.
+def test_role_changes_under_load_interrupt_no_answer(fleet: Fleet) -> None:
+    """A change of an engine's role and back interrupts no answer.
 
     Operators configure another role for one engine while both entries are under load.
-    The planner writes a plan, the agent drains the engine, orders the change and takes
-    work again; meanwhile the other engines answer.
+    The planner writes a plan, the agent drains the engine, orders the change and then
+    accepts work again. Meanwhile the other engines serve the load.
     """
     load = Load([entry.url for entry in fleet.entries.values()], CALLERS, LOAD_TOKENS)
     for role in ("decode", "mixed"):
@@ -220,17 +220,17 @@
         )
     answered = len(load.answers)
     fleet.wait_until(lambda: len(load.answers) > answered + CALLERS, "more answers")
-    check_all_whole(load.stop())
+    check_all_complete(load.stop())
     engine = read_engine(fleet, "gown-1")
     assert engine["cut"] == 0
     assert [order["role"] for order in engine["orders"]] == ["decode", "mixed"]
 
 
-def test_an_engine_that_crashes_in_its_change_cuts_nothing(fleet: Fleet) -> None:
-    """Callers notice nothing when the engine dies halfway through a change of role.
+def test_engine_crash_during_a_change_interrupts_no_answer(fleet: Fleet) -> None:
+    """An engine that crashes during a role change interrupts no answer.
 
-    The engine was drained before the order, so that nothing runs there when it crashes.
-    It comes back with its old role; the agent sees that and orders the change again.
+    The engine was drained before the order, so nothing runs there when it crashes. It
+    restarts with its old role; the agent detects that and orders the change again.
     """
     set_fault(fleet.upstreams["gown-2"].url, crash_in_change=True)
     load = Load([entry.url for entry in fleet.entries.values()], CALLERS, LOAD_TOKENS)
@@ -239,24 +239,25 @@
     fleet.wait_until(lambda: engine.poll() is not None, "the engine to crash")
     fleet.restart_upstream("gown-2")
     fleet.wait_until(lambda: has_role(fleet, "gown-2", "decode"), "the second change")
-    check_all_whole(load.stop())
+    check_all_complete(load.stop())
     configure(fleet, {ROLES_FILE: None})
-    fleet.wait_until(lambda: has_role(fleet, "gown-2", "mixed"), "the way back")
+    fleet.wait_until(lambda: has_role(fleet, "gown-2", "mixed"), "the change back")
 
 
-def test_a_stopping_entry_ends_its_idle_connections(fleet: Fleet) -> None:
-    """A caller's next request is answered, and it is told to connect anew after it.
+def test_stopping_entry_closes_its_idle_connections(fleet: Fleet) -> None:
+    """A stopping entry answers requests on idle connections and then closes them.
 
-    Two connections are idle at SIGTERM. Left open they would be cut just as a next
-    request goes out. While the balancer still sends requests here, each is answered
-    and closes its connection; what is idle after that is closed, and the entry ends.
+    Two connections are idle at SIGTERM. If they stayed open they would break just as a
+    caller sends its next request. While the load balancer still sends requests here,
+    each is answered and its connection closed. Connections that are idle after that
+    are closed, and the entry ends.
     """
     url = fleet.entries["entry-2"].url
     used, idle = connect(url), connect(url)
     for connection in (used, idle):
         assert ask_models(connection).getheader("Connection") == "keep-alive"
     process = fleet.terminate("entry-2").process
-    fleet.wait_until(lambda: not is_ready(url), "its readiness to go red")
+    fleet.wait_until(lambda: not is_ready(url), "it to report not ready")
     reply = ask_models(used)
     assert (reply.status, reply.getheader("Connection")) == (200, "close")
     assert idle.sock.recv(1) == b""
@@ -264,7 +265,7 @@
 
 
 def ask_models(connection: HTTPConnection) -> HTTPResponse:
-    """Ask for the models on a connection that is kept open."""
+    """Request the list of models on a persistent connection."""
     connection.request("GET", "/v1/models", headers=make_headers())
     response = connection.getresponse()
     response.read()
@@ -272,51 +273,51 @@
 
 
 def is_ready(url: str) -> bool:
-    """Tell what an entry says to the balancer."""
+    """Return whether an entry reports to be ready."""
     return call(url, "GET", "/readyz").status == 200
 
 
 def is_in_force(fleet: Fleet, revision: int) -> bool:
-    """Tell whether a revision is in force everywhere."""
+    """Return whether a revision is in force at all hosts."""
     known = [find_revisions(fleet, entry).values() for entry in fleet.entries]
     return all(set(revisions) == {revision} for revisions in known)
 
 
-def list_begun(fleet: Fleet) -> set[str]:
-    """List all attempts that the engines have begun."""
+def list_begun_attempts(fleet: Fleet) -> set[str]:
+    """Return all attempts that the engines have begun."""
     return {name for host in ENGINES for name in read_engine(fleet, host)["requests"]}
 
 
-def ask_whole(url: str, prompt: str) -> Reply:
-    """Ask for an answer in one piece."""
+def request_completion(url: str, prompt: str) -> Reply:
+    """Request an answer that is not streamed."""
     body = {"model": "gown-llm", "prompt": prompt, "max_tokens": STREAM_TOKENS}
     return call(url, "POST", "/v1/completions", json.dumps(body))
 
 
 def count_open(fleet: Fleet) -> int:
-    """Count the requests that are under way at the engines."""
+    """Count the requests in flight at the engines."""
     hosts = [fleet.status(entry)["hosts"] for entry in fleet.entries]
     return sum(
         one[engine]["in_flight_from_here"] for one in hosts for engine in ENGINES
     )
 
 
-def order_drain(fleet: Fleet, host: str, drained: bool) -> None:
-    """Drain a host or take the drain back."""
+def set_drain(fleet: Fleet, host: str, drained: bool) -> None:
+    """Drain a host or end its drain."""
     url = f"{fleet.entries['entry-1'].url}/operators/v1/hosts/{host}/drain"
     post_json(url, {"drained": drained, "cause": "test"}, fleet.operator_key)
 
 
 def is_draining(fleet: Fleet, host: str) -> bool:
-    """Tell whether both entries know that a host is drained."""
+    """Return whether both entries know that a host is drained."""
     statuses = [fleet.status(entry) for entry in fleet.entries]
     return all(status["hosts"][host].get("draining") for status in statuses)
 
 
-def check_all_whole(answers: list[Answer]) -> None:
-    """Hold every answer to be whole and its own."""
+def check_all_complete(answers: list[Answer]) -> None:
+    """Check that every answer is correct and complete."""
     assert answers
     for answer in answers:
         answer.check()
-    cut = [answer for answer in answers if not answer.is_whole]
-    assert not cut, f"{len(cut)} of {len(answers)} cut: {cut[0]}"
+    cut = [answer for answer in answers if not answer.is_complete]
+    assert not cut, f"{len(cut)} of {len(answers)} incomplete: {cut[0]}"
--- a/tests/integration/test_calls.py
+++ b/tests/integration/test_calls.py
@@ -1,4 +1,4 @@
-"""Test that a call that may not be repeated runs at most once, whatever fails."""
+"""Tests that calls that are not idempotent run at most once, despite faults."""
 
 import time
 from collections import Counter
@@ -13,14 +13,14 @@
 KEYS = 12
 TRIES = 4
 PATH = "/services/booking-app/reminders"
-AT_ONCE_SECONDS = 1.5
-"""Bound for a refusal at once: less than a claim waits for the store."""
+IMMEDIATE_SECONDS = 1.5
+"""Time limit for an immediate refusal; less than a claim waits for the store."""
 
 Fault = Callable[[Fleet], object]
 
 
 def lose_service_replies(fleet: Fleet) -> None:
-    """Let both services do some work and lose the reply."""
+    """Let both services run some calls and lose the replies."""
     for host in SERVICES:
         set_fault(fleet.upstreams[host].url, mode="lose_reply", count=3)
 
@@ -36,7 +36,7 @@
 
 
 def slow_table(fleet: Fleet) -> None:
-    """Let the table answer later than a claim may take."""
+    """Let the table answer more slowly than a claim may take."""
     set_fault(fleet.standins["table"].url, mode="slow", seconds=3)
 
 
@@ -51,22 +51,22 @@
 
 
 def stop_agent(fleet: Fleet) -> None:
-    """Begin a planned stop of one of the two agents."""
+    """Start a planned stop of one of the two agents."""
     fleet.terminate("booking-1")
 
 
 def stop_entry(fleet: Fleet) -> None:
-    """Begin a planned stop of one of the two entries."""
+    """Start a planned stop of one of the two entries."""
     fleet.terminate("entry-1")
 
 
 def pause_entry(fleet: Fleet) -> None:
-    """Pause an entry that has claims and calls under way."""
+    """Pause an entry that has claims and calls in flight."""
     fleet.pause("entry-1")
 
 
 def silence_links(fleet: Fleet) -> None:
-    """Let all links to the services go silent for good."""
+    """Let all links to the services go silent permanently."""
     for host in SERVICES:
         fleet.network.go_silent(far=host)
 
@@ -77,7 +77,7 @@
 
 
 def lose_answers(fleet: Fleet) -> None:
-    """Lose everything that one agent says."""
+    """Lose all messages that one agent sends."""
     for entry in fleet.entries:
         fleet.network.cut_one_way(entry, "booking-1", "down")
 
@@ -88,12 +88,12 @@
 
 
 def silence_table(fleet: Fleet) -> None:
-    """Let the open connections to the table go silent for good."""
+    """Let the open connections to the table go silent permanently."""
     fleet.network.go_silent(far="table")
 
 
 def silence_service(fleet: Fleet) -> None:
-    """Let the open connections between agents and services go silent for good."""
+    """Let the open connections of agents to services go silent permanently."""
     fleet.network.go_silent("booking-1", "upstream")
     fleet.network.go_silent("booking-2", "upstream")
 
@@ -124,40 +124,40 @@
 
 @pytest.mark.parametrize("faults", FAULTS)
 def test_reminders_run_at_most_once(fleet: Fleet, faults: str) -> None:
-    """Brides get no second reminder, and "not run" is true, though callers repeat.
+    """No reminder runs twice, and "not run" is true, although callers repeat.
 
     Callers send reminders under keys and repeat each at both entries in turn until it
-    is answered. The faults come when the first calls run, and more calls come after
-    them: each claim is in the table before its call goes out, and what is unclear
-    after it is never run again.
+    succeeds. The faults are injected while the first calls run, and more calls follow.
+    Each claim is stored in the table before its call is sent, and a call whose outcome
+    is unknown is never run again.
     """
     wait_for_claims(fleet)
     names = [f"{faults} {number}" for number in range(KEYS)]
     reminders = send_reminders(fleet, names[: KEYS // 2])
-    fleet.wait_until(lambda: count_some(fleet, names) > 0, "the first call to run")
+    fleet.wait_until(lambda: count_runs_of(fleet, names) > 0, "the first call to run")
     for fault in FAULTS[faults]:
         fault(fleet)
     reminders += send_reminders(fleet, names[KEYS // 2 :])
     if pause_entry in FAULTS[faults]:
-        wait_for_others(fleet, reminders)
+        wait_for_other_callers(fleet, reminders)
         fleet.resume("entry-1")
     replies = {one.key: one.wait() for one in reminders}
     if silence_service in FAULTS[faults]:
-        # A call that may not run twice is waited for as long as its connection stands.
+        # The agent waits for such a call for as long as its connection is open.
         fleet.network.cut(far="upstream")
     restore(fleet)
-    runs = wait_for_quiet(fleet)
-    for key, said in replies.items():
-        check_reminder(runs[key], said)
+    runs = wait_until_idle(fleet)
+    for key, key_replies in replies.items():
+        check_reminder(runs[key], key_replies)
     if not FAULTS[faults]:
-        assert all(said[-1].status == 200 for said in replies.values())
+        assert all(key_replies[-1].status == 200 for key_replies in replies.values())
 
 
-def test_repeats_at_both_entries_at_once_run_once(fleet: Fleet) -> None:
-    """A caller that sends a reminder to both entries at once gets one answer twice.
+def test_concurrent_repeats_at_both_entries_run_once(fleet: Fleet) -> None:
+    """A reminder sent to both entries at once runs once and is answered by both.
 
-    Both entries claim the key in the same instant; the table lets one of them have it.
-    The other waits for the outcome of the first.
+    Both entries claim the key at the same time, and the table grants one claim. The
+    other entry waits for the outcome.
     """
     wait_for_claims(fleet)
     urls = [entry.url for entry in fleet.entries.values()]
@@ -173,24 +173,26 @@
         assert one.body == two.body
 
 
-def test_a_reminder_is_refused_at_once_while_the_store_is_away(fleet: Fleet) -> None:
-    """The caller is told at once that its reminder did not run, and when to come again.
+def test_reminder_is_refused_at_once_while_the_store_is_unavailable(
+    fleet: Fleet,
+) -> None:
+    """Without the store a reminder is refused at once as not run, with a retry time.
 
-    Without the table no claim can be made, so the call is not begun. Once the table is
-    back, the same key runs: the refusal left nothing behind.
+    No claim can be made without the table, so the call is not begun. Once the table is
+    back, the same key runs, because the refusal left no state.
     """
     urls = [entry.url for entry in fleet.entries.values()]
     take_table_down(fleet)
-    waits = []
+    response_times = []
     for number, url in enumerate(urls):
-        # The first refusal takes as long as a claim may; then the outage is known.
+        # The first refusal takes as long as a claim may take. Then the outage is known.
         assert send_reminder(url, f"first {number}").ran == "no"
         started = time.monotonic()
         reply = send_reminder(url, f"away {number}")
-        waits.append(time.monotonic() - started)
+        response_times.append(time.monotonic() - started)
         assert (reply.status, reply.ran) == (503, "no")
         assert int(reply.headers["Retry-After"]) >= 1
-    assert max(waits) < AT_ONCE_SECONDS
+    assert max(response_times) < IMMEDIATE_SECONDS
     set_fault(fleet.standins["table"].url, mode="up")
     for number, url in enumerate(urls):
         reply = Reminder([url], f"away {number}", TRIES, PATH).wait()[-1]
@@ -198,11 +200,11 @@
         assert count_runs(fleet)[f"away {number}"] == 1
 
 
-def test_a_repeat_after_an_entry_died_is_answered(fleet: Fleet) -> None:
-    """A caller whose entry died asks the other and gets the first answer, or "unknown".
+def test_repeat_after_an_entry_died_runs_no_second_time(fleet: Fleet) -> None:
+    """A repeat after the entry died gets the first answer or "unknown".
 
-    The call runs when its entry is killed. Its agent still knows the key and the
-    outcome; whatever the other entry says, the reminder is not sent a second time.
+    The entry is killed while the call runs. The agent still knows the key and the
+    outcome. Whatever the other entry answers, the reminder must not run a second time.
     """
     wait_for_claims(fleet)
     first = Reminder([fleet.entries["entry-1"].url], "orphan", 1, PATH)
@@ -215,7 +217,7 @@
 
 
 def wait_for_claims(fleet: Fleet) -> None:
-    """Wait until both entries grant claims again after the faults of other tests."""
+    """Wait until both entries grant claims after the faults of earlier tests."""
 
     def is_granted(url: str) -> bool:
         return send_reminder(url, f"before {time.monotonic()}").status == 200
@@ -225,7 +227,7 @@
 
 
 def send_reminders(fleet: Fleet, names: list[str]) -> list[Reminder]:
-    """Send a reminder under each key, at the entries in turn."""
+    """Send a reminder under each key, alternating between the entries."""
     urls = [entry.url for entry in fleet.entries.values()]
     return [
         Reminder(urls[number % 2 :] + urls[: number % 2], name, TRIES, PATH)
@@ -233,27 +235,27 @@
     ]
 
 
-def count_some(fleet: Fleet, keys: list[str]) -> int:
-    """Count the runs of some keys."""
+def count_runs_of(fleet: Fleet, keys: list[str]) -> int:
+    """Count the runs of the given keys."""
     runs = count_runs(fleet)
     return sum(runs[key] for key in keys)
 
 
-def wait_for_others(fleet: Fleet, reminders: list[Reminder]) -> None:
-    """Wait until the callers that wait for no paused entry have got on."""
+def wait_for_other_callers(fleet: Fleet, reminders: list[Reminder]) -> None:
+    """Wait until the callers of the entry that is not paused have a reply."""
     paused = fleet.entries["entry-1"].url
 
-    def got_on() -> bool:
+    def have_replies() -> bool:
         others = [one for one in reminders if one._urls[0] != paused]
         return all(one.replies for one in others)
 
-    fleet.wait_until(got_on, "the other entry's callers to be answered")
+    fleet.wait_until(have_replies, "the other entry's callers to be answered")
 
 
-def wait_for_quiet(fleet: Fleet) -> Counter[str]:
-    """Wait until no entry has work left, so that no call can run any more."""
+def wait_until_idle(fleet: Fleet) -> Counter[str]:
+    """Wait until no entry has work left, so that no further call can run."""
 
-    def is_quiet() -> bool:
+    def is_idle() -> bool:
         statuses = [fleet.status(entry) for entry in fleet.entries]
         return all(
             host.get("running", 0) == host.get("queued", 0) == 0
@@ -261,12 +263,12 @@
             for host in status["hosts"].values()
         )
 
-    fleet.wait_until(is_quiet, "all calls to end")
+    fleet.wait_until(is_idle, "all calls to end")
     return count_runs(fleet)
 
 
 def check_reminder(runs: int, replies: list[Reply]) -> None:
-    """Hold what a caller was told against what has run."""
+    """Check a caller's replies against the number of runs."""
     assert runs <= 1, replies
     if any(reply.status == 200 for reply in replies):
         assert runs == 1
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -1,4 +1,4 @@
-"""Test that an accepted configuration comes into force everywhere and stays."""
+"""Tests that an accepted configuration comes into force at all hosts and stays."""
 
 import json
 import threading
@@ -18,19 +18,19 @@
     set_fault,
 )
 
-SECONDS = 20.0
-"""Bound for "within seconds", generous for a busy machine."""
+CONFIRM_TIMEOUT_SECONDS = 20.0
+"""Time limit for a revision to reach all hosts; generous for a busy machine."""
 SECOND_KEY = "lagna-operator-2-key"
 EXTRA_FILE = "70-extra.json"
 
 
-def test_a_configuration_is_in_force_everywhere_and_never_reverts(
+def test_configuration_is_in_force_everywhere_and_never_reverts(
     fleet: Fleet,
 ) -> None:
-    """Operators see each revision confirmed by all, and no process ever go back.
+    """All processes confirm each revision, and none returns to an older one.
 
-    Several changes follow each other at both entries, with the links between all
-    processes silent for good in between. Every process keeps the highest revision.
+    Several changes are applied at both entries, and all links between processes go
+    silent permanently in between. Every process keeps the highest revision.
     """
     for number in range(6):
         entry = f"entry-{number % 2 + 1}"
@@ -44,13 +44,13 @@
         assert taken == sorted(set(taken)) and taken[-1] == revision
 
 
-def test_a_configuration_spreads_though_the_store_goes_down_behind_it(
+def test_configuration_spreads_after_the_store_goes_down(
     fleet: Fleet,
 ) -> None:
-    """Operators see their change in force everywhere, though the store went away.
+    """A change comes into force at all hosts although the store goes down.
 
-    The table and the objects go down right after the acceptance. The entry that took
-    the change tells its peers, which get the files from it.
+    The table and the objects go down right after the change is accepted. The entry
+    that accepted it notifies its peers, which load the files from it.
     """
     revision = configure(fleet, make_policy(deadline=40))
     take_store_down(fleet)
@@ -58,14 +58,14 @@
         assert confirm(fleet, entry, revision) == []
 
 
-def test_a_process_that_starts_in_an_outage_is_configured_by_its_peers(
+def test_process_that_starts_in_an_outage_is_configured_by_its_peers(
     fleet: Fleet,
 ) -> None:
-    """Callers are served by hosts that start while the whole platform is away.
+    """Processes that start while the whole platform is down get the configuration.
 
-    Table, objects and host list are down when an entry and an agent are replaced. The
-    agent gets the configuration from the entries that dial it, the entry from a peer
-    that its settings name.
+    Table, objects and host list are down when an entry and an agent are restarted. The
+    agent gets the configuration from the entries that dial it, the entry from a seed
+    in its settings.
     """
     revision = configure(fleet, make_policy(deadline=41))
     assert confirm(fleet, "entry-1", revision) == []
@@ -74,27 +74,30 @@
     fleet.kill("gown-1")
     fleet.restart("gown-1")
     fleet.wait_until(lambda: has_revision(fleet, "gown-1", revision), "the agent")
-    # Of two entries the one whose name comes first dials, so this one waits for nobody.
+    # Of two entries the one with the smaller name dials. So this one dials the other
+    # instead of waiting for it.
     settings = fleet.settings["entry-1"]
     seed = fleet.network.add("entry-1", "seed", fleet.settings["entry-2"]["address"])
     fleet.kill("entry-1")
     settings["seeds"] = [seed]
     fleet.restart("entry-1")
-    fleet.wait_until(lambda: is_at(fleet, "entry-1", revision), "the entry")
+    fleet.wait_until(lambda: has_own_revision(fleet, "entry-1", revision), "the entry")
 
 
-def test_an_entry_that_starts_without_the_store_serves(fleet: Fleet) -> None:
-    """Callers are served by an entry that starts while the store is away.
+def test_entry_that_starts_without_the_store_serves(fleet: Fleet) -> None:
+    """An entry that starts while the store is down serves callers.
 
-    The host list can be read: the new entry finds its peers there, and they give it the
-    configuration that the table can't.
+    The host list can be read. The restarted entry finds its peers there, and they send
+    it the configuration that it can't read from the table.
     """
     revision = configure(fleet, make_policy(deadline=42))
     assert confirm(fleet, "entry-1", revision) == []
     take_store_down(fleet)
     fleet.kill("entry-2")
     fleet.restart("entry-2")
-    fleet.wait_until(lambda: is_at(fleet, "entry-2", revision), "the configuration")
+    fleet.wait_until(
+        lambda: has_own_revision(fleet, "entry-2", revision), "the configuration"
+    )
 
     def is_served() -> bool:
         url = fleet.entries["entry-2"].url
@@ -105,11 +108,12 @@
     fleet.wait_until(is_served, "an answer")
 
 
-def test_operators_who_edit_the_same_file_at_once_race(fleet: Fleet) -> None:
-    """One operator's change is accepted; the other one is told whose came first.
+def test_concurrent_changes_of_one_file_conflict(fleet: Fleet) -> None:
+    """One of two concurrent changes is accepted; the other's author learns by whom.
 
-    Both send a change of the same file, based on the same revision, to two entries at
-    the same moment. The head row takes one of them; the other would undo it unseen.
+    Both operators send a change of the same file, based on the same revision, to two
+    entries at the same time. Only one may update the head row; the other would
+    overwrite it unnoticed.
     """
     base = read_base(fleet)
     files = [make_policy(deadline=21), make_policy(deadline=22)]
@@ -126,13 +130,13 @@
         assert json.loads(text) == winner
 
 
-def test_operators_who_edit_different_files_at_once_both_succeed(
+def test_concurrent_changes_of_different_files_both_succeed(
     fleet: Fleet,
 ) -> None:
-    """Both operators' changes are in force everywhere.
+    """Both operators' changes come into force at all hosts.
 
-    They are based on the same revision and sent to two entries at the same moment, but
-    touch different files, so that the later one is rebased on the earlier.
+    They are based on the same revision and sent to two entries at the same time, but
+    change different files, so that the later one is rebased on the earlier one.
     """
     base = read_base(fleet)
     extra = {"teams": {"new-team": {"key_sha256": ["0" * 64]}}}
@@ -148,10 +152,10 @@
         assert json.loads(files[EXTRA_FILE]) == extra
 
 
-def test_the_confirmation_names_a_paused_host(fleet: Fleet) -> None:
-    """The operator is told which host has not confirmed; it follows when it wakes.
+def test_confirmation_lists_a_paused_host(fleet: Fleet) -> None:
+    """The operator learns which host has not confirmed until it resumes.
 
-    A paused host goes on looking connected for a while. It is named until it says
+    A paused host still looks connected for a while. It is listed until it reports
     itself that the revision is in force there.
     """
     fleet.pause("gown-2")
@@ -162,11 +166,13 @@
 
 
 @pytest.mark.parametrize("kind", ["table", "objects"])
-def test_a_change_is_refused_while_the_store_is_away(fleet: Fleet, kind: str) -> None:
-    """The operator is told that nothing was changed, and nothing is.
+def test_change_is_refused_while_the_store_is_unavailable(
+    fleet: Fleet, kind: str
+) -> None:
+    """A change that is refused because the store is down has no effect.
 
     One part of the store is down when the change is sent. The configuration in force
-    stays, here and at every other process.
+    stays the same at all processes.
     """
     base = read_base(fleet)
     set_fault(fleet.standins[kind].url, mode="down")
@@ -179,14 +185,14 @@
 
 
 @pytest.mark.parametrize("lost", [1, 2, 3, 6])
-def test_a_change_whose_replies_are_lost_is_made_once_or_not_at_all(
+def test_change_is_made_at_most_once_despite_lost_replies(
     fleet: Fleet, lost: int
 ) -> None:
-    """The operator is told what became of the change, though the store's word was lost.
+    """The operator learns the true outcome of a change although replies were lost.
 
-    The table carries calls out and closes the connection, some times in a row. The
-    entry reads back what stands there: its own change is accepted, and if it says that
-    nothing was changed, that is so.
+    The table executes calls but closes the connection, several times in a row. The
+    entry reads the head back. If its own change is there, it is accepted, and if the
+    operator is told that nothing was changed, that is true.
     """
     base = read_base(fleet)
     set_fault(fleet.standins["table"].url, mode="lose_reply", count=lost)
@@ -202,34 +208,34 @@
 
 
 def silence_links(fleet: Fleet) -> None:
-    """Let the open links between all processes go silent for good."""
+    """Let the open links between all processes go silent permanently."""
     for host in (*fleet.agents, "entry-2"):
         fleet.network.go_silent(far=host)
 
 
 def read_history(fleet: Fleet) -> list[dict[str, Any]]:
-    """Read which revisions were accepted, the newest first."""
+    """Return the accepted revisions, newest first."""
     url = f"{fleet.entries['entry-1'].url}/operators/v1/configuration/history"
     return get_json(url, fleet.operator_key)
 
 
 def make_policy(deadline: int) -> dict[str, Any]:
-    """Give the policy's file with another deadline."""
+    """Build a policy file with another deadline."""
     policy = {**POLICY["policy"], "deadline_seconds": deadline}
     return {POLICY_FILE: {"policy": policy}}
 
 
 def confirm(
-    fleet: Fleet, entry: str, revision: int, seconds: float = SECONDS
+    fleet: Fleet, entry: str, revision: int, seconds: float = CONFIRM_TIMEOUT_SECONDS
 ) -> list[str]:
-    """Wait for a revision at an entry; give the hosts that have not confirmed."""
+    """Wait for a revision at an entry; return the hosts that have not confirmed."""
     url = f"{fleet.entries[entry].url}/operators/v1/configuration/confirmed"
     query = f"?revision={revision}&seconds={seconds}"
     return get_json(url + query, fleet.operator_key)["behind"]
 
 
 def list_revisions(fleet: Fleet, host: str) -> list[int]:
-    """List the revisions that a daemon has brought into force, in their order."""
+    """List the revisions that a daemon has put in force, in order."""
     return [
         line["revision"]
         for line in read_log(fleet, host)
@@ -238,31 +244,31 @@
 
 
 def take_store_down(fleet: Fleet) -> None:
-    """Let table and objects refuse everything."""
+    """Let the table and the objects refuse all requests."""
     for kind in ("table", "objects"):
         set_fault(fleet.standins[kind].url, mode="down")
 
 
 def read_base(fleet: Fleet) -> int:
-    """Give the newest revision that an entry has in force."""
+    """Return the newest revision in force at any entry."""
     return max(fleet.status(entry)["revision"] for entry in fleet.entries)
 
 
 def read_files(fleet: Fleet, entry: str) -> dict[str, str]:
-    """Give the files in force at an entry."""
+    """Return the configuration files in force at an entry."""
     url = f"{fleet.entries[entry].url}/operators/v1/configuration"
     return get_json(url, fleet.operator_key)["files"]
 
 
 def has_revision(fleet: Fleet, host: str, revision: int) -> bool:
-    """Tell whether every running entry knows a revision to be in force at a host."""
+    """Return whether all entries report a revision to be in force at a host."""
     return all(
         find_revisions(fleet, entry).get(host) == revision for entry in fleet.entries
     )
 
 
-def is_at(fleet: Fleet, entry: str, revision: int) -> bool:
-    """Tell whether an entry that may not be up yet has a revision in force."""
+def has_own_revision(fleet: Fleet, entry: str, revision: int) -> bool:
+    """Return whether an entry that may still be starting has a revision in force."""
     try:
         return fleet.status(entry)["revision"] == revision
     except (urllib.error.URLError, OSError):
@@ -272,7 +278,7 @@
 def apply_at_once(
     fleet: Fleet, base: int, changes: list[dict[str, Any]]
 ) -> list[Reply]:
-    """Apply one change at each entry at the same moment, as two operators."""
+    """Apply one change at each entry at the same time, as two operators."""
     replies: dict[int, Reply] = {}
     barrier = threading.Barrier(len(changes))
     keys = (fleet.operator_key, SECOND_KEY)
@@ -293,7 +299,7 @@
 def apply(
     fleet: Fleet, base: int, change: dict[str, Any], entry: str, key: str = ""
 ) -> Reply:
-    """Apply a change and give the reply, whatever it says."""
+    """Apply a change and return the reply, whatever its status."""
     texts = {name: json.dumps(content) for name, content in change.items()}
     body = {"base": base, "files": texts, "cause": "integration test"}
     return call(
--- a/tests/integration/test_lease.py
+++ b/tests/integration/test_lease.py
@@ -1,4 +1,4 @@
-"""Test that a plan has no effect once its writer's lease has gone to another."""
+"""Tests that a plan has no effect once its writer has lost the lease."""
 
 import asyncio
 import time
@@ -20,16 +20,16 @@
 from tests.integration.common import PLACE, run
 
 TERMS: Final = LeaseTerms(granted=2.0, margin=0.2, renew_every=0.5, read_every=0.1)
-LATE_SECONDS: Final = 5.0
+DELAY_SECONDS: Final = 5.0
 """Longer than the lease and its margin together."""
-WAIT_SECONDS: Final = 30.0
+WAIT_TIMEOUT_SECONDS: Final = 30.0
 TABLE: Final = "radishtally"
 WANTED: Final = {"gown-1": Wanted("decode", "gown-llm", "1")}
 AUDIT: Final = Put(Key("audit", "late"), {"what": "plan"}, ABSENT)
 
 
 class Planner:
-    """Hold one contender for the place's lease, behind a proxy of its own."""
+    """Contend for the place's lease, behind a separate proxy."""
 
     def __init__(self, name: str, network: Network, address: str) -> None:
         url = f"http://{network.add(name, 'table', address)}"
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def network() -> Iterator[Network]:
-    """Stand between the planners and the table."""
+    """Run the proxies between the planners and the table."""
     network = Network()
     yield network
     network.stop()
@@ -56,13 +56,15 @@
 
 @pytest.fixture
 def table(start_standin: StartStandIn) -> StandIn:
-    """Run a table."""
+    """Run the stand-in of the table."""
     return start_standin("table")
 
 
 @asynccontextmanager
-async def contend(network: Network, table: StandIn) -> AsyncIterator[list[Planner]]:
-    """Give a planner that holds the lease and one that would take it over."""
+async def run_two_planners(
+    network: Network, table: StandIn
+) -> AsyncIterator[list[Planner]]:
+    """Run a planner that holds the lease and one that contends for it."""
     planners = [Planner(name, network, table.address) for name in ("old", "new")]
     old, new = planners
     old.lease.start()
@@ -77,22 +79,22 @@
             await planner.table.close()
 
 
-def test_a_plan_that_arrives_after_the_lease_has_gone_has_no_effect(
+def test_plan_that_arrives_after_the_lease_was_lost_has_no_effect(
     network: Network, table: StandIn
 ) -> None:
-    """Operators see the new planner's plan alone, though the old one's comes late.
+    """A plan that is delayed until another planner holds the lease is not written.
 
-    The old planner holds the lease when it sends its plan, but the path to the table
-    holds everything up until the lease has lapsed and another one has it. The plan
-    arrives then. It names the revision of a lease row that no longer stands.
+    The old planner holds the lease when it sends its plan. The path to the table delays
+    it until the lease has expired and the new planner holds it. The plan's condition on
+    the revision of the lease row then fails.
     """
 
-    async def live() -> None:
-        async with contend(network, table) as (old, new):
+    async def check() -> None:
+        async with run_two_planners(network, table) as (old, new):
             plan = make_next_plan(PLACE, None, old.lease.fencing, "late", WANTED)
             writes = make_plan_writes(plan, ABSENT, old.lease.make_check(), AUDIT)
-            network.delay("old", "table", LATE_SECONDS)
-            arrives_at = time.monotonic() + LATE_SECONDS
+            network.delay("old", "table", DELAY_SECONDS)
+            arrives_at = time.monotonic() + DELAY_SECONDS
             late = await old.table.transact(writes, "late")
             assert late.is_error()
             await wait_until(new.lease.holds)
@@ -104,20 +106,20 @@
             assert written.ok == await read_plan(new)
             assert written.ok.fencing == 2
 
-    run(live())
+    run(check())
 
 
-def test_a_planner_whose_lease_has_lapsed_writes_nothing(
+def test_planner_whose_lease_has_expired_writes_nothing(
     network: Network, table: StandIn
 ) -> None:
-    """Operators see nothing of a planner that is cut off from the table and comes back.
+    """A planner that was cut off from the table writes no plan after it is back.
 
-    It believes in its last word on the lease, but counts the time from before it asked
-    for it: it has stopped before another one may begin.
+    It measures the lease's duration from before it sent its last renewal, so its lease
+    expires by its own clock before another planner may gain it.
     """
 
-    async def live() -> None:
-        async with contend(network, table) as (old, new):
+    async def check() -> None:
+        async with run_two_planners(network, table) as (old, new):
             network.cut("old", "table")
             await wait_until(new.lease.holds)
             assert not old.lease.holds() and old.lease.fencing is None
@@ -126,12 +128,12 @@
             assert refused.error == NotHeld()
             assert await read_plan(new) is None
 
-    run(live())
+    run(check())
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait for a condition."""
-    async with asyncio.timeout(WAIT_SECONDS):
+    async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.01)
 
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -1,4 +1,4 @@
-"""Test that engines get orders only from who has the authority, one at a time."""
+"""Tests that only the holder of the lease orders role changes, one at a time."""
 
 import subprocess
 import sys
@@ -30,28 +30,27 @@
 
 @pytest.fixture
 def fleet(request: pytest.FixtureRequest) -> Iterator[Fleet]:
-    """Run a fleet whose engines ignore fencing numbers, unless the test asks for it."""
+    """Run a fleet whose engines check fencing numbers only if the test asks for it."""
     checks = getattr(request, "param", False)
     servers = {"upstreams": {"gown-llm": {"checks_fencing": checks}}}
     with make_fleet(files={CHECKS_FILE: servers}) as fleet:
         yield fleet
 
 
-both_kinds = pytest.mark.parametrize(
+with_and_without_fencing_checks = pytest.mark.parametrize(
     "fleet", [True, False], ids=["fencing checked", "fencing ignored"], indirect=True
 )
 
 
-@both_kinds
-def test_a_planner_that_lost_its_lease_while_paused_orders_nothing(
+@with_and_without_fencing_checks
+def test_planner_that_lost_its_lease_while_paused_writes_no_plan(
     fleet: Fleet,
 ) -> None:
-    """Operators see the new planner's change stand; the old one wakes and adds nothing.
+    """A planner that is paused while it holds the lease doesn't undo a later change.
 
-    The planner is paused with the lease in hand. Operators change a role, and the other
-    entry takes the lease over and plans. The old planner wakes with the old
-    configuration: by that the engine has the wrong role, and it believes itself the
-    holder. Its plan would undo the change, if its lease or its plan still counted.
+    Operators change a role, and the other entry takes over the lease and plans. The old
+    planner resumes with the old configuration, in which the engine has the wrong role,
+    and believes that it still holds the lease. Its plan must have no effect.
     """
     fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
     old = find_planner(fleet)
@@ -66,32 +65,33 @@
     assert read_plan(fleet) == plan
     assert [order["role"] for order in list_orders(fleet, "gown-1")] == ["decode"]
     assert list_orders(fleet, "gown-1")[0]["fencing"] == plan.fencing >= 2
-    assert holders(fleet) == [other]
+    assert list_lease_holders(fleet) == [other]
 
 
-def test_one_of_two_entries_plans_for_a_place(fleet: Fleet) -> None:
-    """Operators see one planner, and each change ordered once.
+def test_only_one_entry_plans_for_a_place(fleet: Fleet) -> None:
+    """Each change is planned by one entry and ordered once.
 
-    Both entries stand in the place and see the same engines. Two roles are changed at
-    once; the holder of the lease plans one after the other, the other entry nothing.
+    Both entries are in the place and see the same engines. Two roles are changed at
+    once. The holder of the lease plans one after the other, the other entry none.
     """
     fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
     roles = make_roles(gown_1="decode", gown_2="prefill")
     configure(fleet, {ROLES_FILE: roles})
     fleet.wait_until(lambda: has_role(fleet, "gown-1", "decode"), "the first change")
     fleet.wait_until(lambda: has_role(fleet, "gown-2", "prefill"), "the second change")
-    assert len(holders(fleet)) == 1
+    assert len(list_lease_holders(fleet)) == 1
     for host in ("gown-1", "gown-2"):
         assert len(list_orders(fleet, host)) == 1
         assert read_engine(fleet, host)["conflicts"] == 0
     assert read_plan(fleet).number == 2
 
 
-def test_a_killed_planner_is_succeeded(fleet: Fleet) -> None:
-    """Operators see the change they asked for, though the planner died.
+def test_planner_is_replaced_after_a_kill(fleet: Fleet) -> None:
+    """A change is carried out although the planner died.
 
-    The planner is killed before it hears of the change. Its lease lapses, the other
-    entry takes over under a higher fencing number, and engines that check it agree.
+    The planner is killed before it learns of the change. Its lease expires, and the
+    other entry takes over under a higher fencing number, which engines that check
+    fencing numbers accept.
     """
     fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
     old = find_planner(fleet)
@@ -103,32 +103,34 @@
     assert order["fencing"] == read_plan(fleet).fencing >= 2
 
 
-def test_a_planner_cut_off_from_the_table_gives_way(fleet: Fleet) -> None:
-    """Operators see the change they asked for, though the planner can't see the table.
+def test_planner_cut_off_from_the_table_is_replaced(fleet: Fleet) -> None:
+    """A change is carried out although the planner can't reach the table.
 
-    The planner goes on running and reaches every agent, but not the table: its lease
-    lapses by its own clock before the other entry may take over. It goes on serving
-    callers, and what it still wants to plan has no effect.
+    The planner still reaches all agents. Its lease expires by its own clock before
+    the other entry may take over. It continues to serve callers, and its plans have
+    no effect.
     """
     fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
     old = find_planner(fleet)
     other = next(entry for entry in fleet.entries if entry != old)
     fleet.network.cut(old, "table")
     configure(fleet, {ROLES_FILE: make_roles(gown_1="decode")}, other)
-    fleet.wait_until(lambda: holders(fleet) == [other], "the other one to take over")
+    fleet.wait_until(
+        lambda: list_lease_holders(fleet) == [other], "the other one to take over"
+    )
     fleet.wait_until(lambda: has_role(fleet, "gown-1", "decode"), "the change")
     [order] = list_orders(fleet, "gown-1")
     assert order["fencing"] == read_plan(fleet).fencing >= 2
     answer = Stream(fleet.entries[old].url, "still served", TOKENS).wait()
     answer.check()
-    assert answer.is_whole
+    assert answer.is_complete
 
 
-def test_an_agent_killed_in_a_change_orders_it_once(fleet: Fleet) -> None:
-    """Operators see the change carried out once, though the agent died in it.
+def test_agent_killed_during_a_change_orders_it_once(fleet: Fleet) -> None:
+    """A change is ordered once although the agent died during it.
 
-    The agent is killed when its engine has begun to change, and is started anew at
-    once. It asks the engine what it is, finds it changing, and waits for the end.
+    The agent is killed after its engine has begun to change, and restarted at once. It
+    reads the engine's state, finds that it is changing and waits for the end.
     """
     configure(fleet, {ROLES_FILE: make_roles(gown_1="decode")})
     fleet.wait_until(lambda: read_state(fleet, "gown-1")["changing"], "the change")
@@ -140,18 +142,18 @@
     assert read_engine(fleet, "gown-1")["conflicts"] == 0
 
 
-def test_no_second_agent_orders_while_the_first_is_paused(fleet: Fleet) -> None:
-    """Operators see the replacement refuse to start, with an exit code of its own.
+def test_second_agent_does_not_start_while_the_first_is_paused(fleet: Fleet) -> None:
+    """A second agent exits with its own exit code while the first one is paused.
 
-    The agent is paused halfway through a change. A replacement can't know what its
-    frozen predecessor may still order, least of all where the engine ignores fencing
-    numbers. The port that the kernel keeps for the paused process says so. After the
-    predecessor's death the replacement starts and brings the change to its end.
+    The first agent is paused during a change. The second one can't know what the paused
+    one may still order, above all where the engine ignores fencing numbers. It fails to
+    bind the port, which the kernel keeps for the paused process. After the first agent
+    is killed, its replacement starts and completes the change.
     """
     configure(fleet, {ROLES_FILE: make_roles(gown_1="decode")})
     fleet.wait_until(lambda: read_state(fleet, "gown-1")["changing"], "the change")
     fleet.pause("gown-1")
-    assert start_second(fleet, "gown-1") == EXIT_ADDRESS
+    assert start_second_agent(fleet, "gown-1") == EXIT_ADDRESS
     fleet.kill("gown-1")
     fleet.restart("gown-1")
     fleet.wait_until(lambda: has_role(fleet, "gown-1", "decode"), "its end")
@@ -160,11 +162,11 @@
     assert read_engine(fleet, "gown-1")["conflicts"] == 0
 
 
-def test_an_order_whose_reply_is_lost_is_not_doubled(fleet: Fleet) -> None:
-    """Operators see one change, though the agent never heard that its order arrived.
+def test_order_is_not_repeated_after_a_lost_reply(fleet: Fleet) -> None:
+    """A change is ordered once although the reply to the order was lost.
 
-    The agent is cut off from its engine as soon as the change has begun. It asks the
-    engine what it is before it orders anything else.
+    The agent is cut off from its engine as soon as the change has begun. It reads the
+    engine's state before it orders anything else.
     """
     configure(fleet, {ROLES_FILE: make_roles(gown_1="decode")})
     fleet.wait_until(lambda: read_state(fleet, "gown-1")["changing"], "the change")
@@ -176,11 +178,11 @@
     assert read_engine(fleet, "gown-1")["conflicts"] == 0
 
 
-def test_a_plan_whose_reply_is_lost_is_written_once(fleet: Fleet) -> None:
-    """Operators see one plan and one change, though the table's reply was lost.
+def test_plan_is_written_once_despite_lost_replies(fleet: Fleet) -> None:
+    """A plan is written once and ordered once although the table's reply was lost.
 
-    The table carries out writes and loses its replies when a change of role is planned.
-    The planner reads back what it wrote and goes on from there.
+    The table applies writes but loses its replies when a role change is planned. The
+    planner reads the plan back and continues from it.
     """
     fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
     configure(fleet, {ROLES_FILE: make_roles(gown_1="decode")})
@@ -191,12 +193,12 @@
 
 
 def list_orders(fleet: Fleet, host: str) -> list[dict[str, Any]]:
-    """List the orders that an engine has taken."""
+    """List the orders that an engine has accepted."""
     return read_engine(fleet, host)["orders"]
 
 
-def holders(fleet: Fleet) -> list[str]:
-    """List the entries that hold the place's lease by their own word."""
+def list_lease_holders(fleet: Fleet) -> list[str]:
+    """List the entries that report to hold the place's lease."""
     statuses = {entry: fleet.status(entry)["planner"] for entry in fleet.entries}
     return [
         entry
@@ -206,12 +208,12 @@
 
 
 def has_lost_lease(fleet: Fleet, entry: str) -> bool:
-    """Tell whether an entry that answers no longer holds the lease."""
-    return entry not in holders(fleet)
+    """Return whether an entry that responds no longer holds the lease."""
+    return entry not in list_lease_holders(fleet)
 
 
 def wait_for_revision(fleet: Fleet, entry: str) -> None:
-    """Wait until an entry has the configuration of the others."""
+    """Wait until an entry has the newest revision of all entries."""
     url = "/operators/v1/configuration"
 
     def read(one: str) -> int:
@@ -222,8 +224,8 @@
     fleet.wait_until(lambda: read(entry) == newest, "the configuration to arrive")
 
 
-def start_second(fleet: Fleet, host: str) -> int:
-    """Start a second process with a host's settings; give its exit code."""
+def start_second_agent(fleet: Fleet, host: str) -> int:
+    """Start a second process with a host's settings; return its exit code."""
     settings = fleet.folder / f"{host}.json"
     command = [sys.executable, "-m", "radishtally.daemon", "--settings", str(settings)]
     done = subprocess.run(
--- a/tests/integration/test_planner_changes.py
+++ b/tests/integration/test_planner_changes.py
@@ -1,4 +1,4 @@
-"""Test which entry plans for a place where entries stall, leave and come back."""
+"""Tests of the planner's lease when entries stall, leave and return."""
 
 import time
 from typing import Any, Final
@@ -35,7 +35,7 @@
     ]
 
 
-def list_gained(fleet: Fleet) -> list[int]:
+def list_gained_fencing_numbers(fleet: Fleet) -> list[int]:
     """List the fencing numbers under which the place's lease was gained."""
     return [
         line["fencing"]
@@ -45,29 +45,29 @@
 
 
 def is_planning(fleet: Fleet, entry: str) -> bool:
-    """Tell whether an entry contends for the place's lease."""
+    """Return whether an entry contends for the place's lease."""
     return PLACE in fleet.status(entry)["planner"]
 
 
 def list_entry(fleet: Fleet, entry: str, state: str) -> None:
-    """Change an entry's state on the platform's list."""
+    """Change an entry's state in the platform's host list."""
     settings = fleet.settings[entry]
     fleet.list_host(entry, settings["place"], "entry", settings["address"], state)
 
 
 def wait_for_lost_write(fleet: Fleet, entry: str) -> None:
-    """Wait until a write of the lease that is yet to be begun has been lost."""
+    """Wait until a lease write that starts after this call has failed."""
     known = len(find_lines(fleet, entry, "lease:write_failed"))
 
     def has_lost() -> bool:
-        # One may have been under way before.
+        # One write may already have been in flight.
         return len(find_lines(fleet, entry, "lease:write_failed")) > known + 1
 
     fleet.wait_until(has_lost, "a write to be lost")
 
 
-# Two planners order roles in turn under one fencing number: an entry that leaves the
-# contenders and comes back takes its own old row for a write that was lost.
+# Guards against two planners under one fencing number: an entry that stops contending
+# and returns could mistake its own old lease row for the result of a lost write.
 def test_no_entry_gains_a_lease_while_the_table_loses_all_writes() -> None:
     with make_fleet(entries_wanted=ENTRIES) as fleet:
         places = dict.fromkeys(fleet.entries, PLACE)
@@ -77,35 +77,35 @@
             fleet.network.cut(entry, "table")
         list_entry(fleet, others[0], "leaving")
         fleet.wait_until(lambda: find_planner(fleet) == last, "the last one to plan")
-        gained = list_gained(fleet)
+        gained = list_gained_fencing_numbers(fleet)
         set_fault(fleet.standins["table"].url, mode="lose_write")
         fleet.network.heal()
-        fleet.wait_until(lambda: find_planner(fleet) is None, "the lease to lapse")
+        fleet.wait_until(lambda: find_planner(fleet) is None, "the lease to expire")
         list_entry(fleet, others[0], "live")
         fleet.wait_until(lambda: not is_planning(fleet, last), "it to leave")
         list_entry(fleet, others[0], "leaving")
         fleet.wait_until(lambda: is_planning(fleet, last), "it to come back")
         wait_for_lost_write(fleet, last)
-        assert list_gained(fleet) == gained
+        assert list_gained_fencing_numbers(fleet) == gained
         set_fault(fleet.standins["table"].url, mode="up")
         fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
-        numbers = list_gained(fleet)
+        numbers = list_gained_fencing_numbers(fleet)
         assert len(numbers) == len(set(numbers)) == len(gained) + 1
 
 
-def stall(fleet: Fleet, *entries: str) -> None:
-    """Pause entries for longer than a lease lasts; they go on in the given order."""
+def pause_entries(fleet: Fleet, *entries: str) -> None:
+    """Pause entries for longer than a lease lasts; resume them in the given order."""
     for entry in entries:
         fleet.pause(entry)
     until = time.monotonic() + STALL_SECONDS
     fleet.wait_until(lambda: time.monotonic() > until, "the stall to end")
     for entry in entries:
         fleet.resume(entry)
-        assert fleet.status(entry), "an answer shows that it goes on"
+        assert fleet.status(entry), "a response shows that the entry runs again"
 
 
-def has_told_stall(fleet: Fleet, entry: str) -> bool:
-    """Tell whether an entry has logged that it was not run for as long as it was."""
+def has_logged_stall(fleet: Fleet, entry: str) -> bool:
+    """Return whether an entry has logged a stall of about the length of the pause."""
     return any(
         line["seconds"] > STALL_SECONDS - 1 and PLACE in line["leases"]
         for line in read_log(fleet, entry)
@@ -113,26 +113,29 @@
     )
 
 
-# Roles stand still and planners change for nothing: a contender that stalled together
-# with the holder takes over as it wakes, from one that lives and is as quick to renew.
-def test_planner_stays_where_it_is_when_all_entries_stall() -> None:
+# Guards against a needless change of planner, during which no roles change: a contender
+# that stalled together with the holder takes over as it resumes, although the holder is
+# alive and renews the lease just as soon.
+def test_planner_does_not_change_when_all_entries_stall() -> None:
     with make_fleet() as fleet:
         fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
         old = find_planner(fleet)
         [other] = fleet.entries.keys() - {old}
         fleet.wait_until(lambda: is_planning(fleet, other), "the other to contend")
-        stall(fleet, other, old)
+        pause_entries(fleet, other, old)
         fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
         assert find_planner(fleet) == old
         assert find_lines(fleet, other, "lease:gained") == []
         for entry in fleet.entries:
-            fleet.wait_until(lambda e=entry: has_told_stall(fleet, e), "it to be told")
+            fleet.wait_until(
+                lambda e=entry: has_logged_stall(fleet, e), "the stall to be logged"
+            )
 
 
-# Engines get one order twice, or the old role again: a planner that was paused takes
-# the lease back by right while its successor stalls, and still has its plan of before.
+# Guards against an order that is repeated or undone: a planner that was paused rightly
+# regains the lease while its successor stalls, and still has its old plan in memory.
 @pytest.mark.parametrize("checks_fencing", [True, False])
-def test_planner_that_is_back_by_right_orders_nothing_of_its_old_plan(
+def test_planner_that_regains_its_lease_does_not_use_its_old_plan(
     checks_fencing: bool,
 ) -> None:
     servers = {"upstreams": {"gown-llm": {"checks_fencing": checks_fencing}}}
@@ -154,7 +157,7 @@
         fleet.resume(other)
         assert find_planner(fleet) == old
         assert not fleet.status(other)["planner"][PLACE]["holds_lease"]
-        numbers = list_gained(fleet)
+        numbers = list_gained_fencing_numbers(fleet)
         assert len(numbers) == len(set(numbers))
         assert read_plan(fleet) == plan
         orders = read_engine(fleet, "gown-1")["orders"]
--- a/tests/integration/test_store.py
+++ b/tests/integration/test_store.py
@@ -1,4 +1,4 @@
-"""Test what goes on while the platform's store is away."""
+"""Tests of the fleet while the platform's store is unavailable."""
 
 import urllib.error
 
@@ -26,13 +26,13 @@
     [{"mode": "down"}, {"mode": "slow", "seconds": 5}],
     ids=["down", "slow"],
 )
-def test_model_requests_are_served_while_the_store_is_away(
+def test_model_requests_are_served_while_the_store_is_unavailable(
     fleet: Fleet, fault: dict[str, object]
 ) -> None:
-    """Callers of models notice nothing; an operator's drain is refused in clear words.
+    """Model requests are served without the store, and an operator's drain is refused.
 
-    The whole platform goes down or slow under load, until the planner has lost its
-    lease. The fleet keeps its last plan, and once the platform is back, drains work.
+    The whole platform is down or slow under load until the planner has lost its lease.
+    The fleet keeps its last plan, and drains work again once the platform is back.
     """
     fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner")
     plan = read_plan(fleet)
@@ -40,26 +40,26 @@
     for kind in ("table", "objects", "hosts"):
         set_fault(fleet.standins[kind].url, **fault)
     with pytest.raises(urllib.error.HTTPError) as error:
-        drain(fleet, "gown-1", True)
+        set_drain(fleet, "gown-1", True)
     assert error.value.code in (503, 504)
-    fleet.wait_until(lambda: find_planner(fleet) is None, "the lease to lapse")
+    fleet.wait_until(lambda: find_planner(fleet) is None, "the lease to expire")
     answers = load.stop()
     assert answers
     for answer in answers:
         answer.check()
-        assert answer.is_whole, answer
+        assert answer.is_complete, answer
     for kind in ("table", "objects", "hosts"):
         set_fault(fleet.standins[kind].url, mode="up")
     assert read_plan(fleet) == plan
     fleet.wait_until(lambda: find_planner(fleet) is not None, "a planner again")
-    drain(fleet, "gown-1", False)
+    set_drain(fleet, "gown-1", False)
 
 
-def test_the_last_plan_is_kept_while_the_store_is_away(fleet: Fleet) -> None:
-    """Callers notice nothing when an agent starts anew without the store.
+def test_last_plan_is_kept_while_the_store_is_unavailable(fleet: Fleet) -> None:
+    """An agent that restarts without the store keeps its engine's role.
 
-    An engine has changed its role by plan. With the store away its agent is killed and
-    comes back: it can't read the plan, so it leaves the engine as it is.
+    An engine has changed its role by plan. While the store is down its agent is killed
+    and restarted. It can't read the plan, so it doesn't change the engine.
     """
     configure(fleet, {ROLES_FILE: make_roles(gown_1="decode")})
     fleet.wait_until(lambda: has_role(fleet, "gown-1", "decode"), "the change")
@@ -72,11 +72,11 @@
     assert len(read_engine(fleet, "gown-1")["orders"]) == orders
 
 
-def test_an_agent_cut_off_from_the_table_serves(fleet: Fleet) -> None:
-    """Callers notice nothing when one agent alone can't see the table.
+def test_agent_cut_off_from_the_table_serves(fleet: Fleet) -> None:
+    """An engine serves callers while its agent alone can't reach the table.
 
-    Its engine goes on answering, and a change of role that is planned meanwhile is
-    carried out when the agent can read the plan again.
+    A role change that is planned meanwhile is carried out once the agent can read the
+    plan again.
     """
     fleet.network.cut("gown-2", "table")
     configure(fleet, {ROLES_FILE: make_roles(gown_2="decode")})
@@ -89,16 +89,16 @@
     fleet.wait_until(lambda: has_role(fleet, "gown-2", "decode"), "the change")
     for answer in load.stop():
         answer.check()
-        assert answer.is_whole, answer
+        assert answer.is_complete, answer
 
 
 def is_planned(fleet: Fleet, host: str) -> bool:
-    """Tell whether the plan in force names a host."""
+    """Return whether the plan in force includes a host."""
     plan = read_plan(fleet)
     return plan is not None and host in plan.wanted
 
 
-def drain(fleet: Fleet, host: str, drained: bool) -> None:
-    """Drain a host or take the drain back."""
+def set_drain(fleet: Fleet, host: str, drained: bool) -> None:
+    """Drain a host or end its drain."""
     url = f"{fleet.entries['entry-1'].url}/operators/v1/hosts/{host}/drain"
     post_json(url, {"drained": drained, "cause": "test"}, fleet.operator_key)
