--- a/radishtally/entry/operators.py
+++ b/radishtally/entry/operators.py
@@ -178,8 +178,8 @@
 def _find_behind(entry: Entry, revision: int) -> list[str]:
     """Return the hosts that have not confirmed a revision or are unreachable."""
     keeper = entry.process.keeper
-    behind = set(keeper.find_behind(revision))
-    behind |= set(entry.members.membership.members) - set(keeper.peers)
+    behind = set(keeper.list_lagging_peers(revision))
+    behind |= set(entry.members.membership.members) - set(keeper.peer_revisions)
     behind.discard(entry.settings.host)
     if keeper.revision < revision:
         behind.add(entry.settings.host)
