--- a/bench/capacity/admission.py
+++ b/bench/capacity/admission.py
@@ -8,7 +8,7 @@
 from bench.capacity.routing import make_work
 from radishtally.agent import events
 from radishtally.agent.core import AgentCore, handle_event
-from radishtally.agent.retention import Memory
+from radishtally.agent.retention import EndedAttempts
 from radishtally.limits.queue import Job, Rates, Running, WorkQueue
 from radishtally.links.messages import Ack, Cancel, Offer
 
@@ -69,7 +69,7 @@
         offer_work(core, request, budget)
         cancel = Cancel(request, 1)
         handle_event(events.Received("entry-1", cancel), core, 0.0)
-        core.memory = Memory()
+        core.ended_attempts = EndedAttempts()
 
     return time_calls(offer_once)
 
--- a/radishtally/agent/core.py
+++ b/radishtally/agent/core.py
@@ -22,7 +22,7 @@
     REASON_NOT_MET,
 )
 from radishtally.agent.events import Command, Event, Send
-from radishtally.agent.retention import Past
+from radishtally.agent.retention import EndedAttempt
 from radishtally.agent.state import AgentCore, DrainInForce
 from radishtally.links.messages import (
     CALL,
@@ -176,7 +176,7 @@
     yield from _drop_orphans(core, now)
     for assignment in core.retained.list_old(now):
         core.remove(assignment, NOT_KNOWN, now)
-    core.memory.forget_old(now)
+    core.ended_attempts.forget_old(now)
 
 
 @singledispatch
@@ -194,9 +194,9 @@
 @_receive.register
 def _(message: Offer, host: str, core: AgentCore, now: float) -> Iterator[Command]:
     name = message.work.request, message.attempt
-    past = core.memory.get(name)
-    if past is not None:
-        yield _tell_past(name, past, host, core, now)
+    ended = core.ended_attempts.get(name)
+    if ended is not None:
+        yield _answer_ended(name, ended, host, core, now)
         return
     assignment = core.find(name)
     if assignment is not None:
@@ -216,16 +216,16 @@
     if assignment is not None:
         yield from attach(assignment, name, host, message.offset, core)
         return
-    past = core.memory.get(name)
-    if past is None:
+    ended = core.ended_attempts.get(name)
+    if ended is None:
         # Every attempt that was taken on is remembered for long, so this one's offer
         # did not come. From now on it can't be begun here, however late it comes.
-        core.memory.note(name, Ran.NO, NOT_KNOWN, now)
-        past = core.memory.get(name)
-    if past.reason == LEAVING:
+        core.ended_attempts.record(name, Ran.NO, NOT_KNOWN, now)
+        ended = core.ended_attempts.get(name)
+    if ended.reason == LEAVING:
         yield refuse(name, host, LEAVING, core, now)
         return
-    yield Send(host, Lost(*name, past.ran, past.reason, 0))
+    yield Send(host, Lost(*name, ended.ran, ended.reason, 0))
 
 
 @_receive.register
@@ -235,9 +235,9 @@
     if assignment is None:
         # The offer may still be on its way, held up in a slow link. It is refused
         # when it comes, so that "not run" stays true.
-        past = core.memory.get(name)
-        ran = Ran.NO if past is None else past.ran
-        core.memory.note(name, ran, REASON_CANCELLED, now)
+        ended = core.ended_attempts.get(name)
+        ran = Ran.NO if ended is None else ended.ran
+        core.ended_attempts.record(name, ran, REASON_CANCELLED, now)
         yield Send(host, Cancelled(*name, ran))
         return
     work = assignment.offer.work
@@ -269,13 +269,13 @@
     yield from ()
 
 
-def _tell_past(
-    name: Name, past: Past, host: str, core: AgentCore, now: float
+def _answer_ended(
+    name: Name, ended: EndedAttempt, host: str, core: AgentCore, now: float
 ) -> Command:
     """Answer an offer that comes after its attempt is over."""
-    if past.ran == Ran.NO:
-        return refuse(name, host, past.reason, core, now)
-    return Send(host, Lost(*name, past.ran, past.reason, 0))
+    if ended.ran == Ran.NO:
+        return refuse(name, host, ended.reason, core, now)
+    return Send(host, Lost(*name, ended.ran, ended.reason, 0))
 
 
 def _give_back(
--- a/radishtally/agent/retention.py
+++ b/radishtally/agent/retention.py
@@ -13,7 +13,7 @@
 )
 
 
-class Past(NamedTuple):
+class EndedAttempt(NamedTuple):
     """Remember how an attempt ended here."""
 
     since: float
@@ -22,7 +22,7 @@
     reason: str
 
 
-class Memory:
+class EndedAttempts:
     """Remember the names of attempts that are over.
 
     An offer may be held up in a slow link while its withdrawal comes over a new one.
@@ -31,28 +31,28 @@
     """
 
     def __init__(self) -> None:
-        self._pasts: dict[Name, Past] = {}
+        self._attempts: dict[Name, EndedAttempt] = {}
 
     def __len__(self) -> int:
         """Count the names."""
-        return len(self._pasts)
+        return len(self._attempts)
 
-    def get(self, name: Name) -> Past | None:
+    def get(self, name: Name) -> EndedAttempt | None:
         """Give what is remembered of an attempt."""
-        return self._pasts.get(name)
+        return self._attempts.get(name)
 
-    def note(self, name: Name, ran: str, reason: str, now: float) -> None:
+    def record(self, name: Name, ran: str, reason: str, now: float) -> None:
         """Remember an attempt from now on."""
-        self._pasts.pop(name, None)
-        self._pasts[name] = Past(now, ran, reason)
+        self._attempts.pop(name, None)
+        self._attempts[name] = EndedAttempt(now, ran, reason)
 
     def forget_old(self, now: float) -> None:
         """Forget what nobody may ask for any more."""
-        while self._pasts:
-            name = next(iter(self._pasts))
-            if now - self._pasts[name].since <= REMEMBER_SECONDS:
+        while self._attempts:
+            name = next(iter(self._attempts))
+            if now - self._attempts[name].since <= REMEMBER_SECONDS:
                 return
-            del self._pasts[name]
+            del self._attempts[name]
 
 
 class Retained:
--- a/radishtally/agent/state.py
+++ b/radishtally/agent/state.py
@@ -11,7 +11,7 @@
     IDLE_WAKE_SECONDS,
     SERVICE_LATENCY_START,
 )
-from radishtally.agent.retention import Memory, Retained
+from radishtally.agent.retention import EndedAttempts, Retained
 from radishtally.limits.queue import Rates, Running, WorkQueue
 from radishtally.links.messages import Load
 from radishtally.outcome import Ran
@@ -36,7 +36,7 @@
     names: dict[Name, Name] = field(default_factory=dict)
     """Assignment that each subscriber's request and attempt stands for."""
     keys: dict[tuple[str, str], Name] = field(default_factory=dict)
-    memory: Memory = field(default_factory=Memory)
+    ended_attempts: EndedAttempts = field(default_factory=EndedAttempts)
     retained: Retained = field(default_factory=Retained)
     running: dict[Name, Assignment] = field(default_factory=dict)
     dirty: dict[Name, Assignment] = field(default_factory=dict)
@@ -122,7 +122,7 @@
         assignment.answer.unsubscribe(*name)
         assignment.names.discard(name)
         self.names.pop(name, None)
-        self.memory.note(name, ran, reason, now)
+        self.ended_attempts.record(name, ran, reason, now)
 
     def find(self, name: Name) -> Assignment | None:
         """Find the assignment that a request and attempt stands for."""
--- a/tests/agent/test_names.py
+++ b/tests/agent/test_names.py
@@ -175,6 +175,6 @@
         driver.receive(Cancel(f"c{number}", 1))
     driver.pass_time(RETAIN_SECONDS + REMEMBER_SECONDS + 2)
     core = driver.core
-    kept = core.assignments, core.names, core.keys, core.memory, core.dirty
+    kept = core.assignments, core.names, core.keys, core.ended_attempts, core.dirty
     assert not any(map(len, kept))
     assert core.retained.bytes == 0
--- a/tests/entry/world.py
+++ b/tests/entry/world.py
@@ -410,7 +410,13 @@
             assert core.next_wake() == float("inf")
             assert all(known.in_flight == 0 for known in core.hosts.values())
         for core in self.agents.values():
-            kept = core.assignments, core.names, core.keys, core.memory, core.queue
+            kept = (
+                core.assignments,
+                core.names,
+                core.keys,
+                core.ended_attempts,
+                core.queue,
+            )
             assert not any(map(len, kept))
             assert not core.running and not core.dirty and not core.orphans
             assert not list(core.retained) and core.retained.bytes == 0
