--- a/radishtally/agent/const.py
+++ b/radishtally/agent/const.py
@@ -15,7 +15,7 @@
 RETAIN_SECONDS: Final = 120.0
 """Time that an ended answer is kept for a repeat of its idempotency key."""
 UNKEYED_RETAIN_SECONDS: Final = 10.0
-REMEMBER_SECONDS: Final = 120.0
+ATTEMPT_RETENTION_SECONDS: Final = 120.0
 """Time that an attempt's name is remembered; twice what an entry relies on."""
 DELIVER_SECONDS: Final = 5.0
 """Time that a stopping agent waits for the word that an answer's end has come."""
--- a/radishtally/agent/retention.py
+++ b/radishtally/agent/retention.py
@@ -5,9 +5,9 @@
 
 from radishtally.agent.answers import Assignment, Name
 from radishtally.agent.const import (
+    ATTEMPT_RETENTION_SECONDS,
     MAX_RETAINED_BYTES,
     MAX_UNDELIVERED_BYTES,
-    REMEMBER_SECONDS,
     RETAIN_SECONDS,
     UNKEYED_RETAIN_SECONDS,
 )
@@ -50,7 +50,7 @@
         """Forget what nobody may ask for any more."""
         while self._attempts:
             name = next(iter(self._attempts))
-            if now - self._attempts[name].since <= REMEMBER_SECONDS:
+            if now - self._attempts[name].since <= ATTEMPT_RETENTION_SECONDS:
                 return
             del self._attempts[name]
 
--- a/tests/agent/test_names.py
+++ b/tests/agent/test_names.py
@@ -4,8 +4,8 @@
 
 from radishtally.agent import events
 from radishtally.agent.const import (
+    ATTEMPT_RETENTION_SECONDS,
     ORPHAN_SECONDS,
-    REMEMBER_SECONDS,
     RETAIN_SECONDS,
     UNKEYED_RETAIN_SECONDS,
 )
@@ -49,7 +49,7 @@
     driver.complete("r")
     driver.pass_time(UNKEYED_RETAIN_SECONDS + 1)
     assert not driver.core.assignments
-    driver.pass_time(REMEMBER_SECONDS - 1)
+    driver.pass_time(ATTEMPT_RETENTION_SECONDS - 1)
     (lost,) = driver.receive(Attach("r", 1, 0))
     assert lost.ran == Ran.UNKNOWN
     assert driver.receive(Cancel("r", 1)) == [Cancelled("r", 1, Ran.UNKNOWN)]
@@ -173,7 +173,7 @@
         driver.offer(make_text(f"r{number}", key=f"k{number}"))
         driver.complete(f"r{number}")
         driver.receive(Cancel(f"c{number}", 1))
-    driver.pass_time(RETAIN_SECONDS + REMEMBER_SECONDS + 2)
+    driver.pass_time(RETAIN_SECONDS + ATTEMPT_RETENTION_SECONDS + 2)
     core = driver.core
     kept = core.assignments, core.names, core.keys, core.ended_attempts, core.dirty
     assert not any(map(len, kept))
--- a/tests/entry/test_calls.py
+++ b/tests/entry/test_calls.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from radishtally.agent.const import REMEMBER_SECONDS
+from radishtally.agent.const import ATTEMPT_RETENTION_SECONDS
 from radishtally.links.messages import (
     KEY_REUSED,
     NOT_KNOWN,
@@ -69,7 +69,7 @@
 
 
 def test_agents_remember_longer_than_entries_rely_on() -> None:
-    assert 2 * const.NOT_RUN_TRUST_SECONDS <= REMEMBER_SECONDS
+    assert 2 * const.NOT_RUN_TRUST_SECONDS <= ATTEMPT_RETENTION_SECONDS
 
 
 def test_unanswered_offer_waits_for_the_agents_word(driver: Driver) -> None:
