--- a/radishtally/agent/admission.py
+++ b/radishtally/agent/admission.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from radishtally.agent import events
-from radishtally.agent.answers import Answer, Assignment, Name, hash_body
+from radishtally.agent.answers import Answer, Assignment, AttemptId, hash_body
 from radishtally.agent.const import LEAVING_RETRY_SECONDS, REASON_NOT_READY
 from radishtally.agent.events import Command, Send
 from radishtally.agent.state import AgentCore
@@ -24,20 +24,22 @@
 from radishtally.planner.demand import WorkCounters
 
 
-def refuse(name: Name, host: str, reason: str, core: AgentCore, now: float) -> Command:
+def refuse(
+    attempt_id: AttemptId, host: str, reason: str, core: AgentCore, now: float
+) -> Command:
     """Say that work did not start here and won't."""
-    message = Refused(*name, reason, LEAVING_RETRY_SECONDS, core.load(now))
+    message = Refused(*attempt_id, reason, LEAVING_RETRY_SECONDS, core.load(now))
     return Send(host, message)
 
 
 def consider(offer: Offer, host: str, core: AgentCore, now: float) -> Iterator[Command]:
     """Take new work on or refuse it."""
-    name = offer.work.request, offer.attempt
+    attempt_id = offer.work.request, offer.attempt
     if core.drains:
-        yield refuse(name, host, LEAVING, core, now)
+        yield refuse(attempt_id, host, LEAVING, core, now)
         return
     if core.state is None or not core.state.ready:
-        yield refuse(name, host, REASON_NOT_READY, core, now)
+        yield refuse(attempt_id, host, REASON_NOT_READY, core, now)
         return
     job = _make_job(offer, now)
     if _is_complete(offer):
@@ -47,10 +49,12 @@
     _count(core, job, outcome.is_ok())
     if outcome.is_error():
         room = outcome.error
-        yield Send(host, Refused(*name, room.reason, room.retry_after, core.load(now)))
+        yield Send(
+            host, Refused(*attempt_id, room.reason, room.retry_after, core.load(now))
+        )
         return
     _take_on(offer, job, host, core)
-    yield Send(host, Accepted(*name, outcome.ok))
+    yield Send(host, Accepted(*attempt_id, outcome.ok))
 
 
 def _make_job(offer: Offer, now: float) -> Job:
@@ -80,19 +84,19 @@
 ) -> Iterator[Command]:
     # An engine takes no request for less than one token: it would give one too many.
     assignment = _take_on(offer, job, host, core)
-    name = assignment.name
+    attempt_id = assignment.attempt_id
     counts = job.prompt_tokens, offer.tokens_done
-    end = events.Completed(*name, 200, "length", *counts, (), 0.0)
+    end = events.Completed(*attempt_id, 200, "length", *counts, (), 0.0)
     assignment.started = now
     assignment.answer.end = make_finished(assignment, end)
-    yield Send(host, Accepted(*name, 0.0))
+    yield Send(host, Accepted(*attempt_id, 0.0))
     core.end(assignment, now)
 
 
 def _take_on(offer: Offer, job: Job, host: str, core: AgentCore) -> Assignment:
     answer = Answer(bytearray(offer.done), offer.tokens_done)
     assignment = Assignment(offer, job, hash_body(offer), answer)
-    answer.subscribe(host, *assignment.name, len(offer.done))
+    answer.subscribe(host, *assignment.attempt_id, len(offer.done))
     core.add(assignment)
     return assignment
 
@@ -108,14 +112,20 @@
 
 
 def attach(
-    assignment: Assignment, name: Name, host: str, offset: int, core: AgentCore
+    assignment: Assignment,
+    attempt_id: AttemptId,
+    host: str,
+    offset: int,
+    core: AgentCore,
 ) -> Iterator[Command]:
     """Send an answer to an entry from an offset on."""
-    assignment.answer.subscribe(host, *name, offset)
+    assignment.answer.subscribe(host, *attempt_id, offset)
     assignment.orphaned = None
-    core.orphans.pop(assignment.name, None)
-    core.join(name, assignment)
-    yield Send(host, Accepted(*name, 0.0, attached=assignment.name != name))
+    core.orphans.pop(assignment.attempt_id, None)
+    core.join(attempt_id, assignment)
+    yield Send(
+        host, Accepted(*attempt_id, 0.0, attached=assignment.attempt_id != attempt_id)
+    )
     yield from send_rest(assignment)
 
 
@@ -123,14 +133,14 @@
     offer: Offer, assignment: Assignment, host: str, core: AgentCore, now: float
 ) -> Iterator[Command]:
     """Answer a repeated key from the answer that is there or on its way."""
-    name = offer.work.request, offer.attempt
+    attempt_id = offer.work.request, offer.attempt
     if assignment.body_hash != hash_body(offer):
-        yield refuse(name, host, KEY_REUSED, core, now)
+        yield refuse(attempt_id, host, KEY_REUSED, core, now)
         return
     if not _is_joinable(assignment, offer):
         yield from consider(offer, host, core, now)
         return
-    yield from attach(assignment, name, host, len(offer.done), core)
+    yield from attach(assignment, attempt_id, host, len(offer.done), core)
 
 
 def _is_joinable(assignment: Assignment, offer: Offer) -> bool:
@@ -159,7 +169,7 @@
     """Make the message that ends a whole answer."""
     answer = assignment.answer
     return Finished(
-        *assignment.name,
+        *assignment.attempt_id,
         len(answer.data),
         answer.checksum(),
         event.status,
--- a/radishtally/agent/answers.py
+++ b/radishtally/agent/answers.py
@@ -9,7 +9,7 @@
 from radishtally.limits.queue import Job, Running
 from radishtally.links.messages import Chunk, Finished, Handover, Lost, Offer
 
-Name = tuple[str, int]
+AttemptId = tuple[str, int]
 """Request and attempt."""
 
 
@@ -85,7 +85,7 @@
     job: Job
     body_hash: int
     answer: Answer
-    names: set[Name] = field(default_factory=set)
+    attempt_ids: set[AttemptId] = field(default_factory=set)
     """Attempts that this answer is for; more than one where a key was repeated."""
     started: float | None = None
     last_token: float | None = None
@@ -100,7 +100,7 @@
     """Whether an entry has said that it has the answer's end."""
 
     @property
-    def name(self) -> Name:
+    def attempt_id(self) -> AttemptId:
         """Give the request and attempt."""
         return self.offer.work.request, self.offer.attempt
 
--- a/radishtally/agent/core.py
+++ b/radishtally/agent/core.py
@@ -12,7 +12,7 @@
     refuse,
     send_rest,
 )
-from radishtally.agent.answers import Assignment, Name
+from radishtally.agent.answers import Assignment, AttemptId
 from radishtally.agent.const import (
     DELIVER_SECONDS,
     FLUSH_SECONDS,
@@ -101,7 +101,7 @@
             core.queue.record_tokens(now - assignment.last_token, event.tokens, now)
         assignment.last_token = now
         assignment.answer.append(event.data, event.tokens)
-        core.dirty[assignment.name] = assignment
+        core.dirty[assignment.attempt_id] = assignment
     yield from ()
 
 
@@ -193,14 +193,14 @@
 
 @_receive.register
 def _(message: Offer, host: str, core: AgentCore, now: float) -> Iterator[Command]:
-    name = message.work.request, message.attempt
-    ended = core.ended_attempts.get(name)
+    attempt_id = message.work.request, message.attempt
+    ended = core.ended_attempts.get(attempt_id)
     if ended is not None:
-        yield _answer_ended(name, ended, host, core, now)
+        yield _answer_ended(attempt_id, ended, host, core, now)
         return
-    assignment = core.find(name)
+    assignment = core.find(attempt_id)
     if assignment is not None:
-        yield from attach(assignment, name, host, len(message.done), core)
+        yield from attach(assignment, attempt_id, host, len(message.done), core)
         return
     known = core.keys.get((message.work.team, message.work.key))
     if message.work.key and known is not None:
@@ -211,45 +211,45 @@
 
 @_receive.register
 def _(message: Attach, host: str, core: AgentCore, now: float) -> Iterator[Command]:
-    name = message.request, message.attempt
-    assignment = core.find(name)
+    attempt_id = message.request, message.attempt
+    assignment = core.find(attempt_id)
     if assignment is not None:
-        yield from attach(assignment, name, host, message.offset, core)
+        yield from attach(assignment, attempt_id, host, message.offset, core)
         return
-    ended = core.ended_attempts.get(name)
+    ended = core.ended_attempts.get(attempt_id)
     if ended is None:
         # Every attempt that was taken on is remembered for long, so this one's offer
         # did not come. From now on it can't be begun here, however late it comes.
-        core.ended_attempts.record(name, Ran.NO, NOT_KNOWN, now)
-        ended = core.ended_attempts.get(name)
+        core.ended_attempts.record(attempt_id, Ran.NO, NOT_KNOWN, now)
+        ended = core.ended_attempts.get(attempt_id)
     if ended.reason == LEAVING:
-        yield refuse(name, host, LEAVING, core, now)
+        yield refuse(attempt_id, host, LEAVING, core, now)
         return
-    yield Send(host, Lost(*name, ended.ran, ended.reason, 0))
+    yield Send(host, Lost(*attempt_id, ended.ran, ended.reason, 0))
 
 
 @_receive.register
 def _(message: Cancel, host: str, core: AgentCore, now: float) -> Iterator[Command]:
-    name = message.request, message.attempt
-    assignment = core.find(name)
+    attempt_id = message.request, message.attempt
+    assignment = core.find(attempt_id)
     if assignment is None:
         # The offer may still be on its way, held up in a slow link. It is refused
         # when it comes, so that "not run" stays true.
-        ended = core.ended_attempts.get(name)
+        ended = core.ended_attempts.get(attempt_id)
         ran = Ran.NO if ended is None else ended.ran
-        core.ended_attempts.record(name, ran, REASON_CANCELLED, now)
-        yield Send(host, Cancelled(*name, ran))
+        core.ended_attempts.record(attempt_id, ran, REASON_CANCELLED, now)
+        yield Send(host, Cancelled(*attempt_id, ran))
         return
     work = assignment.offer.work
     if assignment.started is not None and not work.idempotent:
         # The call may be half done: it is left to end. Its entry may still come for
         # its outcome, and a repeat of its key too.
-        yield Send(host, Cancelled(*name, Ran.UNKNOWN))
+        yield Send(host, Cancelled(*attempt_id, Ran.UNKNOWN))
         return
-    shared = len(assignment.names) > 1
+    shared = len(assignment.attempt_ids) > 1
     ran = Ran.UNKNOWN if shared or assignment.started is not None else Ran.NO
-    core.leave(name, assignment, ran, REASON_CANCELLED, now)
-    yield Send(host, Cancelled(*name, ran))
+    core.leave(attempt_id, assignment, ran, REASON_CANCELLED, now)
+    yield Send(host, Cancelled(*attempt_id, ran))
     if shared:
         _check_orphan(assignment, core, now)
         return
@@ -258,31 +258,31 @@
 
 @_receive.register
 def _(message: Ack, host: str, core: AgentCore, now: float) -> Iterator[Command]:
-    name = message.request, message.attempt
-    assignment = core.find(name)
+    attempt_id = message.request, message.attempt
+    assignment = core.find(attempt_id)
     if assignment is None or assignment.ended is None:
         return
     assignment.delivered = True
-    assignment.answer.unsubscribe(*name)
-    if not assignment.offer.work.key and assignment.names == {name}:
+    assignment.answer.unsubscribe(*attempt_id)
+    if not assignment.offer.work.key and assignment.attempt_ids == {attempt_id}:
         core.remove(assignment, NOT_KNOWN, now)
     yield from ()
 
 
 def _answer_ended(
-    name: Name, ended: EndedAttempt, host: str, core: AgentCore, now: float
+    attempt_id: AttemptId, ended: EndedAttempt, host: str, core: AgentCore, now: float
 ) -> Command:
     """Answer an offer that comes after its attempt is over."""
     if ended.ran == Ran.NO:
-        return refuse(name, host, ended.reason, core, now)
-    return Send(host, Lost(*name, ended.ran, ended.reason, 0))
+        return refuse(attempt_id, host, ended.reason, core, now)
+    return Send(host, Lost(*attempt_id, ended.ran, ended.reason, 0))
 
 
 def _give_back(
-    name: Name, reason: str, core: AgentCore, now: float
+    attempt_id: AttemptId, reason: str, core: AgentCore, now: float
 ) -> Iterator[Command]:
     """Tell the entries of accepted work that it did not start and won't."""
-    assignment = core.assignments[name]
+    assignment = core.assignments[attempt_id]
     for subscriber in assignment.answer.subscribers:
         one = subscriber.request, subscriber.attempt
         yield refuse(one, subscriber.host, reason, core, now)
@@ -295,8 +295,8 @@
     """End work that nobody waits for; an answer with a key is kept for a repeat."""
     if assignment.ended is not None and assignment.offer.work.key:
         return
-    if assignment.ended is None and not core.queue.remove(*assignment.name):
-        yield events.Abort(*assignment.name)
+    if assignment.ended is None and not core.queue.remove(*assignment.attempt_id):
+        yield events.Abort(*assignment.attempt_id)
     core.remove(assignment, REASON_CANCELLED, now)
 
 
@@ -309,34 +309,36 @@
             return
         assignment = core.assignments[job.request, job.attempt]
         assignment.started = now
-        core.running[assignment.name] = assignment
+        core.running[assignment.attempt_id] = assignment
         yield events.Run(assignment.offer)
 
 
 def _flush(core: AgentCore, now: float) -> Iterator[Command]:
-    for name, assignment in list(core.dirty.items()):
+    for attempt_id, assignment in list(core.dirty.items()):
         waits = now - assignment.last_flush < FLUSH_SECONDS
         if waits and assignment.ended is None:
             continue
-        del core.dirty[name]
+        del core.dirty[attempt_id]
         assignment.last_flush = now
         yield from send_rest(assignment)
 
 
 def _make_lost(assignment: Assignment, ran: str, reason: str) -> Lost:
-    return Lost(*assignment.name, ran, reason, len(assignment.answer.data))
+    return Lost(*assignment.attempt_id, ran, reason, len(assignment.answer.data))
 
 
 def _export(assignment: Assignment) -> Iterator[Command]:
     assignment.leaving = True
-    yield events.Export(*assignment.name)
+    yield events.Export(*assignment.attempt_id)
 
 
 def _hand_over(
     assignment: Assignment, kv: KvRef | None, core: AgentCore, now: float
 ) -> None:
     answer = assignment.answer
-    answer.end = Handover(*assignment.name, len(answer.data), answer.checksum(), kv)
+    answer.end = Handover(
+        *assignment.attempt_id, len(answer.data), answer.checksum(), kv
+    )
     core.end(assignment, now)
 
 
@@ -365,7 +367,7 @@
     is_open = assignment.ended is None
     if is_open and not assignment.answer.subscribers and assignment.orphaned is None:
         assignment.orphaned = now
-        core.orphans[assignment.name] = assignment
+        core.orphans[assignment.attempt_id] = assignment
 
 
 def _drop_orphans(core: AgentCore, now: float) -> Iterator[Command]:
--- a/radishtally/agent/daemon.py
+++ b/radishtally/agent/daemon.py
@@ -160,8 +160,10 @@
             self._take_hint(message)
             return
         if isinstance(message, Offer):
-            name = message.work.request, message.attempt
-            log_message("work:offered", request=name[0], attempt=name[1], entry=host)
+            attempt_id = message.work.request, message.attempt
+            log_message(
+                "work:offered", request=attempt_id[0], attempt=attempt_id[1], entry=host
+            )
         self.handle(events.Received(host, message))
 
     def _take_hint(self, hint: Hint) -> None:
--- a/radishtally/agent/engine.py
+++ b/radishtally/agent/engine.py
@@ -116,13 +116,13 @@
         only silence: its answer would wait for its deadline. The rest is generated
         elsewhere. The first token gets several times what its prefill should take.
         """
-        for name, until in list(self._patience.items()):
+        for attempt_id, until in list(self._patience.items()):
             if now <= until:
                 continue
-            del self._patience[name]
-            self.abort(*name)
+            del self._patience[attempt_id]
+            self.abort(*attempt_id)
             reason = "the engine's stream went silent"
-            self._report(events.Failed(*name, Ran.UNKNOWN, reason))
+            self._report(events.Failed(*attempt_id, Ran.UNKNOWN, reason))
 
     def _find_first_patience(self, offer: Offer) -> float:
         prefill = (offer.work.prompt_tokens + offer.tokens_done) / self._prefill_rate
@@ -134,42 +134,45 @@
         self._tasks.spawn_detached(self._export(request, attempt, task))
 
     async def _run(self, offer: Offer) -> None:
-        name = offer.work.request, offer.attempt
+        attempt_id = offer.work.request, offer.attempt
         ran = Ran.NO
         started = time.monotonic()
-        self._patience[name] = started + self._find_first_patience(offer)
+        self._patience[attempt_id] = started + self._find_first_patience(offer)
         try:
             kv = await self._import_kv(offer.kv)
             body = make_engine_body(offer, kv)
-            headers = {"X-Request-Id": make_engine_id(*name)}
+            headers = {"X-Request-Id": make_engine_id(*attempt_id)}
             path = PATHS[offer.work.kind == CHAT]
             async with self._session.post(
                 self._url + path, json=body, headers=headers, timeout=STREAM_TIMEOUT
             ) as response:
                 if response.status != 200:
-                    for event in await _explain_refusal(name, response):
+                    for event in await _explain_refusal(attempt_id, response):
                         self._report(event)
                     return
                 ran = Ran.UNKNOWN
-                await self._read(name, response, started)
+                await self._read(attempt_id, response, started)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            self._report(events.Failed(*name, Ran.NO, repr(error)))
+            self._report(events.Failed(*attempt_id, Ran.NO, repr(error)))
         except EXCHANGE_ERRORS as error:
             ran = Ran.UNKNOWN if not isinstance(error, ValueError) else ran
-            self._report(events.Failed(*name, ran, repr(error)))
+            self._report(events.Failed(*attempt_id, ran, repr(error)))
         finally:
-            self._patience.pop(name, None)
+            self._patience.pop(attempt_id, None)
 
     async def _read(
-        self, name: tuple[str, int], response: aiohttp.ClientResponse, started: float
+        self,
+        attempt_id: tuple[str, int],
+        response: aiohttp.ClientResponse,
+        started: float,
     ) -> None:
         reason, prompt_tokens, output_tokens = None, 0, 0
         async for part in read_parts(response.content):
             if isinstance(part, Done):
                 break
             if part.text:
-                self._patience[name] = time.monotonic() + STREAM_SILENCE_SECONDS
-                self._report(events.Produced(*name, part.text.encode(), 1))
+                self._patience[attempt_id] = time.monotonic() + STREAM_SILENCE_SECONDS
+                self._report(events.Produced(*attempt_id, part.text.encode(), 1))
             reason = part.finish_reason or reason
             if part.usage is not None:
                 prompt_tokens = part.usage.prompt_tokens
@@ -177,12 +180,12 @@
         # A stream that ends without a reason was cut, however proper its end looks.
         if reason is None:
             self._report(
-                events.Failed(*name, Ran.UNKNOWN, "the engine's stream was cut")
+                events.Failed(*attempt_id, Ran.UNKNOWN, "the engine's stream was cut")
             )
             return
         seconds = time.monotonic() - started
         counts = prompt_tokens, output_tokens
-        self._report(events.Completed(*name, 200, reason, *counts, (), seconds))
+        self._report(events.Completed(*attempt_id, 200, reason, *counts, (), seconds))
 
     async def _import_kv(self, kv: KvRef | None) -> str | None:
         """Fetch a KV cache; without it the engine prefills the prompt itself."""
@@ -226,10 +229,10 @@
         self._report(events.Exported(request, attempt, kv))
 
     async def _cancel(self, request: str, attempt: int) -> None:
-        name = make_engine_id(request, attempt)
+        engine_id = make_engine_id(request, attempt)
         try:
             async with self._session.post(
-                f"{self._url}/v1/requests/{name}/cancel", timeout=CALL_TIMEOUT
+                f"{self._url}/v1/requests/{engine_id}/cancel", timeout=CALL_TIMEOUT
             ):
                 pass
         except (aiohttp.ClientError, OSError, TimeoutError):
@@ -237,7 +240,7 @@
 
 
 def make_engine_id(request: str, attempt: int) -> str:
-    """Name an attempt to the engine."""
+    """AttemptId an attempt to the engine."""
     return f"{request}-{attempt}"
 
 
@@ -276,18 +279,18 @@
 
 
 async def _explain_refusal(
-    name: tuple[str, int], response: aiohttp.ClientResponse
+    attempt_id: tuple[str, int], response: aiohttp.ClientResponse
 ) -> list[events.Event]:
     body = await response.read()
     status = response.status
     if status >= 500 or status in BUSY:
         # Only a refusal that says so is taken as "did not start".
         ran = Ran.NO if b"not_started" in body else Ran.UNKNOWN
-        return [events.Failed(*name, ran, f"engine answered {status}")]
+        return [events.Failed(*attempt_id, ran, f"engine answered {status}")]
     if status == NOT_FOUND:
-        return [events.Failed(*name, Ran.NO, "model or adapter not loaded")]
+        return [events.Failed(*attempt_id, Ran.NO, "model or adapter not loaded")]
     # The request itself is at fault: another engine would say the same.
-    return [events.Completed(*name, status, _read_message(body), 0, 0, (), 0.0)]
+    return [events.Completed(*attempt_id, status, _read_message(body), 0, 0, (), 0.0)]
 
 
 def _read_message(body: bytes) -> str:
--- a/radishtally/agent/retention.py
+++ b/radishtally/agent/retention.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from radishtally.agent.answers import Assignment, Name
+from radishtally.agent.answers import Assignment, AttemptId
 from radishtally.agent.const import (
     ATTEMPT_RETENTION_SECONDS,
     MAX_RETAINED_BYTES,
@@ -23,7 +23,7 @@
 
 
 class EndedAttempts:
-    """Remember the names of attempts that are over.
+    """Remember the attempt_ids of attempts that are over.
 
     An offer may be held up in a slow link while its withdrawal comes over a new one.
     Begun then, it would run although its caller was told "not run"; remembered, it is
@@ -31,28 +31,28 @@
     """
 
     def __init__(self) -> None:
-        self._attempts: dict[Name, EndedAttempt] = {}
+        self._attempts: dict[AttemptId, EndedAttempt] = {}
 
     def __len__(self) -> int:
-        """Count the names."""
+        """Count the attempt_ids."""
         return len(self._attempts)
 
-    def get(self, name: Name) -> EndedAttempt | None:
+    def get(self, attempt_id: AttemptId) -> EndedAttempt | None:
         """Give what is remembered of an attempt."""
-        return self._attempts.get(name)
+        return self._attempts.get(attempt_id)
 
-    def record(self, name: Name, ran: str, reason: str, now: float) -> None:
+    def record(self, attempt_id: AttemptId, ran: str, reason: str, now: float) -> None:
         """Remember an attempt from now on."""
-        self._attempts.pop(name, None)
-        self._attempts[name] = EndedAttempt(now, ran, reason)
+        self._attempts.pop(attempt_id, None)
+        self._attempts[attempt_id] = EndedAttempt(now, ran, reason)
 
     def forget_old(self, now: float) -> None:
         """Forget what nobody may ask for any more."""
         while self._attempts:
-            name = next(iter(self._attempts))
-            if now - self._attempts[name].since <= ATTEMPT_RETENTION_SECONDS:
+            attempt_id = next(iter(self._attempts))
+            if now - self._attempts[attempt_id].since <= ATTEMPT_RETENTION_SECONDS:
                 return
-            del self._attempts[name]
+            del self._attempts[attempt_id]
 
 
 class Retained:
@@ -60,7 +60,7 @@
 
     def __init__(self) -> None:
         self.bytes = 0
-        self._ended: dict[float, dict[Name, Assignment]] = {
+        self._ended: dict[float, dict[AttemptId, Assignment]] = {
             UNKEYED_RETAIN_SECONDS: {},
             RETAIN_SECONDS: {},
         }
@@ -72,13 +72,13 @@
 
     def add(self, assignment: Assignment) -> None:
         """Keep an answer that has just ended."""
-        self._ended[_find_limit(assignment)][assignment.name] = assignment
+        self._ended[_find_limit(assignment)][assignment.attempt_id] = assignment
         self.bytes += len(assignment.answer.data)
 
     def remove(self, assignment: Assignment) -> None:
         """Keep an answer no longer."""
         kept = self._ended[_find_limit(assignment)]
-        if kept.pop(assignment.name, None) is not None:
+        if kept.pop(assignment.attempt_id, None) is not None:
             self.bytes -= len(assignment.answer.data)
 
     def list_old(self, now: float) -> list[Assignment]:
@@ -95,14 +95,14 @@
 
     def _list_excess(self, old: list[Assignment]) -> list[Assignment]:
         excess = self.bytes - sum(len(a.answer.data) for a in old)
-        known = {a.name for a in old}
+        known = {a.attempt_id for a in old}
         found = []
         for assignment in self:
             if excess <= MAX_RETAINED_BYTES:
                 break
             # What no entry has confirmed may be the only word on its outcome.
             spared = not assignment.delivered and excess <= MAX_UNDELIVERED_BYTES
-            if assignment.name in known or spared:
+            if assignment.attempt_id in known or spared:
                 continue
             excess -= len(assignment.answer.data)
             found.append(assignment)
--- a/radishtally/agent/service.py
+++ b/radishtally/agent/service.py
@@ -62,7 +62,7 @@
 
     async def _run(self, offer: Offer) -> None:
         work = offer.work
-        name = work.request, offer.attempt
+        attempt_id = work.request, offer.attempt
         started = time.monotonic()
         headers = dict(work.headers)
         headers["X-Request-Id"] = work.request
@@ -81,28 +81,28 @@
                 allow_redirects=False,
                 middlewares=(SendOnce(),),
             ) as response:
-                await self._read(name, response, started)
+                await self._read(attempt_id, response, started)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            self._report(events.Failed(*name, Ran.NO, repr(error)))
+            self._report(events.Failed(*attempt_id, Ran.NO, repr(error)))
         except EXCHANGE_ERRORS as error:
-            self._report(events.Failed(*name, Ran.UNKNOWN, repr(error)))
+            self._report(events.Failed(*attempt_id, Ran.UNKNOWN, repr(error)))
 
     async def _read(
-        self, name: tuple[str, int], response: CheckedResponse, started: float
+        self, attempt_id: tuple[str, int], response: CheckedResponse, started: float
     ) -> None:
         size = 0
         async for data in response.content.iter_chunked(DATA_BYTES):
             size += len(data)
             if size > MAX_ANSWER_BYTES:
                 text = f"the service's answer is over {MAX_ANSWER_BYTES} bytes"
-                self._report(events.Failed(*name, Ran.UNKNOWN, text))
+                self._report(events.Failed(*attempt_id, Ran.UNKNOWN, text))
                 return
-            self._report(events.Produced(*name, data, 0))
+            self._report(events.Produced(*attempt_id, data, 0))
         response.check_end()
         # A process that is killed closes its connections like one that is done.
         if not response.is_framed and not await self.is_up():
             text = "the service has ended behind an answer without a length"
-            self._report(events.Failed(*name, Ran.UNKNOWN, text))
+            self._report(events.Failed(*attempt_id, Ran.UNKNOWN, text))
             return
         headers = tuple(
             (str(key), value)
@@ -111,5 +111,5 @@
         )
         seconds = time.monotonic() - started
         self._report(
-            events.Completed(*name, response.status, "", 0, 0, headers, seconds)
+            events.Completed(*attempt_id, response.status, "", 0, 0, headers, seconds)
         )
--- a/radishtally/agent/state.py
+++ b/radishtally/agent/state.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from radishtally.agent import events
-from radishtally.agent.answers import Assignment, Name
+from radishtally.agent.answers import Assignment, AttemptId
 from radishtally.agent.const import (
     EXPIRE_SECONDS,
     FLUSH_SECONDS,
@@ -32,16 +32,16 @@
     host: str
     upstream: str
     queue: WorkQueue = field(default_factory=WorkQueue)
-    assignments: dict[Name, Assignment] = field(default_factory=dict)
-    names: dict[Name, Name] = field(default_factory=dict)
+    assignments: dict[AttemptId, Assignment] = field(default_factory=dict)
+    assignment_ids: dict[AttemptId, AttemptId] = field(default_factory=dict)
     """Assignment that each subscriber's request and attempt stands for."""
-    keys: dict[tuple[str, str], Name] = field(default_factory=dict)
+    keys: dict[tuple[str, str], AttemptId] = field(default_factory=dict)
     ended_attempts: EndedAttempts = field(default_factory=EndedAttempts)
     retained: Retained = field(default_factory=Retained)
-    running: dict[Name, Assignment] = field(default_factory=dict)
-    dirty: dict[Name, Assignment] = field(default_factory=dict)
+    running: dict[AttemptId, Assignment] = field(default_factory=dict)
+    dirty: dict[AttemptId, Assignment] = field(default_factory=dict)
     """Assignments with something to send."""
-    orphans: dict[Name, Assignment] = field(default_factory=dict)
+    orphans: dict[AttemptId, Assignment] = field(default_factory=dict)
     """Open assignments that no link leads to."""
     entries: set[str] = field(default_factory=set)
     state: events.UpstreamRead | None = None
@@ -104,48 +104,53 @@
 
     def add(self, assignment: Assignment) -> None:
         """Take work on."""
-        name, work = assignment.name, assignment.offer.work
-        self.assignments[name] = assignment
-        self.join(name, assignment)
+        attempt_id, work = assignment.attempt_id, assignment.offer.work
+        self.assignments[attempt_id] = assignment
+        self.join(attempt_id, assignment)
         if work.key:
-            self.keys[work.team, work.key] = name
+            self.keys[work.team, work.key] = attempt_id
 
-    def join(self, name: Name, assignment: Assignment) -> None:
+    def join(self, attempt_id: AttemptId, assignment: Assignment) -> None:
         """Let a request and attempt stand for an assignment."""
-        self.names[name] = assignment.name
-        assignment.names.add(name)
+        self.assignment_ids[attempt_id] = assignment.attempt_id
+        assignment.attempt_ids.add(attempt_id)
 
     def leave(
-        self, name: Name, assignment: Assignment, ran: str, reason: str, now: float
+        self,
+        attempt_id: AttemptId,
+        assignment: Assignment,
+        ran: str,
+        reason: str,
+        now: float,
     ) -> None:
         """Let a request and attempt stand for an assignment no longer."""
-        assignment.answer.unsubscribe(*name)
-        assignment.names.discard(name)
-        self.names.pop(name, None)
-        self.ended_attempts.record(name, ran, reason, now)
+        assignment.answer.unsubscribe(*attempt_id)
+        assignment.attempt_ids.discard(attempt_id)
+        self.assignment_ids.pop(attempt_id, None)
+        self.ended_attempts.record(attempt_id, ran, reason, now)
 
-    def find(self, name: Name) -> Assignment | None:
+    def find(self, attempt_id: AttemptId) -> Assignment | None:
         """Find the assignment that a request and attempt stands for."""
-        known = self.names.get(name)
+        known = self.assignment_ids.get(attempt_id)
         return None if known is None else self.assignments[known]
 
     def end(self, assignment: Assignment, now: float) -> None:
         """Take note that an answer has its end."""
-        self.running.pop(assignment.name, None)
-        self.orphans.pop(assignment.name, None)
+        self.running.pop(assignment.attempt_id, None)
+        self.orphans.pop(assignment.attempt_id, None)
         assignment.ended = now
-        self.dirty[assignment.name] = assignment
+        self.dirty[assignment.attempt_id] = assignment
         self.retained.add(assignment)
 
     def remove(self, assignment: Assignment, reason: str, now: float) -> None:
-        """Keep of an assignment only the names, and whether it may have run."""
-        name = assignment.name
+        """Keep of an assignment only the attempt_ids, and whether it may have run."""
+        assignment_id = assignment.attempt_id
         ran = Ran.NO if assignment.started is None else Ran.UNKNOWN
-        for one in list(assignment.names):
-            self.leave(one, assignment, ran, reason, now)
+        for attempt_id in list(assignment.attempt_ids):
+            self.leave(attempt_id, assignment, ran, reason, now)
         for table in (self.assignments, self.running, self.dirty, self.orphans):
-            table.pop(name, None)
+            table.pop(assignment_id, None)
         self.retained.remove(assignment)
         key = assignment.offer.work.team, assignment.offer.work.key
-        if self.keys.get(key) == name:
+        if self.keys.get(key) == assignment_id:
             del self.keys[key]
--- a/tests/agent/test_names.py
+++ b/tests/agent/test_names.py
@@ -141,7 +141,7 @@
     driver.offer(make_text())
     driver.complete("r")
     driver.receive(Ack("r", 1, 0))
-    assert not driver.core.assignments and not driver.core.names
+    assert not driver.core.assignments and not driver.core.assignment_ids
 
 
 def test_confirmation_before_the_end_drops_nothing(driver: Driver) -> None:
@@ -175,6 +175,12 @@
         driver.receive(Cancel(f"c{number}", 1))
     driver.pass_time(RETAIN_SECONDS + ATTEMPT_RETENTION_SECONDS + 2)
     core = driver.core
-    kept = core.assignments, core.names, core.keys, core.ended_attempts, core.dirty
+    kept = (
+        core.assignments,
+        core.assignment_ids,
+        core.keys,
+        core.ended_attempts,
+        core.dirty,
+    )
     assert not any(map(len, kept))
     assert core.retained.bytes == 0
--- a/tests/entry/world.py
+++ b/tests/entry/world.py
@@ -412,7 +412,7 @@
         for core in self.agents.values():
             kept = (
                 core.assignments,
-                core.names,
+                core.assignment_ids,
                 core.keys,
                 core.ended_attempts,
                 core.queue,
