--- a/radishtally/agent/__init__.py
+++ b/radishtally/agent/__init__.py
@@ -1,1 +1,1 @@
-"""Stand beside one upstream: admit, queue, run and keep answers."""
+"""Agent of one upstream: admit, queue and run work, and retain its answers."""
--- a/radishtally/agent/admission.py
+++ b/radishtally/agent/admission.py
@@ -1,10 +1,10 @@
-"""Take offered work on, join it to what is there, or refuse it."""
+"""Admission of offered work: accept it, attach it to an existing answer or refuse."""
 
 from collections.abc import Iterator
 
 from radishtally.agent import events
 from radishtally.agent.answers import Answer, Assignment, AttemptId, hash_body
-from radishtally.agent.const import LEAVING_RETRY_SECONDS, REASON_NOT_READY
+from radishtally.agent.const import REASON_NOT_READY, REFUSAL_RETRY_SECONDS
 from radishtally.agent.events import Command, Send
 from radishtally.agent.state import AgentCore
 from radishtally.limits.queue import Job
@@ -27,33 +27,36 @@
 def refuse(
     attempt_id: AttemptId, host: str, reason: str, core: AgentCore, now: float
 ) -> Command:
-    """Say that work did not start here and won't."""
-    message = Refused(*attempt_id, reason, LEAVING_RETRY_SECONDS, core.load(now))
+    """Make a refusal, which states that the attempt has not run and won't run here."""
+    message = Refused(*attempt_id, reason, REFUSAL_RETRY_SECONDS, core.load(now))
     return Send(host, message)
 
 
-def consider(offer: Offer, host: str, core: AgentCore, now: float) -> Iterator[Command]:
-    """Take new work on or refuse it."""
+def admit(offer: Offer, host: str, core: AgentCore, now: float) -> Iterator[Command]:
+    """Accept new work or refuse it."""
     attempt_id = offer.work.request, offer.attempt
     if core.drains:
         yield refuse(attempt_id, host, LEAVING, core, now)
         return
-    if core.state is None or not core.state.ready:
+    if core.upstream_state is None or not core.upstream_state.ready:
         yield refuse(attempt_id, host, REASON_NOT_READY, core, now)
         return
     job = _make_job(offer, now)
-    if _is_complete(offer):
-        yield from _end_complete(offer, job, host, core, now)
+    if _has_all_tokens(offer):
+        yield from _end_without_run(offer, job, host, core, now)
         return
     outcome = core.queue.admit(job, core.rates(), core.running_work(), now)
-    _count(core, job, outcome.is_ok())
+    _count_admission(core, job, outcome.is_ok())
     if outcome.is_error():
-        room = outcome.error
+        rejection = outcome.error
         yield Send(
-            host, Refused(*attempt_id, room.reason, room.retry_after, core.load(now))
+            host,
+            Refused(
+                *attempt_id, rejection.reason, rejection.retry_after, core.load(now)
+            ),
         )
         return
-    _take_on(offer, job, host, core)
+    _accept(offer, job, host, core)
     yield Send(host, Accepted(*attempt_id, outcome.ok))
 
 
@@ -73,17 +76,18 @@
     )
 
 
-def _is_complete(offer: Offer) -> bool:
-    """Tell whether earlier attempts gave all tokens and only their end was lost."""
+def _has_all_tokens(offer: Offer) -> bool:
+    """Return whether earlier attempts produced all tokens and only the end was lost."""
     is_call = offer.work.kind == CALL
     return not is_call and 0 < offer.work.max_tokens <= offer.tokens_done
 
 
-def _end_complete(
+def _end_without_run(
     offer: Offer, job: Job, host: str, core: AgentCore, now: float
 ) -> Iterator[Command]:
-    # An engine takes no request for less than one token: it would give one too many.
-    assignment = _take_on(offer, job, host, core)
+    # An engine can't be asked for less than one token, so it would generate one token
+    # too many.
+    assignment = _accept(offer, job, host, core)
     attempt_id = assignment.attempt_id
     counts = job.prompt_tokens, offer.tokens_done
     end = events.Completed(*attempt_id, 200, "length", *counts, (), 0.0)
@@ -93,7 +97,7 @@
     core.end(assignment, now)
 
 
-def _take_on(offer: Offer, job: Job, host: str, core: AgentCore) -> Assignment:
+def _accept(offer: Offer, job: Job, host: str, core: AgentCore) -> Assignment:
     answer = Answer(bytearray(offer.done), offer.tokens_done)
     assignment = Assignment(offer, job, hash_body(offer), answer)
     answer.subscribe(host, *assignment.attempt_id, len(offer.done))
@@ -101,7 +105,7 @@
     return assignment
 
 
-def _count(core: AgentCore, job: Job, accepted: bool) -> None:
+def _count_admission(core: AgentCore, job: Job, accepted: bool) -> None:
     prompt, output, requests, refused = core.counts
     if not accepted:
         core.counts = WorkCounters(prompt, output, requests, refused + 1)
@@ -118,55 +122,56 @@
     offset: int,
     core: AgentCore,
 ) -> Iterator[Command]:
-    """Send an answer to an entry from an offset on."""
+    """Subscribe an entry to an answer and send it from the offset on."""
     assignment.answer.subscribe(host, *attempt_id, offset)
-    assignment.orphaned = None
+    assignment.orphaned_at = None
     core.orphans.pop(assignment.attempt_id, None)
-    core.join(attempt_id, assignment)
+    core.add_attempt(attempt_id, assignment)
     yield Send(
         host, Accepted(*attempt_id, 0.0, attached=assignment.attempt_id != attempt_id)
     )
-    yield from send_rest(assignment)
+    yield from send_unsent(assignment)
 
 
-def join(
+def attach_repeat(
     offer: Offer, assignment: Assignment, host: str, core: AgentCore, now: float
 ) -> Iterator[Command]:
-    """Answer a repeated key from the answer that is there or on its way."""
+    """Answer a repeated idempotency key with the existing or running answer."""
     attempt_id = offer.work.request, offer.attempt
     if assignment.body_hash != hash_body(offer):
         yield refuse(attempt_id, host, KEY_REUSED, core, now)
         return
     if not _is_joinable(assignment, offer):
-        yield from consider(offer, host, core, now)
+        yield from admit(offer, host, core, now)
         return
     yield from attach(assignment, attempt_id, host, len(offer.done), core)
 
 
 def _is_joinable(assignment: Assignment, offer: Offer) -> bool:
-    """Tell whether an answer can be that of another offer with its key."""
+    """Return whether an answer can serve another offer with the same key."""
     answer = assignment.answer
     if isinstance(answer.end, Lost | Handover):
-        # A call that may have run is not run again, whoever granted it; its repeat is
-        # told of the loss as the first one was.
+        # A call that may have run is not run again, even if its claim was granted. Its
+        # repeat gets the same report of the loss as the first attempt.
         ran = answer.end.ran if isinstance(answer.end, Lost) else Ran.UNKNOWN
         return not offer.work.idempotent and ran != Ran.NO
-    # A caller that has a part of another run's answer can only have its own rest.
+    # The caller may already have a part of an answer. Another run's answer serves it
+    # only if it begins with the same bytes.
     return answer.data.startswith(offer.done)
 
 
-def send_rest(assignment: Assignment) -> Iterator[Command]:
-    """Send each subscriber what it has not been sent."""
+def send_unsent(assignment: Assignment) -> Iterator[Command]:
+    """Send each subscriber the parts, and the end, that it has not been sent yet."""
     for subscriber in assignment.answer.subscribers:
-        for chunk in assignment.answer.read_new(subscriber):
+        for chunk in assignment.answer.read_unsent(subscriber):
             yield Send(subscriber.host, chunk)
-        end = assignment.answer.read_end(subscriber)
+        end = assignment.answer.make_end(subscriber)
         if end is not None:
             yield Send(subscriber.host, end)
 
 
 def make_finished(assignment: Assignment, event: events.Completed) -> Finished:
-    """Make the message that ends a whole answer."""
+    """Make the message that ends a completed answer."""
     answer = assignment.answer
     return Finished(
         *assignment.attempt_id,
@@ -174,7 +179,7 @@
         answer.checksum(),
         event.status,
         event.finish_reason,
-        # The engine counts the part that was already given as prompt.
+        # The engine counts the tokens of earlier attempts as part of the prompt.
         max(0, event.prompt_tokens - assignment.offer.tokens_done),
         answer.tokens,
         event.headers,
--- a/radishtally/agent/core.py
+++ b/radishtally/agent/core.py
@@ -1,29 +1,29 @@
-"""Decide what the agent does: admission, order of work, answers, leaving."""
+"""Core of the agent: admission, starting work, answers and drains."""
 
 from collections.abc import Iterator
 from functools import singledispatch
 
 from radishtally.agent import events
 from radishtally.agent.admission import (
+    admit,
     attach,
-    consider,
-    join,
+    attach_repeat,
     make_finished,
     refuse,
-    send_rest,
+    send_unsent,
 )
 from radishtally.agent.answers import Assignment, AttemptId
 from radishtally.agent.const import (
-    DELIVER_SECONDS,
-    FLUSH_SECONDS,
-    LATENCY_WEIGHT,
-    ORPHAN_SECONDS,
+    DELIVERY_TIMEOUT_SECONDS,
+    FLUSH_INTERVAL_SECONDS,
+    LATENCY_EWMA_WEIGHT,
+    ORPHAN_GRACE_SECONDS,
     REASON_CANCELLED,
-    REASON_NOT_MET,
+    REASON_DEADLINE,
 )
 from radishtally.agent.events import Command, Event, Send
 from radishtally.agent.retention import EndedAttempt
-from radishtally.agent.state import AgentCore, DrainInForce
+from radishtally.agent.state import ActiveDrain, AgentCore
 from radishtally.links.messages import (
     CALL,
     LEAVING,
@@ -47,7 +47,7 @@
 
 
 def handle_event(event: Event, core: AgentCore, now: float) -> list[Command]:
-    """Take one event and give the commands that follow from it."""
+    """Handle one event and return the resulting commands."""
     commands = list(_handle(event, core, now))
     commands += _start_ready(core, now)
     commands += _flush(core, now)
@@ -58,7 +58,7 @@
 
 @singledispatch
 def _handle(event: Event, core: AgentCore, now: float) -> Iterator[Command]:
-    raise TypeError(f"no handler for {type(event)}")
+    raise TypeError(f"no handler for an event of type {type(event)}")
 
 
 @_handle.register
@@ -85,8 +85,8 @@
 
 @_handle.register
 def _(event: events.UpstreamRead, core: AgentCore, now: float) -> Iterator[Command]:
-    was_ready = core.state is not None and core.state.ready
-    core.state = event
+    was_ready = core.upstream_state is not None and core.upstream_state.ready
+    core.upstream_state = event
     if was_ready == event.ready:
         return
     for host in sorted(core.entries):
@@ -112,15 +112,16 @@
         return
     work, answer = assignment.offer.work, assignment.answer
     if work.kind == CALL:
-        core.latency += LATENCY_WEIGHT * (event.seconds - core.latency)
+        core.latency += LATENCY_EWMA_WEIGHT * (event.seconds - core.latency)
     elif event.status != 200 and answer.data:
-        # Put under a part that the caller has, the refusal would pass for the rest.
+        # The caller already has a part of the answer, and the text of the refusal would
+        # be taken for the rest of it.
         answer.end = _make_lost(assignment, Ran.UNKNOWN, "the engine did not go on")
         core.end(assignment, now)
         return
     is_part = assignment.offer.stage == PREFILL and event.finish_reason == "length"
     if is_part and answer.tokens < work.max_tokens:
-        if not assignment.leaving:
+        if not assignment.is_exporting:
             yield from _export(assignment)
         return
     answer.end = make_finished(assignment, event)
@@ -132,7 +133,7 @@
     assignment = core.running.get((event.request, event.attempt))
     if assignment is None:
         return
-    if assignment.leaving:
+    if assignment.is_exporting:
         _hand_over(assignment, None, core, now)
         return
     assignment.answer.end = _make_lost(assignment, event.ran, event.reason)
@@ -150,13 +151,13 @@
 
 @_handle.register
 def _(event: events.Drain, core: AgentCore, now: float) -> Iterator[Command]:
-    core.drains[event.reason] = DrainInForce(event, now + event.seconds)
+    core.drains[event.reason] = ActiveDrain(event, now + event.seconds)
     for host in sorted(core.entries):
         if event.final:
             yield Send(host, Leaving(core.host, event.reason))
         yield Send(host, core.load(now))
     for job in core.queue.drain():
-        yield from _give_back((job.request, job.attempt), LEAVING, core, now)
+        yield from _refuse_accepted((job.request, job.attempt), LEAVING, core, now)
 
 
 @_handle.register
@@ -171,12 +172,14 @@
 @_handle.register
 def _(event: events.Tick, core: AgentCore, now: float) -> Iterator[Command]:
     for job in core.queue.expire(core.rates(), core.running_work(), now):
-        yield from _give_back((job.request, job.attempt), REASON_NOT_MET, core, now)
-    yield from _hand_over_late(core, now)
+        yield from _refuse_accepted(
+            (job.request, job.attempt), REASON_DEADLINE, core, now
+        )
+    yield from _hand_over_overdue(core, now)
     yield from _drop_orphans(core, now)
-    for assignment in core.retained.list_old(now):
+    for assignment in core.retained.list_evictable(now):
         core.remove(assignment, NOT_KNOWN, now)
-    core.ended_attempts.forget_old(now)
+    core.ended_attempts.evict_expired(now)
 
 
 @singledispatch
@@ -204,9 +207,9 @@
         return
     known = core.keys.get((message.work.team, message.work.key))
     if message.work.key and known is not None:
-        yield from join(message, core.assignments[known], host, core, now)
+        yield from attach_repeat(message, core.assignments[known], host, core, now)
         return
-    yield from consider(message, host, core, now)
+    yield from admit(message, host, core, now)
 
 
 @_receive.register
@@ -218,8 +221,8 @@
         return
     ended = core.ended_attempts.get(attempt_id)
     if ended is None:
-        # Every attempt that was taken on is remembered for long, so this one's offer
-        # did not come. From now on it can't be begun here, however late it comes.
+        # Every accepted attempt is remembered, so this one's offer has not arrived.
+        # Recording it ensures that a late offer is refused.
         core.ended_attempts.record(attempt_id, Ran.NO, NOT_KNOWN, now)
         ended = core.ended_attempts.get(attempt_id)
     if ended.reason == LEAVING:
@@ -233,8 +236,8 @@
     attempt_id = message.request, message.attempt
     assignment = core.find(attempt_id)
     if assignment is None:
-        # The offer may still be on its way, held up in a slow link. It is refused
-        # when it comes, so that "not run" stays true.
+        # The offer may still be delayed in a slow link. Recording the attempt ensures
+        # that a late offer is refused, so that "not run" stays true.
         ended = core.ended_attempts.get(attempt_id)
         ran = Ran.NO if ended is None else ended.ran
         core.ended_attempts.record(attempt_id, ran, REASON_CANCELLED, now)
@@ -242,18 +245,18 @@
         return
     work = assignment.offer.work
     if assignment.started is not None and not work.idempotent:
-        # The call may be half done: it is left to end. Its entry may still come for
-        # its outcome, and a repeat of its key too.
+        # The call may be half done, so it is not interrupted. Its entry, or a repeat of
+        # its key, may still ask for the outcome.
         yield Send(host, Cancelled(*attempt_id, Ran.UNKNOWN))
         return
     shared = len(assignment.attempt_ids) > 1
     ran = Ran.UNKNOWN if shared or assignment.started is not None else Ran.NO
-    core.leave(attempt_id, assignment, ran, REASON_CANCELLED, now)
+    core.remove_attempt(attempt_id, assignment, ran, REASON_CANCELLED, now)
     yield Send(host, Cancelled(*attempt_id, ran))
     if shared:
         _check_orphan(assignment, core, now)
         return
-    yield from _stop_unwanted(assignment, core, now)
+    yield from _cancel_unwanted(assignment, core, now)
 
 
 @_receive.register
@@ -272,16 +275,16 @@
 def _answer_ended(
     attempt_id: AttemptId, ended: EndedAttempt, host: str, core: AgentCore, now: float
 ) -> Command:
-    """Answer an offer that comes after its attempt is over."""
+    """Answer a late offer, whose attempt has already ended."""
     if ended.ran == Ran.NO:
         return refuse(attempt_id, host, ended.reason, core, now)
     return Send(host, Lost(*attempt_id, ended.ran, ended.reason, 0))
 
 
-def _give_back(
+def _refuse_accepted(
     attempt_id: AttemptId, reason: str, core: AgentCore, now: float
 ) -> Iterator[Command]:
-    """Tell the entries of accepted work that it did not start and won't."""
+    """Refuse accepted work that has not started, and remove it."""
     assignment = core.assignments[attempt_id]
     for subscriber in assignment.answer.subscribers:
         one = subscriber.request, subscriber.attempt
@@ -289,10 +292,10 @@
     core.remove(assignment, reason, now)
 
 
-def _stop_unwanted(
+def _cancel_unwanted(
     assignment: Assignment, core: AgentCore, now: float
 ) -> Iterator[Command]:
-    """End work that nobody waits for; an answer with a key is kept for a repeat."""
+    """Remove work without subscribers, unless it is an ended answer with a key."""
     if assignment.ended is not None and assignment.offer.work.key:
         return
     if assignment.ended is None and not core.queue.remove(*assignment.attempt_id):
@@ -301,9 +304,9 @@
 
 
 def _start_ready(core: AgentCore, now: float) -> Iterator[Command]:
-    if core.state is None or not core.state.ready or core.drains:
+    if core.upstream_state is None or not core.upstream_state.ready or core.drains:
         return
-    while len(core.running) < core.state.slots:
+    while len(core.running) < core.upstream_state.slots:
         job = core.queue.pop_next(now)
         if job is None:
             return
@@ -315,12 +318,12 @@
 
 def _flush(core: AgentCore, now: float) -> Iterator[Command]:
     for attempt_id, assignment in list(core.dirty.items()):
-        waits = now - assignment.last_flush < FLUSH_SECONDS
+        waits = now - assignment.last_flush < FLUSH_INTERVAL_SECONDS
         if waits and assignment.ended is None:
             continue
         del core.dirty[attempt_id]
         assignment.last_flush = now
-        yield from send_rest(assignment)
+        yield from send_unsent(assignment)
 
 
 def _make_lost(assignment: Assignment, ran: str, reason: str) -> Lost:
@@ -328,7 +331,7 @@
 
 
 def _export(assignment: Assignment) -> Iterator[Command]:
-    assignment.leaving = True
+    assignment.is_exporting = True
     yield events.Export(*assignment.attempt_id)
 
 
@@ -342,40 +345,41 @@
     core.end(assignment, now)
 
 
-def _hand_over_late(core: AgentCore, now: float) -> Iterator[Command]:
-    if now < core.drain_ends:
+def _hand_over_overdue(core: AgentCore, now: float) -> Iterator[Command]:
+    if now < core.handover_time:
         return
     for assignment in core.running.values():
-        # A call can't be moved: it is waited for, since cutting it would leave its
-        # caller without an outcome.
-        if not assignment.leaving and assignment.offer.work.kind != CALL:
+        # A call can't be moved, and interrupting it would leave its caller without an
+        # outcome, so it is left to finish.
+        if not assignment.is_exporting and assignment.offer.work.kind != CALL:
             yield from _export(assignment)
 
 
 def _is_empty(core: AgentCore, now: float) -> bool:
-    """Tell whether the upstream, and where the process ends its entries, are done."""
+    """Return whether no work is left and, when stopping, all ends are delivered."""
     if core.running or len(core.queue):
         return False
-    # An answer whose end a broken link took along is had again over the next one, but
-    # not from a process that has ended: the entry would take a whole answer for lost.
+    # If a link breaks, an entry gets the lost end of an answer over its next link. Once
+    # the process has exited it can't, and would treat a whole answer as lost.
     return not core.is_stopping or all(
-        a.delivered or now - a.ended > DELIVER_SECONDS for a in core.retained
+        a.delivered or now - a.ended > DELIVERY_TIMEOUT_SECONDS for a in core.retained
     )
 
 
 def _check_orphan(assignment: Assignment, core: AgentCore, now: float) -> None:
     is_open = assignment.ended is None
-    if is_open and not assignment.answer.subscribers and assignment.orphaned is None:
-        assignment.orphaned = now
+    if is_open and not assignment.answer.subscribers and assignment.orphaned_at is None:
+        assignment.orphaned_at = now
         core.orphans[assignment.attempt_id] = assignment
 
 
 def _drop_orphans(core: AgentCore, now: float) -> Iterator[Command]:
     for assignment in list(core.orphans.values()):
         work = assignment.offer.work
-        # With a key the caller may come back through another entry, until the time
-        # it gave is over. A call that may not run twice has begun or soon will.
-        since = assignment.job.deadline if work.key else assignment.orphaned
-        late = now - max(since, assignment.orphaned) > ORPHAN_SECONDS
+        # A caller with an idempotency key may return through another entry until its
+        # deadline. A call that may not run twice is never dropped, because it has
+        # started or soon will.
+        since = assignment.job.deadline if work.key else assignment.orphaned_at
+        late = now - max(since, assignment.orphaned_at) > ORPHAN_GRACE_SECONDS
         if work.idempotent and late:
-            yield from _stop_unwanted(assignment, core, now)
+            yield from _cancel_unwanted(assignment, core, now)
--- a/radishtally/agent/daemon.py
+++ b/radishtally/agent/daemon.py
@@ -1,4 +1,4 @@
-"""Run the agent's core: turn links and upstream into events, commands into calls."""
+"""Run the agent's core: feed it events and execute its commands."""
 
 import asyncio
 import time
@@ -8,7 +8,7 @@
 from eliot import log_message
 
 from radishtally.agent import events
-from radishtally.agent.const import STATE_SECONDS
+from radishtally.agent.const import STATE_POLL_SECONDS
 from radishtally.agent.core import AgentCore, handle_event
 from radishtally.agent.engine import Engine, EngineState
 from radishtally.agent.orders import DrainFollower, OrderDriver
@@ -27,7 +27,7 @@
 
 
 class AgentDaemon:
-    """Hold one agent's parts together."""
+    """Connect the agent's core to its links, upstream, drains and orders."""
 
     def __init__(self, settings: Settings) -> None:
         self.process = Process(settings)
@@ -42,7 +42,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until a planned stop."""
+        """Serve until the process is stopped."""
         upstream = self.settings.upstream
         is_engine = upstream.kind == "engine"
         self.upstream: Engine | Service = (
@@ -63,7 +63,7 @@
         if self.orders is not None:
             await self.orders.stop()
         if not self.process.broken:
-            await self._leave()
+            await self._drain_and_flush()
         self.waker.stop()
         await self.upstream.close()
         await self.process.unload()
@@ -77,24 +77,25 @@
         self.orders.start()
 
     def find_drain_seconds(self) -> float:
-        """Give the time that running answers get before they are handed over."""
+        """Return the seconds that running answers get before they are handed over."""
         current = self.process.keeper.current
         if current is None:
             return self.settings.stop_seconds / 2
         return current.configuration.policy.drain_seconds
 
     def handle(self, event: events.Event) -> None:
-        """Give the core an event and carry out its commands."""
+        """Handle an event in the core and execute the resulting commands."""
         with self.process.guard():
             for command in handle_event(event, self.core, time.monotonic()):
                 self._execute(command)
             self.waker.wake_at(self.core.next_wake(time.monotonic()))
 
-    async def _leave(self) -> None:
-        """Leave in good order: no new work, queue given back, running work out."""
+    async def _drain_and_flush(self) -> None:
+        """Drain the agent for its stop and wait until the answers are delivered."""
         log_message("agent:leaving")
-        # The port stays taken: an entry whose link breaks now comes back for the rest
-        # of its answers, and no other agent may order the engine before this one ends.
+        # The port stays open so that an entry whose link breaks now can reconnect for
+        # the rest of its answers, and so that no other agent sends orders to the engine
+        # before this one has ended.
         self.drained.clear()
         seconds = min(self.find_drain_seconds(), self.settings.stop_seconds / 2)
         self.handle(events.Drain("stopping", seconds, final=True))
@@ -106,10 +107,10 @@
             log_message("agent:stopped_with_work", running=len(self.core.running))
 
     async def _flush_links(self) -> None:
-        """Wait until the entries have the ends of their answers.
+        """Wait until the entries have received the ends of their answers.
 
-        What only the kernel has is lost if the process ends with bytes unread: it
-        resets the connection then, and the entry would take a whole answer for cut.
+        If the process exits with unread input, the kernel resets the connection and
+        drops unsent output, and the entry would treat a whole answer as cut.
         """
         self.process.hub.flush()
         while not self.process.hub.is_flushed():
@@ -117,7 +118,7 @@
 
     @singledispatchmethod
     def _execute(self, command: events.Command) -> None:
-        raise TypeError(f"no way to carry out {type(command)}")
+        raise TypeError(f"no handler for a command of type {type(command)}")
 
     @_execute.register
     def _(self, command: events.Send) -> None:
@@ -157,7 +158,7 @@
         if self.process.handle_common_message(host, message):
             return
         if isinstance(message, Hint):
-            self._take_hint(message)
+            self._handle_hint(message)
             return
         if isinstance(message, Offer):
             attempt_id = message.work.request, message.attempt
@@ -166,7 +167,7 @@
             )
         self.handle(events.Received(host, message))
 
-    def _take_hint(self, hint: Hint) -> None:
+    def _handle_hint(self, hint: Hint) -> None:
         if hint.pk == DRAIN:
             self.drains.hint()
         elif hint.pk == PLAN and self.orders is not None:
@@ -178,20 +179,20 @@
     async def _watch_engine(self) -> None:
         while True:
             outcome = await self.upstream.read_state()
-            self.upstream.drop_silent(time.monotonic())
+            self.upstream.abort_silent_streams(time.monotonic())
             state = outcome.ok if outcome.is_ok() else None
             self.handle(_describe_engine(state))
-            await asyncio.sleep(STATE_SECONDS)
+            await asyncio.sleep(STATE_POLL_SECONDS)
 
     async def _watch_service(self) -> None:
         while True:
             up = await self.upstream.is_up()
             self.handle(
-                events.UpstreamRead(up, self._find_slots(), 0, 0, "mixed", "", "", ())
+                events.UpstreamRead(up, self._get_slots(), 0, 0, "mixed", "", "", ())
             )
-            await asyncio.sleep(STATE_SECONDS)
+            await asyncio.sleep(STATE_POLL_SECONDS)
 
-    def _find_slots(self) -> int:
+    def _get_slots(self) -> int:
         current = self.process.keeper.current
         if current is None:
             return DEFAULT_SLOTS
--- a/radishtally/agent/engine.py
+++ b/radishtally/agent/engine.py
@@ -1,4 +1,4 @@
-"""Speak to a model engine."""
+"""Client of a model engine."""
 
 import asyncio
 import time
@@ -11,10 +11,10 @@
 
 from radishtally.agent import events
 from radishtally.agent.const import (
-    FIRST_TOKEN_SECONDS,
-    PREFILL_PATIENCE,
-    STREAM_SILENCE_SECONDS,
-    UPSTREAM_CONNECT_SECONDS,
+    CONNECT_TIMEOUT_SECONDS,
+    FIRST_TOKEN_TIMEOUT_SECONDS,
+    NEXT_TOKEN_TIMEOUT_SECONDS,
+    PREFILL_TIMEOUT_FACTOR,
 )
 from radishtally.agent.sse import Done, read_parts
 from radishtally.exchange import EXCHANGE_ERRORS
@@ -24,19 +24,20 @@
 
 CALL_TIMEOUT: Final = aiohttp.ClientTimeout(total=2.0)
 KV_TIMEOUT: Final = aiohttp.ClientTimeout(total=2.0)
-"""A prefill anew costs less than a longer wait for a host that may be gone."""
+"""Prefilling again costs less than waiting longer for a host that may be gone."""
 STREAM_TIMEOUT: Final = aiohttp.ClientTimeout(
-    total=None, sock_connect=UPSTREAM_CONNECT_SECONDS
+    total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
 )
 NOT_FOUND: Final = 404
-BUSY: Final = frozenset({408, 425, 429})
-"""Refusals that say nothing about the request itself."""
+RETRYABLE_STATUSES: Final = frozenset({408, 425, 429})
+"""Client error statuses that do not mean that the request itself is at fault."""
 MAX_LINE_BYTES: Final = 1024 * 1024
-PATHS: Final = {True: "/v1/chat/completions", False: "/v1/completions"}
+COMPLETION_PATHS: Final = {True: "/v1/chat/completions", False: "/v1/completions"}
+"""Paths for chats (true) and for plain completions (false)."""
 
 
 class EngineState(msgspec.Struct):
-    """Hold the engine's own word of what it is."""
+    """Hold the state that the engine reports."""
 
     role: str
     model: str
@@ -51,7 +52,7 @@
 
 
 class Engine:
-    """Run work at one engine and pass orders on."""
+    """Run work at one engine and send it orders."""
 
     def __init__(
         self, host: str, url: str, report: Callable[[events.Event], None]
@@ -59,24 +60,25 @@
         self._host = host
         self._url = url
         self._report = report
-        # A connection that is kept open may have gone silent since: work begun on it
-        # would wait out its whole patience. A new one beside the engine costs little.
+        # A connection that is kept open may have been dropped silently, and work sent
+        # on it would wait until its time-out. A new connection to an engine on the
+        # same host costs little.
         self._session = aiohttp.ClientSession(
             read_bufsize=MAX_LINE_BYTES,
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
         )
         self._tasks = AttemptTasks()
-        self._patience: dict[tuple[str, int], float] = {}
-        """Time until which each running attempt's next token is waited for."""
+        self._token_deadlines: dict[tuple[str, int], float] = {}
+        """Time by which each running attempt must produce its next token."""
         self._prefill_rate = float("inf")
 
     async def close(self) -> None:
-        """End all work and connections."""
+        """Cancel all work and close all connections."""
         self._tasks.cancel_all()
         await self._session.close()
 
     async def read_state(self) -> Result[EngineState, Fault]:
-        """Ask the engine what it is."""
+        """Read the engine's state."""
         try:
             async with self._session.get(
                 f"{self._url}/state", timeout=CALL_TIMEOUT
@@ -91,7 +93,7 @@
         return Ok(state)
 
     async def order(self, body: dict[str, Any]) -> Result[tuple[int, Any], Fault]:
-        """Give an order; tell the status and the engine's words."""
+        """Send an order; return the status and the body of the engine's answer."""
         try:
             async with self._session.post(
                 f"{self._url}/orders", json=body, timeout=CALL_TIMEOUT
@@ -101,35 +103,35 @@
             return Error(Fault(repr(error), self._url))
 
     def run(self, offer: Offer) -> None:
-        """Begin work; what comes of it is reported as events."""
+        """Start work; its results are reported as events."""
         self._tasks.start(offer.work.request, offer.attempt, self._run(offer))
 
     def abort(self, request: str, attempt: int) -> None:
-        """End work without an outcome."""
+        """Cancel work without reporting an outcome."""
         self._tasks.cancel(request, attempt)
         self._tasks.spawn_detached(self._cancel(request, attempt))
 
-    def drop_silent(self, now: float) -> None:
-        """Give up streams whose tokens have stopped coming.
+    def abort_silent_streams(self, now: float) -> None:
+        """Abort streams that have not produced a token in time.
 
-        A connection that something between the ends has lost track of gives no error,
-        only silence: its answer would wait for its deadline. The rest is generated
-        elsewhere. The first token gets several times what its prefill should take.
+        A connection that a device between its ends has dropped gives no error, only
+        silence, and its answer would wait until its deadline. The rest is generated
+        elsewhere. The first token gets several times the expected prefill time.
         """
-        for attempt_id, until in list(self._patience.items()):
-            if now <= until:
+        for attempt_id, deadline in list(self._token_deadlines.items()):
+            if now <= deadline:
                 continue
-            del self._patience[attempt_id]
+            del self._token_deadlines[attempt_id]
             self.abort(*attempt_id)
             reason = "the engine's stream went silent"
             self._report(events.Failed(*attempt_id, Ran.UNKNOWN, reason))
 
-    def _find_first_patience(self, offer: Offer) -> float:
+    def _get_first_token_timeout(self, offer: Offer) -> float:
         prefill = (offer.work.prompt_tokens + offer.tokens_done) / self._prefill_rate
-        return FIRST_TOKEN_SECONDS + PREFILL_PATIENCE * prefill
+        return FIRST_TOKEN_TIMEOUT_SECONDS + PREFILL_TIMEOUT_FACTOR * prefill
 
     def export(self, request: str, attempt: int) -> None:
-        """End work in good order and keep its KV cache for another engine."""
+        """Stop work and export its KV cache for another engine."""
         task = self._tasks.pop(request, attempt)
         self._tasks.spawn_detached(self._export(request, attempt, task))
 
@@ -137,12 +139,14 @@
         attempt_id = offer.work.request, offer.attempt
         ran = Ran.NO
         started = time.monotonic()
-        self._patience[attempt_id] = started + self._find_first_patience(offer)
+        self._token_deadlines[attempt_id] = started + self._get_first_token_timeout(
+            offer
+        )
         try:
             kv = await self._import_kv(offer.kv)
             body = make_engine_body(offer, kv)
             headers = {"X-Request-Id": make_engine_id(*attempt_id)}
-            path = PATHS[offer.work.kind == CHAT]
+            path = COMPLETION_PATHS[offer.work.kind == CHAT]
             async with self._session.post(
                 self._url + path, json=body, headers=headers, timeout=STREAM_TIMEOUT
             ) as response:
@@ -151,16 +155,16 @@
                         self._report(event)
                     return
                 ran = Ran.UNKNOWN
-                await self._read(attempt_id, response, started)
+                await self._read_stream(attempt_id, response, started)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             self._report(events.Failed(*attempt_id, Ran.NO, repr(error)))
         except EXCHANGE_ERRORS as error:
             ran = Ran.UNKNOWN if not isinstance(error, ValueError) else ran
             self._report(events.Failed(*attempt_id, ran, repr(error)))
         finally:
-            self._patience.pop(attempt_id, None)
+            self._token_deadlines.pop(attempt_id, None)
 
-    async def _read(
+    async def _read_stream(
         self,
         attempt_id: tuple[str, int],
         response: aiohttp.ClientResponse,
@@ -171,13 +175,15 @@
             if isinstance(part, Done):
                 break
             if part.text:
-                self._patience[attempt_id] = time.monotonic() + STREAM_SILENCE_SECONDS
+                self._token_deadlines[attempt_id] = (
+                    time.monotonic() + NEXT_TOKEN_TIMEOUT_SECONDS
+                )
                 self._report(events.Produced(*attempt_id, part.text.encode(), 1))
             reason = part.finish_reason or reason
             if part.usage is not None:
                 prompt_tokens = part.usage.prompt_tokens
                 output_tokens = part.usage.completion_tokens
-        # A stream that ends without a reason was cut, however proper its end looks.
+        # A stream without a finish reason was cut, even if it ended regularly.
         if reason is None:
             self._report(
                 events.Failed(*attempt_id, Ran.UNKNOWN, "the engine's stream was cut")
@@ -188,7 +194,7 @@
         self._report(events.Completed(*attempt_id, 200, reason, *counts, (), seconds))
 
     async def _import_kv(self, kv: KvRef | None) -> str | None:
-        """Fetch a KV cache; without it the engine prefills the prompt itself."""
+        """Copy a KV cache to the engine; return None if it must prefill the prompt."""
         if kv is None:
             return None
         try:
@@ -218,8 +224,8 @@
                 f"{self._url}/kv/export", json=body, timeout=CALL_TIMEOUT
             ) as response:
                 if response.status == 200:
-                    said = await response.json()
-                    handle, tokens = str(said["handle"]), int(said["tokens"])
+                    exported = await response.json()
+                    handle, tokens = str(exported["handle"]), int(exported["tokens"])
                     kv = KvRef(self._host, self._url, handle, tokens)
         except (aiohttp.ClientError, OSError, TimeoutError, KeyError, ValueError):
             kv = None
@@ -240,12 +246,12 @@
 
 
 def make_engine_id(request: str, attempt: int) -> str:
-    """AttemptId an attempt to the engine."""
+    """Make the id under which the engine knows an attempt."""
     return f"{request}-{attempt}"
 
 
 def make_engine_body(offer: Offer, kv_handle: str | None) -> dict[str, Any]:
-    """Make the body of the engine's request from the caller's and what is done."""
+    """Make the engine's request body, which asks for the rest of the answer only."""
     work = offer.work
     body = msgspec.json.decode(work.body, type=dict[str, Any])
     body["stream"] = True
@@ -262,11 +268,11 @@
     if transfer:
         body["kv_transfer_params"] = transfer
     if offer.done:
-        _add_done(body, offer)
+        _append_done_text(body, offer)
     return body
 
 
-def _add_done(body: dict[str, Any], offer: Offer) -> None:
+def _append_done_text(body: dict[str, Any], offer: Offer) -> None:
     done = offer.done.decode()
     if offer.work.kind == CHAT:
         messages = msgspec.convert(body.get("messages"), list[Any])
@@ -283,13 +289,13 @@
 ) -> list[events.Event]:
     body = await response.read()
     status = response.status
-    if status >= 500 or status in BUSY:
-        # Only a refusal that says so is taken as "did not start".
+    if status >= 500 or status in RETRYABLE_STATUSES:
+        # Only an explicit "not_started" means that the work did not run.
         ran = Ran.NO if b"not_started" in body else Ran.UNKNOWN
         return [events.Failed(*attempt_id, ran, f"engine answered {status}")]
     if status == NOT_FOUND:
         return [events.Failed(*attempt_id, Ran.NO, "model or adapter not loaded")]
-    # The request itself is at fault: another engine would say the same.
+    # The request itself is at fault, so another engine would refuse it too.
     return [events.Completed(*attempt_id, status, _read_message(body), 0, 0, (), 0.0)]
 
 
--- a/radishtally/agent/events.py
+++ b/radishtally/agent/events.py
@@ -1,4 +1,4 @@
-"""Events that the agent's core takes and commands that it gives."""
+"""Events that the agent's core handles and commands that it emits."""
 
 from typing import NamedTuple
 
@@ -6,26 +6,26 @@
 
 
 class LinkUp(NamedTuple):
-    """Say that a link to an entry is up."""
+    """Event: the link to an entry is up."""
 
     host: str
 
 
 class LinkDown(NamedTuple):
-    """Say that the link to an entry is gone."""
+    """Event: the link to an entry is down."""
 
     host: str
 
 
 class Received(NamedTuple):
-    """Bring a message from an entry."""
+    """Event: a message from an entry has arrived."""
 
     host: str
     message: Message
 
 
 class Produced(NamedTuple):
-    """Bring a part of an answer from the upstream."""
+    """Event: the upstream has produced a part of an answer."""
 
     request: str
     attempt: int
@@ -34,7 +34,7 @@
 
 
 class Completed(NamedTuple):
-    """Say that the upstream has given the whole answer."""
+    """Event: the upstream has produced the whole answer."""
 
     request: str
     attempt: int
@@ -47,7 +47,7 @@
 
 
 class Failed(NamedTuple):
-    """Say that the upstream failed."""
+    """Event: the attempt has failed at the upstream."""
 
     request: str
     attempt: int
@@ -56,7 +56,10 @@
 
 
 class Exported(NamedTuple):
-    """Say that the KV cache of a cut answer is ready, or could not be had."""
+    """Event: the export of an interrupted answer's KV cache has ended.
+
+    Without a KV cache, the next engine prefills the prompt again.
+    """
 
     request: str
     attempt: int
@@ -64,7 +67,7 @@
 
 
 class UpstreamRead(NamedTuple):
-    """Bring the upstream's state."""
+    """Event: the upstream's state has been read."""
 
     ready: bool
     slots: int
@@ -77,23 +80,23 @@
 
 
 class Drain(NamedTuple):
-    """Ask for an end to all work: none new, queued work back, running work out."""
+    """Event: stop accepting work, refuse the queue and finish or hand over the rest."""
 
     reason: str
     seconds: float
-    """Time that running answers get before they are handed over."""
+    """Time that running answers get to finish before they are handed over."""
     final: bool = False
-    """The process itself ends; only a new one takes work again."""
+    """Whether the process stops after this drain."""
 
 
 class Undrain(NamedTuple):
-    """Take back one drain; new work is taken once no other holds."""
+    """Event: end one drain; work is accepted again once no drain is active."""
 
     reason: str
 
 
 class Tick(NamedTuple):
-    """Say that time has passed."""
+    """Event: time has passed."""
 
 
 Event = (
@@ -112,34 +115,34 @@
 
 
 class Send(NamedTuple):
-    """Send a message to an entry."""
+    """Command: send a message to an entry."""
 
     host: str
     message: Message
 
 
 class Run(NamedTuple):
-    """Give work to the upstream."""
+    """Command: run work at the upstream."""
 
     offer: Offer
 
 
 class Abort(NamedTuple):
-    """End work at the upstream."""
+    """Command: abort work at the upstream."""
 
     request: str
     attempt: int
 
 
 class Export(NamedTuple):
-    """End work at the upstream in good order and keep its KV cache."""
+    """Command: stop work at the upstream and export its KV cache."""
 
     request: str
     attempt: int
 
 
 class Drained(NamedTuple):
-    """Say that no work is left."""
+    """Command: report that the drain is complete."""
 
 
 Command = Send | Run | Abort | Export | Drained
--- a/radishtally/agent/orders.py
+++ b/radishtally/agent/orders.py
@@ -1,4 +1,4 @@
-"""Carry out the planner's plans and the operators' drains for one host."""
+"""Apply the planner's plans and the operators' drains to one host."""
 
 import asyncio
 import time
@@ -21,25 +21,25 @@
 DRAIN_REASON: Final = "drained by an operator"
 CHANGE_REASON: Final = "change of the engine"
 DRAIN_POLL_SECONDS: Final = 10.0
-TAKEN_STATUSES: Final = (200, 202)
-STALE_STATUS: Final = 409
-BUSY_STATUS: Final = 423
+ORDER_ACCEPTED_STATUSES: Final = (200, 202)
+ORDER_STALE_STATUS: Final = 409
+ORDER_BUSY_STATUS: Final = 423
 
 
-class Work(Protocol):
-    """Be what the orders need of the agent."""
+class AgentControl(Protocol):
+    """Describe the part of the agent that drains and orders use."""
 
     def handle(self, event: events.Event) -> None:
-        """Take an event for the core."""
+        """Handle an event in the agent's core."""
 
     def find_drain_seconds(self) -> float:
-        """Give the time that running answers get before they are handed over."""
+        """Return the seconds that running answers get before they are handed over."""
 
 
 class DrainFollower:
-    """Follow whether the operators want the host to take no work."""
+    """Follow the operators' drain row of the host and drain the agent accordingly."""
 
-    def __init__(self, host: str, table: Table, agent: Work) -> None:
+    def __init__(self, host: str, table: Table, agent: AgentControl) -> None:
         self._host = host
         self._table = table
         self._agent = agent
@@ -47,23 +47,23 @@
         self._hinted = asyncio.Event()
 
     def hint(self) -> None:
-        """Read the row at once."""
+        """Read the drain row immediately."""
         self._hinted.set()
 
     async def run(self) -> None:
-        """Read the row from time to time; with the store away, keep its last word."""
+        """Poll the drain row; while the store is unavailable, keep the last value."""
         while True:
             self._hinted.clear()
             read = await self._table.get(make_drain_key(self._host))
             if read.is_ok():
                 drain = read_drain_row(read.ok) if read.ok is not None else None
-                self._take(drain is not None and drain.drained)
+                self._apply(drain is not None and drain.drained)
             try:
                 await asyncio.wait_for(self._hinted.wait(), DRAIN_POLL_SECONDS)
             except TimeoutError:
                 continue
 
-    def _take(self, drained: bool) -> None:
+    def _apply(self, drained: bool) -> None:
         if drained == self._drained:
             return
         self._drained = drained
@@ -76,7 +76,7 @@
 
 
 class OrderDriver(CoreDriver):
-    """Drive the order core of one engine."""
+    """Run the order core of one engine."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         plans: PlanStore,
         engine: Engine,
         audit: AuditLog,
-        agent: Work,
+        agent: AgentControl,
     ) -> None:
         self._host = host
         self._place = place
@@ -98,26 +98,26 @@
 
     @property
     def changing(self) -> bool:
-        """Tell whether the engine changes, or an order to it is under way."""
+        """Whether the engine is changing or an order to it is in flight."""
         return self._core.changing
 
     async def stop(self) -> None:
-        """Give no more orders; one that was sent is not taken back."""
+        """Send no more orders; an order that was sent is not revoked."""
         await self._cancel_all()
 
     def hint(self) -> None:
-        """Read the plan at once."""
+        """Read the plan immediately."""
         self._handle(orders.HintReceived())
 
     def drained(self) -> None:
-        """Say that the engine has no work left."""
+        """Notify the order core that the engine has no work left."""
         if self._waits_for_drain:
             self._waits_for_drain = False
             self._handle(orders.Drained())
 
     @singledispatchmethod
     def _execute(self, command: orders.Command) -> None:
-        raise TypeError(f"no way to carry out {type(command)}")
+        raise TypeError(f"no handler for a command of type {type(command)}")
 
     @_execute.register
     def _(self, command: orders.ReadPlan) -> None:
@@ -179,8 +179,8 @@
         self._handle(orders.OrderAnswered(order.order_id, outcome, highest))
 
     async def _try_order(self, order: orders.SendOrder) -> tuple[str, int]:
-        # The process may have been paused since it decided: a plan that was fresh
-        # then need not be the plan in force now.
+        # The process may have been paused since it decided on the order, and the plan
+        # that was current then may have been replaced.
         if time.monotonic() > order.send_before:
             return orders.NOT_SENT, 0
         body = {
@@ -192,15 +192,15 @@
             "version": order.wanted.version,
             "adapter": order.adapter,
         }
-        answer = await self._engine.order(body)
-        if answer.is_error():
+        response = await self._engine.order(body)
+        if response.is_error():
             return orders.UNCLEAR, 0
-        status, said = answer.ok
-        if status in TAKEN_STATUSES:
+        status, reply = response.ok
+        if status in ORDER_ACCEPTED_STATUSES:
             return orders.ACCEPTED, 0
-        if status == STALE_STATUS:
-            return orders.STALE, int(said.get("highest", 0))
-        if status == BUSY_STATUS:
+        if status == ORDER_STALE_STATUS:
+            return orders.STALE, int(reply.get("highest", 0))
+        if status == ORDER_BUSY_STATUS:
             return orders.BUSY, 0
         return orders.REJECTED, 0
 
--- a/radishtally/agent/retention.py
+++ b/radishtally/agent/retention.py
@@ -1,4 +1,4 @@
-"""Bound what the agent keeps of ended work, in time and in bytes."""
+"""Retention of ended work, limited in time and in bytes."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -6,48 +6,49 @@
 from radishtally.agent.answers import Assignment, AttemptId
 from radishtally.agent.const import (
     ATTEMPT_RETENTION_SECONDS,
+    KEYED_RETENTION_SECONDS,
     MAX_RETAINED_BYTES,
     MAX_UNDELIVERED_BYTES,
-    RETAIN_SECONDS,
-    UNKEYED_RETAIN_SECONDS,
+    UNKEYED_RETENTION_SECONDS,
 )
 
 
 class EndedAttempt(NamedTuple):
-    """Remember how an attempt ended here."""
+    """Describe how an attempt ended at this agent."""
 
     since: float
     ran: str
-    """Ran.NO only if the upstream never saw it and, as it is remembered, never will."""
+    """Ran.NO only if the upstream never got the attempt and, since a late offer of a
+    recorded attempt is refused, will not get it while the record is kept."""
     reason: str
 
 
 class EndedAttempts:
-    """Remember the attempt_ids of attempts that are over.
+    """Track attempts that have ended, so that their late offers are refused.
 
-    An offer may be held up in a slow link while its withdrawal comes over a new one.
-    Begun then, it would run although its caller was told "not run"; remembered, it is
-    refused, for longer than a link can hold it up.
+    A slow link may delay an offer while its cancellation arrives over a new link. If
+    the agent then started the work, it would run although its caller was told "not
+    run". Records are kept for longer than a link can delay an offer.
     """
 
     def __init__(self) -> None:
         self._attempts: dict[AttemptId, EndedAttempt] = {}
 
     def __len__(self) -> int:
-        """Count the attempt_ids."""
+        """Return the number of records."""
         return len(self._attempts)
 
     def get(self, attempt_id: AttemptId) -> EndedAttempt | None:
-        """Give what is remembered of an attempt."""
+        """Return the record of an attempt, if there is one."""
         return self._attempts.get(attempt_id)
 
     def record(self, attempt_id: AttemptId, ran: str, reason: str, now: float) -> None:
-        """Remember an attempt from now on."""
+        """Record how an attempt ended; an older record is replaced."""
         self._attempts.pop(attempt_id, None)
         self._attempts[attempt_id] = EndedAttempt(now, ran, reason)
 
-    def forget_old(self, now: float) -> None:
-        """Forget what nobody may ask for any more."""
+    def evict_expired(self, now: float) -> None:
+        """Evict records past their retention."""
         while self._attempts:
             attempt_id = next(iter(self._attempts))
             if now - self._attempts[attempt_id].since <= ATTEMPT_RETENTION_SECONDS:
@@ -55,34 +56,34 @@
             del self._attempts[attempt_id]
 
 
-class Retained:
-    """Keep ended answers in the order of their ends, for repeats and new links."""
+class RetainedAnswers:
+    """Retain ended answers, oldest first, for repeated keys and for new links."""
 
     def __init__(self) -> None:
         self.bytes = 0
         self._ended: dict[float, dict[AttemptId, Assignment]] = {
-            UNKEYED_RETAIN_SECONDS: {},
-            RETAIN_SECONDS: {},
+            UNKEYED_RETENTION_SECONDS: {},
+            KEYED_RETENTION_SECONDS: {},
         }
 
     def __iter__(self) -> Iterator[Assignment]:
-        """Give all, each kind from the oldest."""
+        """Iterate over the answers of each retention period from the oldest on."""
         for kept in self._ended.values():
             yield from kept.values()
 
     def add(self, assignment: Assignment) -> None:
-        """Keep an answer that has just ended."""
-        self._ended[_find_limit(assignment)][assignment.attempt_id] = assignment
+        """Retain an answer that has just ended."""
+        self._ended[_get_retention(assignment)][assignment.attempt_id] = assignment
         self.bytes += len(assignment.answer.data)
 
     def remove(self, assignment: Assignment) -> None:
-        """Keep an answer no longer."""
-        kept = self._ended[_find_limit(assignment)]
+        """Remove an answer."""
+        kept = self._ended[_get_retention(assignment)]
         if kept.pop(assignment.attempt_id, None) is not None:
             self.bytes -= len(assignment.answer.data)
 
-    def list_old(self, now: float) -> list[Assignment]:
-        """List the answers that are kept too long or take too much room."""
+    def list_evictable(self, now: float) -> list[Assignment]:
+        """List the answers past their retention and those beyond the size limits."""
         old = []
         for limit, kept in self._ended.items():
             for assignment in kept.values():
@@ -100,7 +101,8 @@
         for assignment in self:
             if excess <= MAX_RETAINED_BYTES:
                 break
-            # What no entry has confirmed may be the only word on its outcome.
+            # An answer that no entry has acknowledged may be the only record of its
+            # outcome, so it is evicted only beyond the larger limit.
             spared = not assignment.delivered and excess <= MAX_UNDELIVERED_BYTES
             if assignment.attempt_id in known or spared:
                 continue
@@ -109,5 +111,9 @@
         return found
 
 
-def _find_limit(assignment: Assignment) -> float:
-    return RETAIN_SECONDS if assignment.offer.work.key else UNKEYED_RETAIN_SECONDS
+def _get_retention(assignment: Assignment) -> float:
+    return (
+        KEYED_RETENTION_SECONDS
+        if assignment.offer.work.key
+        else UNKEYED_RETENTION_SECONDS
+    )
--- a/radishtally/agent/service.py
+++ b/radishtally/agent/service.py
@@ -1,4 +1,4 @@
-"""Speak to a plain service."""
+"""Client of a plain HTTP service."""
 
 import asyncio
 import time
@@ -8,16 +8,18 @@
 import aiohttp
 
 from radishtally.agent import events
-from radishtally.agent.const import CALL_SECONDS, UPSTREAM_CONNECT_SECONDS
+from radishtally.agent.const import CALL_TIMEOUT_SECONDS, CONNECT_TIMEOUT_SECONDS
 from radishtally.exchange import EXCHANGE_ERRORS, CheckedResponse, SendOnce
 from radishtally.links.messages import Offer
 from radishtally.outcome import Ran
 from radishtally.tasks import AttemptTasks
 
-ATTR_KEY: Final = "Idempotency-Key"
+KEY_HEADER: Final = "Idempotency-Key"
 MAX_ANSWER_BYTES: Final = 16 * 1024 * 1024
-PASSED_BACK: Final = frozenset({"content-type", "etag", "last-modified", "location"})
-DATA_BYTES: Final = 65_536
+FORWARDED_HEADERS: Final = frozenset(
+    {"content-type", "etag", "last-modified", "location"}
+)
+READ_CHUNK_BYTES: Final = 65_536
 
 
 class Service:
@@ -27,9 +29,9 @@
         self._url = url
         self._report = report
         self._tasks = AttemptTasks()
-        # A connection that is kept open may be closed by the service just as a call
-        # goes out on it; whether the call ran can't be told then. A new connection
-        # that fails surely carried nothing.
+        # The service may close a kept-open connection just as a call is sent on it, and
+        # whether the call ran is then unknown. If a new connection can't be opened,
+        # nothing was sent.
         self._session = aiohttp.ClientSession(
             auto_decompress=False,
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
@@ -37,15 +39,15 @@
         )
 
     async def close(self) -> None:
-        """End all calls and connections."""
+        """Cancel all calls and close all connections."""
         self._tasks.cancel_all()
         await self._session.close()
 
     async def is_up(self) -> bool:
-        """Tell whether the service takes connections."""
+        """Return whether the service accepts connections."""
         host, port = self._url.split("://", 1)[1].split("/", 1)[0].rsplit(":", 1)
         try:
-            async with asyncio.timeout(UPSTREAM_CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 _, writer = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError):
             return False
@@ -53,11 +55,11 @@
         return True
 
     def run(self, offer: Offer) -> None:
-        """Begin a call; what comes of it is reported as events."""
+        """Start a call; its results are reported as events."""
         self._tasks.start(offer.work.request, offer.attempt, self._run(offer))
 
     def abort(self, request: str, attempt: int) -> None:
-        """End a call that may be run again."""
+        """Cancel a call that may be run again."""
         self._tasks.cancel(request, attempt)
 
     async def _run(self, offer: Offer) -> None:
@@ -66,10 +68,10 @@
         started = time.monotonic()
         headers = dict(work.headers)
         headers["X-Request-Id"] = work.request
-        headers[ATTR_KEY] = work.key or work.request
+        headers[KEY_HEADER] = work.key or work.request
         timeout = aiohttp.ClientTimeout(
-            total=max(offer.budget, 1.0) if work.idempotent else CALL_SECONDS,
-            sock_connect=UPSTREAM_CONNECT_SECONDS,
+            total=max(offer.budget, 1.0) if work.idempotent else CALL_TIMEOUT_SECONDS,
+            sock_connect=CONNECT_TIMEOUT_SECONDS,
         )
         try:
             async with self._session.request(
@@ -81,17 +83,17 @@
                 allow_redirects=False,
                 middlewares=(SendOnce(),),
             ) as response:
-                await self._read(attempt_id, response, started)
+                await self._read_response(attempt_id, response, started)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             self._report(events.Failed(*attempt_id, Ran.NO, repr(error)))
         except EXCHANGE_ERRORS as error:
             self._report(events.Failed(*attempt_id, Ran.UNKNOWN, repr(error)))
 
-    async def _read(
+    async def _read_response(
         self, attempt_id: tuple[str, int], response: CheckedResponse, started: float
     ) -> None:
         size = 0
-        async for data in response.content.iter_chunked(DATA_BYTES):
+        async for data in response.content.iter_chunked(READ_CHUNK_BYTES):
             size += len(data)
             if size > MAX_ANSWER_BYTES:
                 text = f"the service's answer is over {MAX_ANSWER_BYTES} bytes"
@@ -99,7 +101,8 @@
                 return
             self._report(events.Produced(*attempt_id, data, 0))
         response.check_end()
-        # A process that is killed closes its connections like one that is done.
+        # A killed process closes its connections like one that has sent everything, so
+        # an answer without a length counts as whole only if the service is still up.
         if not response.is_framed and not await self.is_up():
             text = "the service has ended behind an answer without a length"
             self._report(events.Failed(*attempt_id, Ran.UNKNOWN, text))
@@ -107,7 +110,7 @@
         headers = tuple(
             (str(key), value)
             for key, value in response.headers.items()
-            if key.lower() in PASSED_BACK
+            if key.lower() in FORWARDED_HEADERS
         )
         seconds = time.monotonic() - started
         self._report(
--- a/radishtally/agent/sse.py
+++ b/radishtally/agent/sse.py
@@ -1,22 +1,22 @@
-"""Read what an engine streams."""
+"""Parse the server-sent events that an engine streams."""
 
 from collections.abc import AsyncIterator
 from typing import Any, Final, NamedTuple
 
 import msgspec
 
-DATA: Final = b"data:"
-DONE: Final = b"[DONE]"
+DATA_PREFIX: Final = b"data:"
+DONE_DATA: Final = b"[DONE]"
 
 
 class Delta(msgspec.Struct):
-    """Hold the part of an engine's event that a chat answer grows by."""
+    """Hold the text that an event adds to a chat answer."""
 
     content: str | None = None
 
 
 class Choice(msgspec.Struct):
-    """Hold the one choice that is asked for."""
+    """Hold the one choice that is requested from the engine."""
 
     text: str | None = None
     delta: Delta | None = None
@@ -24,14 +24,14 @@
 
 
 class Usage(msgspec.Struct):
-    """Hold the engine's count of tokens."""
+    """Hold the token counts that the engine reports."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
 
 
 class EngineEvent(msgspec.Struct):
-    """Hold what an engine's event says."""
+    """Hold the decoded data of one event."""
 
     choices: list[Choice] = []
     usage: Usage | None = None
@@ -39,7 +39,7 @@
 
 
 class Part(NamedTuple):
-    """Give one step of an answer."""
+    """Describe what one event adds to the answer."""
 
     text: str
     finish_reason: str | None
@@ -47,19 +47,19 @@
 
 
 class Done(NamedTuple):
-    """Say that the engine has closed the answer in good order."""
+    """Mark the regular end of the stream."""
 
 
 _DECODER: Final = msgspec.json.Decoder(EngineEvent)
 
 
 async def read_parts(lines: AsyncIterator[bytes]) -> AsyncIterator[Part | Done]:
-    """Read the events of a stream; one that is no event raises MsgspecError."""
+    """Parse the events of a stream; raise MsgspecError on a malformed event."""
     async for line in lines:
-        if not line.startswith(DATA):
+        if not line.startswith(DATA_PREFIX):
             continue
-        data = line[len(DATA) :].strip()
-        if data == DONE:
+        data = line[len(DATA_PREFIX) :].strip()
+        if data == DONE_DATA:
             yield Done()
             return
         event = _DECODER.decode(data)
--- a/tests/agent/test_answers.py
+++ b/tests/agent/test_answers.py
@@ -6,8 +6,8 @@
 
 from radishtally.agent import events
 from radishtally.agent.const import (
-    CHUNK_BYTES,
-    DELIVER_SECONDS,
+    DELIVERY_TIMEOUT_SECONDS,
+    MAX_CHUNK_BYTES,
     MAX_RETAINED_BYTES,
     MAX_UNDELIVERED_BYTES,
 )
@@ -191,7 +191,7 @@
     driver.give(events.Drain("stopping", 0.0, final=True))
     driver.complete("r")
     driver.give(events.LinkDown("entry-0"))
-    driver.pass_time(DELIVER_SECONDS - 1)
+    driver.pass_time(DELIVERY_TIMEOUT_SECONDS - 1)
     assert not driver.list_of(events.Drained)
     driver.give(events.LinkUp("entry-0"))
     assert isinstance(driver.receive(Attach("r", 1, 0))[-1], Finished)
@@ -203,7 +203,7 @@
     driver.offer(make_call())
     driver.complete("r")
     driver.give(events.Drain("stopping", 0.0, final=True))
-    driver.pass_time(DELIVER_SECONDS + 1)
+    driver.pass_time(DELIVERY_TIMEOUT_SECONDS + 1)
     assert driver.list_of(events.Drained)
 
 
@@ -235,9 +235,9 @@
     driver.give(events.Produced("r", 1, body, 0))
     driver.complete("r")
     sent = driver.list_sent(Chunk)
-    assert max(len(chunk.data) for chunk in sent) <= CHUNK_BYTES
+    assert max(len(chunk.data) for chunk in sent) <= MAX_CHUNK_BYTES
     assert b"".join(chunk.data for chunk in sent) == body
-    assert [c.offset for c in sent] == list(range(0, len(body), CHUNK_BYTES))
+    assert [c.offset for c in sent] == list(range(0, len(body), MAX_CHUNK_BYTES))
 
 
 def test_cost_does_not_grow_with_kept_answers(driver: Driver) -> None:
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -203,8 +203,8 @@
     # The caller sees its answer go on elsewhere and not end at its deadline. The
     # engine's connection goes silent before the first token or behind one; no error
     # tells of it, so the agent counts the time since the last sign.
-    monkeypatch.setattr(engine, "FIRST_TOKEN_SECONDS", 0.05)
-    monkeypatch.setattr(engine, "STREAM_SILENCE_SECONDS", 0.05)
+    monkeypatch.setattr(engine, "FIRST_TOKEN_TIMEOUT_SECONDS", 0.05)
+    monkeypatch.setattr(engine, "NEXT_TOKEN_TIMEOUT_SECONDS", 0.05)
 
     async def answer(request: web.Request) -> web.StreamResponse:
         if request.path.endswith("/cancel"):
@@ -223,7 +223,7 @@
             driver.run(make_offer())
             while not any(isinstance(e, events.Failed) for e in reports.events):
                 await asyncio.sleep(0.01)
-                driver.drop_silent(asyncio.get_running_loop().time())
+                driver.abort_silent_streams(asyncio.get_running_loop().time())
             await driver.close()
         return reports
 
--- a/tests/agent/test_names.py
+++ b/tests/agent/test_names.py
@@ -5,9 +5,9 @@
 from radishtally.agent import events
 from radishtally.agent.const import (
     ATTEMPT_RETENTION_SECONDS,
-    ORPHAN_SECONDS,
-    RETAIN_SECONDS,
-    UNKEYED_RETAIN_SECONDS,
+    KEYED_RETENTION_SECONDS,
+    ORPHAN_GRACE_SECONDS,
+    UNKEYED_RETENTION_SECONDS,
 )
 from radishtally.links.messages import (
     LEAVING,
@@ -47,7 +47,7 @@
     # its entry comes back; "not run" would let it run a second time.
     driver.offer(make_call())
     driver.complete("r")
-    driver.pass_time(UNKEYED_RETAIN_SECONDS + 1)
+    driver.pass_time(UNKEYED_RETENTION_SECONDS + 1)
     assert not driver.core.assignments
     driver.pass_time(ATTEMPT_RETENTION_SECONDS - 1)
     (lost,) = driver.receive(Attach("r", 1, 0))
@@ -161,9 +161,9 @@
         driver.offer(make_text("first"), entry="entry-1")
     driver.offer(make_text("r", key=key))
     driver.give(events.LinkDown("entry-0"))
-    driver.pass_time(ORPHAN_SECONDS + 1)
+    driver.pass_time(ORPHAN_GRACE_SECONDS + 1)
     assert (("r", 1) in driver.core.assignments) == bool(key)
-    driver.pass_time(31.0 + ORPHAN_SECONDS)
+    driver.pass_time(31.0 + ORPHAN_GRACE_SECONDS)
     assert ("r", 1) not in driver.core.assignments
     assert ("r", 1) not in driver.core.running
 
@@ -173,7 +173,7 @@
         driver.offer(make_text(f"r{number}", key=f"k{number}"))
         driver.complete(f"r{number}")
         driver.receive(Cancel(f"c{number}", 1))
-    driver.pass_time(RETAIN_SECONDS + ATTEMPT_RETENTION_SECONDS + 2)
+    driver.pass_time(KEYED_RETENTION_SECONDS + ATTEMPT_RETENTION_SECONDS + 2)
     core = driver.core
     kept = (
         core.assignments,
--- a/tests/agent/test_service.py
+++ b/tests/agent/test_service.py
@@ -115,7 +115,7 @@
 def test_hung_call_gives_its_place_back(monkeypatch: pytest.MonkeyPatch) -> None:
     # The caller was told "unknown" at its deadline. A service that never answers must
     # not hold a place of the agent, and a drain, for ever.
-    monkeypatch.setattr(service, "CALL_SECONDS", 0.1)
+    monkeypatch.setattr(service, "CALL_TIMEOUT_SECONDS", 0.1)
 
     async def hang(request: web.Request) -> web.StreamResponse:
         await request.content.read()
