--- a/radishtally/agent/admission.py
+++ b/radishtally/agent/admission.py
@@ -85,8 +85,8 @@
 def _end_without_run(
     offer: Offer, job: Job, host: str, core: AgentCore, now: float
 ) -> Iterator[Command]:
-    # An engine can't be asked for less than one token, so it would generate one token
-    # too many.
+    # No engine runs this work: it would generate at least one token, which is one too
+    # many.
     assignment = _accept(offer, job, host, core)
     attempt_id = assignment.attempt_id
     counts = job.prompt_tokens, offer.tokens_done
--- a/radishtally/agent/core.py
+++ b/radishtally/agent/core.py
@@ -221,8 +221,8 @@
         return
     ended = core.ended_attempts.get(attempt_id)
     if ended is None:
-        # Every accepted attempt is remembered, so this one's offer has not arrived.
-        # Recording it ensures that a late offer is refused.
+        # Every accepted attempt is remembered for long after its end, so this one's
+        # offer has not arrived. Recording it ensures that a late offer is refused.
         core.ended_attempts.record(attempt_id, Ran.NO, NOT_KNOWN, now)
         ended = core.ended_attempts.get(attempt_id)
     if ended.reason == LEAVING:
--- a/tests/agent/test_answers.py
+++ b/tests/agent/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of answers: joined by key, gone on from, handed over, kept and dropped."""
+"""Tests of answers: shared by key, continued, handed over, retained and evicted."""
 
 import time
 
@@ -33,16 +33,16 @@
 
 @pytest.fixture
 def driver() -> Driver:
-    """Hold an agent with four places at its upstream."""
+    """Make an agent whose upstream has four slots."""
     return Driver(slots=4)
 
 
 def test_repeated_key_gets_the_same_answer(driver: Driver) -> None:
-    # Both callers get the one answer whole. The first one's entry died half-way; the
-    # second asks with the same key at another entry and is given it from the start.
+    # The first caller's entry dies half-way. A second request with the same key at
+    # another entry must get the same answer from the start, without a second run.
     driver.offer(make_text("r", key="k"))
     driver.produce("r", b"ab")
-    driver.give(events.LinkDown("entry-0"))
+    driver.handle(events.LinkDown("entry-0"))
     accepted, chunk = driver.offer(make_text("s", key="k"), entry="entry-1")
     assert accepted == Accepted("s", 1, 0.0, attached=True)
     assert (chunk.request, chunk.offset, chunk.data) == ("s", 0, b"ab")
@@ -52,10 +52,10 @@
     assert driver.list_runs() == [("r", 1)]
 
 
-def test_part_of_another_run_is_not_joined(driver: Driver) -> None:
-    # The caller gets the rest of the answer that it has begun to read. Its key is
-    # known here from another run, whose text differs: joined, the caller would be
-    # shown the beginning of one answer and the end of another.
+def test_continuation_does_not_attach_to_another_run(driver: Driver) -> None:
+    # The key is known here from another run, whose text differs from the part that the
+    # caller already has. Attached to it, the caller would get the beginning of one
+    # answer and the end of another.
     driver.offer(make_text("r", key="k"))
     driver.produce("r", b"one way")
     driver.offer(make_text("s", key="k"), attempt=2, done=b"other", tokens_done=2)
@@ -66,13 +66,13 @@
     assert (chunk.offset, chunk.data) == (5, b" way")
 
 
-def test_key_belongs_to_one_body(driver: Driver) -> None:
+def test_key_with_another_body_is_refused(driver: Driver) -> None:
     driver.offer(make_text("r", key="k"))
     (refused,) = driver.offer(make_text("s", key="k")._replace(body=b"[]"))
     assert isinstance(refused, Refused) and refused.reason == KEY_REUSED
 
 
-def test_lost_answer_is_made_anew_for_its_key(driver: Driver) -> None:
+def test_lost_answer_is_generated_again_for_its_key(driver: Driver) -> None:
     driver.offer(make_text("r", key="k"))
     driver.fail("r", Ran.UNKNOWN)
     driver.offer(make_text("s", key="k"))
@@ -81,8 +81,8 @@
 
 @pytest.mark.parametrize("ran", [Ran.NO, Ran.UNKNOWN])
 def test_lost_call_runs_again_only_if_it_did_not_run(driver: Driver, ran: str) -> None:
-    # The caller that repeats its key is told "unknown" if the first call may have
-    # run. The claim in the table forbids it already; the agent is the last guard.
+    # A repeat of the key gets the outcome "unknown" if the first call may have run. The
+    # claim in the store already prevents a second run; the agent is the last safeguard.
     driver.offer(make_call("r", key="k"))
     driver.fail("r", ran)
     sent = driver.offer(make_call("s", key="k"))
@@ -91,16 +91,16 @@
     assert ran_again or isinstance(sent[-1], Lost)
 
 
-def test_answer_that_lacks_only_its_end_is_not_gone_on_with(driver: Driver) -> None:
-    # The caller gets as many tokens as it asked for. The first engine crashed after
-    # the last one; an engine asked to go on gives at least one more.
+def test_answer_that_lacks_only_its_end_is_not_continued(driver: Driver) -> None:
+    # The first engine crashed after the last requested token. Another engine would
+    # generate at least one more, and the caller would get too many tokens.
     work = make_text(max_tokens=3)
     accepted, finished = driver.offer(work, attempt=2, done=b"abc", tokens_done=3)
     assert not driver.list_runs()
     assert (finished.length, finished.finish_reason) == (3, "length")
 
 
-def test_refusal_to_go_on_is_not_the_answers_rest(driver: Driver) -> None:
+def test_refusal_to_continue_is_not_appended_to_the_answer(driver: Driver) -> None:
     driver.offer(make_text(), done=b"abc", tokens_done=3)
     driver.complete("r", status=400, reason="no such option")
     assert not driver.list_sent(Finished)
@@ -108,14 +108,14 @@
     assert lost.ran == Ran.UNKNOWN
 
 
-def test_engine_refusal_of_the_request_is_its_answer(driver: Driver) -> None:
+def test_engine_refusal_is_sent_as_the_answer(driver: Driver) -> None:
     driver.offer(make_text())
     driver.complete("r", status=400, reason="prompt too long")
     (finished,) = driver.list_sent(Finished)
     assert (finished.status, finished.finish_reason) == (400, "prompt too long")
 
 
-def test_part_sent_again_counts_its_tokens_once(driver: Driver) -> None:
+def test_resent_part_counts_its_tokens_once(driver: Driver) -> None:
     driver.offer(make_text(), done=b"ab", tokens_done=2)
     driver.produce("r", b"cd")
     driver.pass_time(0.1)
@@ -123,116 +123,120 @@
     assert (chunk.offset, chunk.data, chunk.tokens) == (3, b"d", 4)
 
 
-def test_running_answer_is_handed_over_when_a_drain_lasts(driver: Driver) -> None:
+def test_running_answer_is_handed_over_when_drain_time_is_over(driver: Driver) -> None:
     driver.offer(make_text())
     driver.produce("r", b"ab")
-    driver.give(events.Drain("drain", 5.0))
+    driver.handle(events.Drain("drain", 5.0))
     driver.pass_time(4.0)
-    assert not driver.list_of(events.Export)
+    assert not driver.list_commands(events.Export)
     driver.pass_time(2.0)
-    assert driver.list_of(events.Export) == [events.Export("r", 1)]
-    driver.give(events.Exported("r", 1, KV))
+    assert driver.list_commands(events.Export) == [events.Export("r", 1)]
+    driver.handle(events.Exported("r", 1, KV))
     (handover,) = driver.list_sent(Handover)
     assert (handover.length, handover.kv) == (2, KV)
-    assert driver.list_of(events.Drained)
+    assert driver.list_commands(events.Drained)
 
 
-def test_running_call_is_not_cut_by_a_drain(driver: Driver) -> None:
+def test_running_call_is_not_interrupted_by_a_drain(driver: Driver) -> None:
     driver.offer(make_call())
-    driver.give(events.Drain("drain", 0.0))
+    driver.handle(events.Drain("drain", 0.0))
     driver.pass_time(60.0)
-    assert not driver.list_of(events.Export) and not driver.list_of(events.Abort)
-    assert not driver.list_of(events.Drained)
+    assert not driver.list_commands(events.Export) and not driver.list_commands(
+        events.Abort
+    )
+    assert not driver.list_commands(events.Drained)
 
 
-def test_a_taken_back_drain_hands_nothing_over(driver: Driver) -> None:
-    # The caller's stream goes on undisturbed. Two drains are in force; the one that
-    # would end first is taken back.
+def test_cancelled_drain_hands_nothing_over(driver: Driver) -> None:
+    # Two drains are active, and the one with the earlier handover time is cancelled.
+    # The answer must keep running.
     driver.offer(make_text())
-    driver.give(events.Drain("change", 1.0))
-    driver.give(events.Drain("operator", 60.0))
-    driver.give(events.Undrain("change"))
+    driver.handle(events.Drain("change", 1.0))
+    driver.handle(events.Drain("operator", 60.0))
+    driver.handle(events.Undrain("change"))
     driver.pass_time(30.0)
-    assert not driver.list_of(events.Export)
+    assert not driver.list_commands(events.Export)
 
 
-def test_new_work_is_refused_while_any_drain_holds(driver: Driver) -> None:
-    driver.give(events.Drain("change", 1.0))
-    driver.give(events.Drain("operator", 60.0))
-    driver.give(events.Undrain("change"))
+def test_new_work_is_refused_while_any_drain_is_active(driver: Driver) -> None:
+    driver.handle(events.Drain("change", 1.0))
+    driver.handle(events.Drain("operator", 60.0))
+    driver.handle(events.Undrain("change"))
     (refused,) = driver.offer(make_text())
     assert refused.reason == LEAVING
 
 
 @pytest.mark.parametrize("reason", ["length", "stop"])
-def test_prefill_ends_in_a_handover_or_naturally(driver: Driver, reason: str) -> None:
+def test_prefill_ends_in_an_export_or_a_finished_answer(
+    driver: Driver, reason: str
+) -> None:
     driver.offer(make_text(), stage=PREFILL)
     driver.produce("r", b"a")
     driver.complete("r", reason=reason)
-    assert bool(driver.list_of(events.Export)) == (reason == "length")
+    assert bool(driver.list_commands(events.Export)) == (reason == "length")
     assert bool(driver.list_sent(Finished)) == (reason == "stop")
 
 
 def test_prefill_is_exported_once(driver: Driver) -> None:
     driver.offer(make_text(), stage=PREFILL)
     driver.produce("r", b"a")
-    driver.give(events.Drain("drain", 0.0))
+    driver.handle(events.Drain("drain", 0.0))
     driver.pass_time(0.1)
     driver.complete("r", reason="length")
     driver.pass_time(1.0)
-    assert len(driver.list_of(events.Export)) == 1
+    assert len(driver.list_commands(events.Export)) == 1
 
 
-def test_stopping_agent_waits_until_ends_have_arrived(driver: Driver) -> None:
-    # The caller gets its answer whole although its agent stops for good: the link
-    # broke with the answer's end on it. Gone at once, the agent would leave a whole
-    # answer taken for lost, and a call's outcome unknown.
+def test_stopping_agent_waits_until_ends_are_acknowledged(driver: Driver) -> None:
+    # The link breaks with the answer's end in flight while the agent stops. If the
+    # agent exited immediately, a whole answer would be treated as lost and the outcome
+    # of the call would be unknown.
     driver.offer(make_call())
-    driver.give(events.Drain("stopping", 0.0, final=True))
+    driver.handle(events.Drain("stopping", 0.0, final=True))
     driver.complete("r")
-    driver.give(events.LinkDown("entry-0"))
+    driver.handle(events.LinkDown("entry-0"))
     driver.pass_time(DELIVERY_TIMEOUT_SECONDS - 1)
-    assert not driver.list_of(events.Drained)
-    driver.give(events.LinkUp("entry-0"))
+    assert not driver.list_commands(events.Drained)
+    driver.handle(events.LinkUp("entry-0"))
     assert isinstance(driver.receive(Attach("r", 1, 0))[-1], Finished)
     driver.receive(Ack("r", 1, 0))
-    assert driver.list_of(events.Drained)
+    assert driver.list_commands(events.Drained)
 
 
 def test_stopping_agent_does_not_wait_for_ever(driver: Driver) -> None:
     driver.offer(make_call())
     driver.complete("r")
-    driver.give(events.Drain("stopping", 0.0, final=True))
+    driver.handle(events.Drain("stopping", 0.0, final=True))
     driver.pass_time(DELIVERY_TIMEOUT_SECONDS + 1)
-    assert driver.list_of(events.Drained)
+    assert driver.list_commands(events.Drained)
 
 
-def test_answers_have_bounded_room(driver: Driver) -> None:
-    # Callers that repeat a key soon get the first answer; under a flood of large
-    # answers those go first that their callers have, and the process keeps its size.
+def test_size_of_retained_answers_is_limited(driver: Driver) -> None:
+    # A flood of large answers must not exhaust the memory. Delivered answers are
+    # evicted first, and recent ones are still there for a repeat of their key.
     part = b"x" * 1_000_000
     for number in range(100):
         name = f"r{number}"
         driver.offer(make_text(name, key=name))
-        driver.give(events.Produced(name, 1, part, 1))
+        driver.handle(events.Produced(name, 1, part, 1))
         driver.complete(name)
         if number < 20:
             driver.receive(Ack(name, 1, len(part)))
-        driver.give(events.Tick())
+        driver.handle(events.Tick())
     assert driver.core.retained.bytes <= MAX_UNDELIVERED_BYTES
     assert "r99" in {name for name, _ in driver.core.assignments}
     for number in range(100):
         driver.receive(Ack(f"r{number}", 1, len(part)))
-    driver.give(events.Tick())
+    driver.handle(events.Tick())
     assert driver.core.retained.bytes <= MAX_RETAINED_BYTES
 
 
-def test_large_answer_goes_in_parts_that_a_link_takes(driver: Driver) -> None:
-    # The caller gets its large body. A link takes frames up to a limit; one message
-    # over it would end each link that the answer is asked for on.
+def test_large_answer_is_sent_in_limited_chunks(driver: Driver) -> None:
+    # Links limit the size of a frame. A larger message would break every link on which
+    # the answer is requested.
     body = bytes(range(256)) * 12_000
     driver.offer(make_call())
-    driver.give(events.Produced("r", 1, body, 0))
+    driver.handle(events.Produced("r", 1, body, 0))
     driver.complete("r")
     sent = driver.list_sent(Chunk)
     assert max(len(chunk.data) for chunk in sent) <= MAX_CHUNK_BYTES
@@ -240,18 +244,18 @@
     assert [c.offset for c in sent] == list(range(0, len(body), MAX_CHUNK_BYTES))
 
 
-def test_cost_does_not_grow_with_kept_answers(driver: Driver) -> None:
-    # Callers' tokens wait while the agent looks through what it keeps. Looking at
-    # every kept answer at each event would cost most of a core at 1,000 of them.
+def test_event_cost_does_not_grow_with_retained_answers(driver: Driver) -> None:
+    # Tokens wait while the core handles an event. Scanning every retained answer at
+    # each event would use most of a CPU core with 1,000 answers.
     def measure() -> float:
-        took = []
+        durations = []
         for _ in range(50):
             start = time.perf_counter()
             for _ in range(20):
-                driver.give(events.Tick())
-            took.append(time.perf_counter() - start)
+                driver.handle(events.Tick())
+            durations.append(time.perf_counter() - start)
             driver.log.clear()
-        return min(took)
+        return min(durations)
 
     few = measure()
     for number in range(1_000):
--- a/tests/agent/test_names.py
+++ b/tests/agent/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of what the agent says of attempts: known, withdrawn, unknown."""
+"""Tests of the agent's reports on attempts: known, cancelled and unknown ones."""
 
 import pytest
 
@@ -28,23 +28,22 @@
 
 @pytest.fixture
 def driver() -> Driver:
-    """Hold an agent with one place at its upstream."""
+    """Make an agent whose upstream has one slot."""
     return Driver()
 
 
-def test_attempt_that_never_came_is_not_run_here(driver: Driver) -> None:
-    # The caller's call is made elsewhere. Its offer was lost with a link, or is held
-    # up in it: the entry is told that it did not run here, which stays true however
-    # late the offer comes.
+def test_unknown_attempt_is_reported_as_not_run_and_stays_so(driver: Driver) -> None:
+    # The offer was lost with a link or is delayed in it. Once the entry has been told
+    # "not run", it may run the call elsewhere, so a late offer must be refused.
     assert driver.receive(Attach("r", 1, 0)) == [Lost("r", 1, Ran.NO, NOT_KNOWN, 0)]
     (late,) = driver.offer(make_call())
     assert isinstance(late, Refused)
     assert not driver.list_runs()
 
 
-def test_attempt_that_ran_is_remembered(driver: Driver) -> None:
-    # The caller is told "unknown". The call ran and its answer is no longer kept when
-    # its entry comes back; "not run" would let it run a second time.
+def test_outcome_of_evicted_attempt_is_unknown(driver: Driver) -> None:
+    # The call ran, and its answer has been evicted when its entry returns. Reporting
+    # "not run" would let the call run a second time.
     driver.offer(make_call())
     driver.complete("r")
     driver.pass_time(UNKEYED_RETENTION_SECONDS + 1)
@@ -57,14 +56,14 @@
     assert lost.ran == Ran.UNKNOWN
 
 
-def test_withdrawn_offer_is_refused_when_it_comes_late(driver: Driver) -> None:
+def test_late_offer_of_cancelled_attempt_is_refused(driver: Driver) -> None:
     assert driver.receive(Cancel("r", 1)) == [Cancelled("r", 1, Ran.NO)]
     (late,) = driver.offer(make_call())
     assert isinstance(late, Refused)
     assert not driver.list_runs()
 
 
-def test_queued_call_is_withdrawn_untouched(driver: Driver) -> None:
+def test_cancelled_call_in_the_queue_does_not_run(driver: Driver) -> None:
     driver.offer(make_call("first"))
     driver.offer(make_call("r"))
     assert driver.receive(Cancel("r", 1)) == [Cancelled("r", 1, Ran.NO)]
@@ -72,30 +71,30 @@
     assert driver.list_runs() == [("first", 1)]
 
 
-def test_running_call_is_left_to_end(driver: Driver) -> None:
-    # The caller still gets its answer: its entry withdrew the call too late, is told
-    # so, and comes for the outcome.
+def test_cancelled_running_call_completes(driver: Driver) -> None:
+    # The entry cancels the call too late, is told that it may have run, and attaches to
+    # it for the outcome.
     driver.offer(make_call())
     assert driver.receive(Cancel("r", 1)) == [Cancelled("r", 1, Ran.UNKNOWN)]
-    assert not driver.list_of(events.Abort)
+    assert not driver.list_commands(events.Abort)
     driver.produce("r", b"sent")
     driver.complete("r")
     sent = driver.receive(Attach("r", 1, 0))
     assert [type(m) for m in sent] == [Accepted, Chunk, Finished]
 
 
-def test_running_text_is_ended_when_withdrawn(driver: Driver) -> None:
+def test_cancelled_running_text_is_aborted(driver: Driver) -> None:
     driver.offer(make_text())
     driver.receive(Cancel("r", 1))
-    assert driver.list_of(events.Abort) == [events.Abort("r", 1)]
+    assert driver.list_commands(events.Abort) == [events.Abort("r", 1)]
     assert not driver.core.assignments
 
 
 @pytest.mark.parametrize("queued", [True, False])
-def test_withdrawal_leaves_the_work_to_who_joined_it(queued: bool) -> None:
-    # The second caller, with the same key at another entry, gets its answer. The
-    # first one's request is withdrawn; ended with it, the shared work would leave
-    # the second caller waiting until its deadline.
+def test_cancelling_shared_work_keeps_it_for_the_others(queued: bool) -> None:
+    # A second caller uses the same key at another entry, and the first request is
+    # cancelled. If the shared work were aborted, the second caller would wait until
+    # its deadline.
     driver = Driver()
     if queued:
         driver.offer(make_text("first"))
@@ -107,44 +106,44 @@
     driver.produce("r", b"text")
     driver.complete("r")
     assert [m.request for m in driver.list_sent(Finished)][-1] == "s"
-    assert not driver.list_of(events.Abort)
+    assert not driver.list_commands(events.Abort)
 
 
-def test_work_given_back_reaches_all_who_joined_it(driver: Driver) -> None:
+def test_refusal_of_queued_work_reaches_all_subscribers(driver: Driver) -> None:
     driver.offer(make_text("first"))
     driver.offer(make_text("r", key="k"))
     driver.offer(make_text("s", key="k"), entry="entry-1")
-    driver.give(events.Drain("drain", 5.0))
+    driver.handle(events.Drain("drain", 5.0))
     assert {m.request for m in driver.list_sent(Refused)} == {"r", "s"}
 
 
-def test_refusal_lost_with_a_link_is_given_again(driver: Driver) -> None:
-    # The caller waits for another host, as for any planned change. The queue was
-    # given back while the link was away.
+def test_refusal_lost_with_a_link_is_repeated(driver: Driver) -> None:
+    # The queue was refused because of a drain while the link was down. The entry must
+    # still learn the reason, so that it treats the attempt as a planned move.
     driver.offer(make_text("first"))
     driver.offer(make_text("r"))
-    driver.give(events.LinkDown("entry-0"))
-    driver.give(events.Drain("drain", 5.0))
-    driver.give(events.LinkUp("entry-0"))
+    driver.handle(events.LinkDown("entry-0"))
+    driver.handle(events.Drain("drain", 5.0))
+    driver.handle(events.LinkUp("entry-0"))
     (refused,) = driver.receive(Attach("r", 1, 0))
     assert isinstance(refused, Refused) and refused.reason == LEAVING
 
 
-def test_doubled_offer_runs_once(driver: Driver) -> None:
+def test_duplicate_offer_runs_once(driver: Driver) -> None:
     driver.offer(make_call())
     driver.offer(make_call())
     driver.complete("r")
     assert driver.list_runs() == [("r", 1)]
 
 
-def test_confirmed_answer_is_dropped(driver: Driver) -> None:
+def test_acknowledged_answer_is_removed(driver: Driver) -> None:
     driver.offer(make_text())
     driver.complete("r")
     driver.receive(Ack("r", 1, 0))
     assert not driver.core.assignments and not driver.core.assignment_ids
 
 
-def test_confirmation_before_the_end_drops_nothing(driver: Driver) -> None:
+def test_acknowledgement_before_the_end_removes_nothing(driver: Driver) -> None:
     driver.offer(make_text())
     driver.receive(Ack("r", 1, 0))
     assert driver.core.assignments
@@ -152,15 +151,14 @@
 
 @pytest.mark.parametrize("queued", [True, False])
 @pytest.mark.parametrize("key", ["", "k"])
-def test_orphans_go(key: str, queued: bool) -> None:
-    # No caller sees anything: its entry has died. Work without a key is ended soon,
-    # work with one when its caller's time is over; kept for ever, either would hold
-    # a place that waiting people need.
+def test_orphaned_work_is_removed(key: str, queued: bool) -> None:
+    # The entry has died. Work without a key is removed soon, and work with a key after
+    # its deadline; otherwise it would occupy a slot or a place in the queue for ever.
     driver = Driver()
     if queued:
         driver.offer(make_text("first"), entry="entry-1")
     driver.offer(make_text("r", key=key))
-    driver.give(events.LinkDown("entry-0"))
+    driver.handle(events.LinkDown("entry-0"))
     driver.pass_time(ORPHAN_GRACE_SECONDS + 1)
     assert (("r", 1) in driver.core.assignments) == bool(key)
     driver.pass_time(31.0 + ORPHAN_GRACE_SECONDS)
@@ -168,7 +166,7 @@
     assert ("r", 1) not in driver.core.running
 
 
-def test_all_is_forgotten_in_time(driver: Driver) -> None:
+def test_all_state_is_evicted_in_time(driver: Driver) -> None:
     for number in range(50):
         driver.offer(make_text(f"r{number}", key=f"k{number}"))
         driver.complete(f"r{number}")
--- a/tests/agent/test_engine.py
+++ b/tests/agent/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the exchange with an engine: what of it the agent's core hears."""
+"""Tests of the engine client: the events that it reports to the core."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from radishtally.agent.sse import read_parts
 from radishtally.links.messages import CHAT, COMPLETION, PREFILL, KvRef, Offer, Work
 from radishtally.outcome import Ran
-from tests.agent.upstream import Answer, Reports, reply, serve, stream
+from tests.agent.upstream import Answer, EventRecorder, reply, serve, stream
 from tests.common import run
 
 BODY = msgspec.json.encode({"messages": [{"role": "user", "content": "?"}]})
@@ -31,37 +31,37 @@
     return b"data: " + msgspec.json.encode({"choices": [{"text": text}]}) + b"\n\n"
 
 
-async def run_work(url: str, offer: Offer) -> Reports:
-    reports = Reports()
-    driver = Engine("agent-0", url, reports.take)
-    driver.run(offer)
-    await reports.wait_end()
-    await driver.close()
-    return reports
+async def run_work(url: str, offer: Offer) -> EventRecorder:
+    recorder = EventRecorder()
+    client = Engine("agent-0", url, recorder.record)
+    client.run(offer)
+    await recorder.wait_end()
+    await client.close()
+    return recorder
 
 
-def ask(answer: Answer, **more: object) -> Reports:
-    """Run work at an engine that answers so."""
+def run_against(answer: Answer, **more: object) -> EventRecorder:
+    """Run work at an engine with a scripted answer."""
 
-    async def check() -> Reports:
+    async def check() -> EventRecorder:
         async with serve(answer) as url:
             return await run_work(url, make_offer(**more))
 
     return run(check())
 
 
-def test_parts_are_whole_characters() -> None:
-    # The caller sees no broken character wherever its answer is cut: the network may
-    # part a character's bytes, but what the agent passes on is whole text.
+def test_parts_contain_whole_characters() -> None:
+    # Guards against broken characters where an answer is cut. The network may split a
+    # character's bytes, but the agent reports only whole characters.
     data = b"".join(map(make_event, ["aé", "字", "🪡", "né"])) + FINISH + DONE
-    reports = ask(stream(*[data[n : n + 1] for n in range(len(data))]))
-    assert [part.decode() for part in reports.parts] == ["aé", "字", "🪡", "né"]
-    assert reports.events[-1].finish_reason == "stop"
+    recorder = run_against(stream(*[data[n : n + 1] for n in range(len(data))]))
+    assert [part.decode() for part in recorder.parts] == ["aé", "字", "🪡", "né"]
+    assert recorder.events[-1].finish_reason == "stop"
 
 
 @settings(max_examples=100)
 @given(texts=st.lists(st.text(st.characters(codec="utf-8"), max_size=4), max_size=5))
-def test_any_text_can_be_gone_on_from_at_any_part(texts: list[str]) -> None:
+def test_any_text_can_be_continued_after_any_part(texts: list[str]) -> None:
     async def lines() -> object:
         for text in texts:
             for line in make_event(text).splitlines(keepends=True):
@@ -74,8 +74,8 @@
     for count in range(len(parts) + 1):
         done = b"".join(parts[:count])
         body = make_engine_body(make_offer(done=done, tokens_done=count), None)
-        said = [m["content"] for m in body["messages"][1:]]
-        assert said == (["".join(texts[:count])] if done else [])
+        contents = [m["content"] for m in body["messages"][1:]]
+        assert contents == (["".join(texts[:count])] if done else [])
 
 
 @pytest.mark.parametrize(
@@ -111,8 +111,8 @@
         "not loaded",
     ],
 )
-def test_ends_are_told_truly(answer: Answer, end: object) -> None:
-    last = ask(answer).events[-1]
+def test_end_of_stream_is_reported(answer: Answer, end: object) -> None:
+    last = run_against(answer).events[-1]
     if isinstance(end, type):
         assert isinstance(last, end)
     else:
@@ -127,14 +127,16 @@
         (b'{"error": "text"}', "the engine refused the request"),
     ],
 )
-def test_refusal_of_the_request_is_its_answer(body: bytes, message: str) -> None:
-    last = ask(reply(400, body)).events[-1]
+def test_refusal_of_the_request_is_reported_as_its_answer(
+    body: bytes, message: str
+) -> None:
+    last = run_against(reply(400, body)).events[-1]
     assert isinstance(last, events.Completed)
     assert (last.status, last.finish_reason) == (400, message)
 
 
-def test_engine_that_is_away_ran_nothing() -> None:
-    async def check() -> Reports:
+def test_work_for_unreachable_engine_did_not_run() -> None:
+    async def check() -> EventRecorder:
         async with serve(reply(200, b"")) as url:
             pass
         return await run_work(url, make_offer())
@@ -153,12 +155,12 @@
     ],
     ids=["cut character", "no messages", "prompt of numbers", "no object"],
 )
-def test_what_cannot_be_gone_on_from_is_told(
+def test_work_that_cannot_be_continued_fails(
     kind: str, body: bytes, done: bytes
 ) -> None:
-    # The caller is told at once. Raised, the fault would end the task unseen, and the
-    # request would hold its place until its deadline.
-    async def check() -> Reports:
+    # The failure must be reported immediately. An exception would end the task without
+    # a report, and the request would occupy its slot until its deadline.
+    async def check() -> EventRecorder:
         work = Work("r", "team", "pool", kind, body, "m", max_tokens=9)
         async with serve(reply(200, b"")) as url:
             return await run_work(url, Offer(work, 1, 30.0, done=done))
@@ -167,7 +169,7 @@
     assert isinstance(last, events.Failed) and last.ran == Ran.NO
 
 
-def test_body_asks_for_the_rest_only() -> None:
+def test_body_requests_only_the_rest() -> None:
     work = Work("r", "t", "pool", COMPLETION, b'{"prompt": "p", "n": 1}', max_tokens=9)
     offer = Offer(work, 2, 30.0, done="né".encode(), tokens_done=2)
     body = make_engine_body(offer, "handle")
@@ -178,31 +180,31 @@
     assert body["kv_transfer_params"] == {"export": True}
 
 
-def test_silent_cache_holder_does_not_hold_the_answer(
+def test_unresponsive_kv_source_does_not_block_the_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The caller's answer goes on after a moment. The host that holds the KV cache
-    # takes the connection and says nothing; the prompt is prefilled anew instead.
+    # The host with the KV cache accepts the connection but never answers. The engine
+    # must prefill the prompt itself after the time-out.
     monkeypatch.setattr(engine, "KV_TIMEOUT", aiohttp.ClientTimeout(total=0.1))
 
     async def hang(request: web.Request) -> web.StreamResponse:
         await asyncio.sleep(30.0)
         return web.Response()
 
-    async def check() -> Reports:
-        async with serve(hang) as holder, serve(stream(FINISH, DONE)) as url:
-            return await run_work(url, make_offer(kv=KvRef("a", holder, "h", 1)))
+    async def check() -> EventRecorder:
+        async with serve(hang) as kv_url, serve(stream(FINISH, DONE)) as url:
+            return await run_work(url, make_offer(kv=KvRef("a", kv_url, "h", 1)))
 
     assert isinstance(run(check()).events[-1], events.Completed)
 
 
 @pytest.mark.parametrize("pieces", [(), (make_event("a"),)], ids=["first", "next"])
-def test_silent_stream_is_given_up(
+def test_silent_stream_is_aborted(
     monkeypatch: pytest.MonkeyPatch, pieces: tuple[bytes, ...]
 ) -> None:
-    # The caller sees its answer go on elsewhere and not end at its deadline. The
-    # engine's connection goes silent before the first token or behind one; no error
-    # tells of it, so the agent counts the time since the last sign.
+    # Guards against an answer that waits until its deadline although it could continue
+    # at another host. The engine's connection goes silent before or after the first
+    # token without an error, so the agent must detect it by a time-out.
     monkeypatch.setattr(engine, "FIRST_TOKEN_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(engine, "NEXT_TOKEN_TIMEOUT_SECONDS", 0.05)
 
@@ -216,17 +218,17 @@
         await asyncio.Event().wait()
         return response
 
-    async def check() -> Reports:
-        reports = Reports()
+    async def check() -> EventRecorder:
+        recorder = EventRecorder()
         async with serve(answer) as url:
-            driver = Engine("agent-0", url, reports.take)
-            driver.run(make_offer())
-            while not any(isinstance(e, events.Failed) for e in reports.events):
+            client = Engine("agent-0", url, recorder.record)
+            client.run(make_offer())
+            while not any(isinstance(e, events.Failed) for e in recorder.events):
                 await asyncio.sleep(0.01)
-                driver.abort_silent_streams(asyncio.get_running_loop().time())
-            await driver.close()
-        return reports
+                client.abort_silent_streams(asyncio.get_running_loop().time())
+            await client.close()
+        return recorder
 
-    reports = run(asyncio.wait_for(check(), 20.0))
-    assert len(reports.parts) == len(pieces)
-    assert reports.events[-1].ran == Ran.UNKNOWN
+    recorder = run(asyncio.wait_for(check(), 20.0))
+    assert len(recorder.parts) == len(pieces)
+    assert recorder.events[-1].ran == Ran.UNKNOWN
--- a/tests/agent/upstream.py
+++ b/tests/agent/upstream.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of what speaks to upstreams: a server that answers as told."""
+"""Helpers for tests of the upstream clients: an HTTP server with scripted answers."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -12,20 +12,20 @@
 Answer = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-class Reports:
-    """Keep the events that are reported, and wait for the last."""
+class EventRecorder:
+    """Record reported events and wait for the one that ends the work."""
 
     def __init__(self) -> None:
         self.events: list[events.Event] = []
         self._ended = asyncio.Event()
 
-    def take(self, event: events.Event) -> None:
+    def record(self, event: events.Event) -> None:
         self.events.append(event)
         if not isinstance(event, events.Produced):
             self._ended.set()
 
     async def wait_end(self) -> events.Event:
-        """Give the event that ends the work."""
+        """Wait for the event that ends the work and return it."""
         await asyncio.wait_for(self._ended.wait(), 20.0)
         return self.events[-1]
 
@@ -36,7 +36,7 @@
 
 @asynccontextmanager
 async def serve(answer: Answer) -> AsyncIterator[str]:
-    """Answer every request on a port that the system chooses; give the URL."""
+    """Serve the answer to every request on a free port; yield the URL."""
     app = web.Application()
     app.router.add_route("*", "/{path:.*}", answer)
     async with TestServer(app, host="127.0.0.1") as server:
@@ -44,7 +44,7 @@
 
 
 def stream(*pieces: bytes, cut: bool = False) -> Answer:
-    """Answer with a stream of these pieces, each sent by itself."""
+    """Make an answer that streams these pieces one by one, then ends or is cut."""
 
     async def answer(request: web.Request) -> web.StreamResponse:
         response = web.StreamResponse()
@@ -60,7 +60,7 @@
 
 
 def reply(status: int, body: bytes) -> Answer:
-    """Answer with a status and a body."""
+    """Make an answer with a status and a body."""
 
     async def answer(request: web.Request) -> web.StreamResponse:
         return web.Response(status=status, body=body)
