--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run the real programs under faults from outside, and check what is promised."""
+"""Inject faults into the real programs and check the guarantees that callers see."""
--- a/soak/core.py
+++ b/soak/core.py
@@ -8,16 +8,16 @@
 from typing import Any, Final, NamedTuple
 
 from soak.callers import Caller
-from soak.checks import Ledger, Trouble
+from soak.checks import Disturbances, Ledger
 from soak.const import (
     CALLERS,
-    KINDS,
     POLL_SECONDS,
-    READ_SECONDS,
-    RECOVER_SECONDS,
+    RECORD_POLL_SECONDS,
+    RECOVERY_TIMEOUT_SECONDS,
+    REQUEST_KINDS,
     SETTLE_SECONDS,
 )
-from soak.faults import carry_out
+from soak.faults import inject
 from soak.fleet import Fleet
 from soak.schedule import Fault, make_schedule
 from standins.runs import read_clock
@@ -29,7 +29,7 @@
 
 
 class Outcome(NamedTuple):
-    """Hold what a run has shown."""
+    """Represent the results of a run."""
 
     findings: list[str]
     counts: dict[str, int]
@@ -38,16 +38,16 @@
 
 
 async def run_seed(
-    seed: int, seconds: float, scale: int = 1, spoils: bool = True
+    seed: int, seconds: float, scale: int = 1, spoil_runs: bool = True
 ) -> Outcome:
-    """Run the schedule that the seed names, and check while it runs."""
-    chance = random.Random(seed)
-    trouble = Trouble()
-    ledger = Ledger(trouble)
+    """Run the schedule of a seed and check the guarantees meanwhile."""
+    rng = random.Random(seed)
+    disturbances = Disturbances()
+    ledger = Ledger(disturbances)
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    fleet = Fleet(folder, ledger, trouble, chance)
-    schedule = make_schedule(seed, seconds, spoils)
-    sizes = chance.randint(*GATEWAYS), ENGINES, chance.randint(*DESKS)
+    fleet = Fleet(folder, ledger, disturbances, rng)
+    schedule = make_schedule(seed, seconds, spoil_runs)
+    sizes = rng.randint(*GATEWAYS), ENGINES, rng.randint(*DESKS)
     try:
         await fleet.start(*(scale * size for size in sizes))
         await _run(fleet, schedule, seed, scale * CALLERS)
@@ -58,49 +58,57 @@
 
 async def _run(fleet: Fleet, schedule: list[Fault], seed: int, count: int) -> None:
     callers = [
-        Caller(f"c{seed}-{number}", fleet.gateways, fleet.ledger, fleet.trouble)
+        Caller(f"c{seed}-{number}", fleet.gateways, fleet.ledger, fleet.disturbances)
         for number in range(count)
     ]
-    watch = asyncio.create_task(_watch(fleet))
+    monitor = asyncio.create_task(_monitor(fleet))
     async with asyncio.TaskGroup() as group:
-        group.create_task(_play(fleet, schedule, callers))
+        group.create_task(_run_schedule(fleet, schedule, callers))
         for caller in callers:
             group.create_task(caller.run())
-    # What was called not run must not run later either.
+    # A request reported as not run must not run later either.
     await asyncio.sleep(SETTLE_SECONDS)
-    watch.cancel()
-    await fleet.read_runs()
+    monitor.cancel()
+    await fleet.check_records()
 
 
-async def _play(fleet: Fleet, schedule: list[Fault], callers: list[Caller]) -> None:
+async def _run_schedule(
+    fleet: Fleet, schedule: list[Fault], callers: list[Caller]
+) -> None:
     begin = read_clock()
     async with asyncio.TaskGroup() as group:
         for fault in schedule:
-            group.create_task(_carry_at(begin + fault.at, carry_out(fleet, fault)))
+            group.create_task(_inject_at(begin + fault.at, inject(fleet, fault)))
     await fleet.heal()
-    await _wait_served(fleet)
+    await _wait_for_recovery(fleet)
     for caller in callers:
         caller.is_stopping = True
 
 
-async def _carry_at(at: float, fault: Coroutine[Any, Any, None]) -> None:
+async def _inject_at(at: float, fault: Coroutine[Any, Any, None]) -> None:
     await asyncio.sleep(max(0.0, at - read_clock()))
     await fault
 
 
-async def _watch(fleet: Fleet) -> None:
+async def _monitor(fleet: Fleet) -> None:
     while True:
-        await asyncio.sleep(READ_SECONDS)
-        fleet.check_processes()
-        await fleet.read_runs()
+        await asyncio.sleep(RECORD_POLL_SECONDS)
+        fleet.restart_exited()
+        await fleet.check_records()
 
 
-async def _wait_served(fleet: Fleet) -> None:
-    """Wait until every gateway has served every kind that was sent after the faults."""
+async def _wait_for_recovery(fleet: Fleet) -> None:
+    """Wait until every gateway has served a request of every kind after the faults."""
     begin = read_clock()
-    wanted = {(gateway.name, kind) for gateway in fleet.gateways for kind in KINDS}
-    while missing := [key for key in wanted if fleet.ledger.served.get(key, 0) < begin]:
-        if read_clock() > begin + RECOVER_SECONDS:
-            fleet.ledger.find(f"not served after the faults: {sorted(missing)}")
+    expected = {
+        (gateway.name, kind) for gateway in fleet.gateways for kind in REQUEST_KINDS
+    }
+    while missing := [
+        key for key in expected if fleet.ledger.served.get(key, 0) < begin
+    ]:
+        if read_clock() > begin + RECOVERY_TIMEOUT_SECONDS:
+            fleet.ledger.report_finding(
+                f"not served after the faults: {sorted(missing)}"
+            )
             return
         await asyncio.sleep(POLL_SECONDS)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carry out the faults of a schedule, all from outside the programs."""
+"""Inject the faults of a schedule, all from outside the programs."""
 
 import asyncio
 import signal
@@ -13,14 +13,14 @@
 from standins.proxy import FaultProxy
 from standins.spoiling import CLOSE
 
-DELAYS: Final = (0.03, 0.1, 0.4)
-"""Seconds by which a link is late, one way."""
+LINK_DELAY_SECONDS: Final = (0.03, 0.1, 0.4)
+"""One-way delays of a link."""
 SLOW_SECONDS: Final = (0.25, 1.0)
 DRAIN_SECONDS: Final = 1.0
-CRASH_SECONDS: Final = 3.0
-"""Time from a host's crash to the end of its entry."""
-FEWEST_PEERS: Final = 2
-"""Hosts of a kind below which none of them goes."""
+CRASHED_ENTRY_SECONDS: Final = 3.0
+"""Time from a host's crash to the removal of its entry."""
+MIN_PEERS: Final = 2
+"""Smallest number of hosts of a service at which one may leave or crash."""
 DESK_MODES: Final = (
     ["whole", "twice"],
     ["whole", "twice_unnamed"],
@@ -41,15 +41,15 @@
     {"cut_after": 7},
     {"cut_after": 12},
 )
-OTHER_BODY: Final = "of another answer " * 40
+LONG_BODY: Final = "of another answer " * 40
 """Longer than all events of a stream."""
 SPOILED_RUNS: Final = (
     {},
     {},
-    {"status": 500, "body": OTHER_BODY},
+    {"status": 500, "body": LONG_BODY},
     {"status": 500, "body": "short"},
-    {"status": 404, "body": OTHER_BODY},
-    {"status": 302, "body": OTHER_BODY},
+    {"status": 404, "body": LONG_BODY},
+    {"status": 302, "body": LONG_BODY},
     {"cut_after": 0},
     {"cut_after": 0, "half": False, "end": CLOSE, "is_unframed": True},
     {"cut_after": 3},
@@ -57,26 +57,26 @@
     {"cut_after": 6, "end": CLOSE, "is_unframed": True},
     {"is_unframed": True},
 )
-Carry = Callable[[Fleet, Fault, str], Awaitable[None]]
+Injector = Callable[[Fleet, Fault, str], Awaitable[None]]
 
 
-async def carry_out(fleet: Fleet, fault: Fault) -> None:
-    """Show a fault for its time, and end it."""
+async def inject(fleet: Fleet, fault: Fault) -> None:
+    """Inject a fault, wait for its duration and end it."""
     kind, _, name = fault.kind.partition("_")
-    await _CARRIERS[kind](fleet, fault, name)
+    await _INJECTORS[kind](fleet, fault, name)
 
 
-async def _disturb_link(fleet: Fleet, fault: Fault, name: str) -> None:
-    proxy, what = _choose_link(fleet, fault.target)
+async def _inject_link(fleet: Fleet, fault: Fault, name: str) -> None:
+    proxy, link_name = _choose_link(fleet, fault.target)
     tail = SILENCE_SECONDS if name == "silence" else 0.0
-    with fleet.trouble.mark(what, tail=tail):
-        await _show_on_link(proxy, name, fault)
+    with fleet.disturbances.mark(link_name, tail=tail):
+        await _inject_on_link(proxy, name, fault)
 
 
-async def _show_on_link(proxy: FaultProxy, name: str, fault: Fault) -> None:
+async def _inject_on_link(proxy: FaultProxy, name: str, fault: Fault) -> None:
     match name:
         case "delay":
-            proxy.delay(DELAYS[fault.variant % len(DELAYS)])
+            proxy.delay(LINK_DELAY_SECONDS[fault.variant % len(LINK_DELAY_SECONDS)])
         case "reset":
             proxy.cut()
         case "silence":
@@ -93,19 +93,19 @@
 
 
 def _choose_link(fleet: Fleet, target: int) -> tuple[FaultProxy, str]:
-    fronts = [(one.front, f"front:{one.name}") for one in fleet.gateways]
-    stores = [(one.store, f"store:{one.name}") for one in fleet.gateways]
+    fronts = [(one.front_proxy, f"front:{one.name}") for one in fleet.gateways]
+    stores = [(one.store_proxy, f"store:{one.name}") for one in fleet.gateways]
     hosts = [(one.proxy, one.name) for one in fleet.hosts]
     links = [*fronts, *stores, *hosts]
     return links[target % len(links)]
 
 
-async def _disturb_gateway(fleet: Fleet, fault: Fault, name: str) -> None:
+async def _inject_gateway(fleet: Fleet, fault: Fault, name: str) -> None:
     gateway = fleet.gateways[fault.target % len(fleet.gateways)]
     if name == "hangup":
-        _hang_up(fleet, gateway, fault.variant)
+        _reload_settings(fleet, gateway, fault.variant)
         return
-    with fleet.trouble.mark(gateway.name):
+    with fleet.disturbances.mark(gateway.name):
         if name == "pause":
             await _pause(fleet, gateway, fault.seconds)
             return
@@ -113,11 +113,11 @@
         await fleet.restart_gateway(gateway, number)
 
 
-async def _stall_gateways(fleet: Fleet, fault: Fault, name: str) -> None:
-    """Pause all gateways at once: holder and contenders of the lease wake together."""
+async def _inject_stall(fleet: Fleet, fault: Fault, name: str) -> None:
+    """Pause all gateways at once, so that lease holder and contenders wake together."""
 
     async def stall(gateway: Gateway) -> None:
-        with fleet.trouble.mark(gateway.name):
+        with fleet.disturbances.mark(gateway.name):
             await _pause(fleet, gateway, fault.seconds)
 
     await asyncio.gather(*map(stall, fleet.gateways))
@@ -129,24 +129,24 @@
     fleet.signal_gateway(gateway, signal.SIGCONT)
 
 
-def _hang_up(fleet: Fleet, gateway: Gateway, variant: int) -> None:
-    """Change the settings, with a signal if the process is there to take it."""
+def _reload_settings(fleet: Fleet, gateway: Gateway, variant: int) -> None:
+    """Change the settings, and send SIGHUP if the process can handle it."""
     bounds = gateway.settings["bounds"]
     bounds["retry_slack"] = 20 + variant % 50
     bounds["retry_ratio"] = 0.1 + variant % 3 / 10
     gateway.settings["core_share"] = 0.5 + variant % 4 / 10
     fleet.write_settings(gateway)
-    # The interpreter itself can't ignore the signal before the program's first line.
+    # Before the program's first line, SIGHUP would kill the interpreter.
     if variant % 4 and gateway.was_ready:
         fleet.signal_gateway(gateway, signal.SIGHUP)
 
 
-async def _disturb_store(fleet: Fleet, fault: Fault, name: str) -> None:
+async def _inject_store(fleet: Fleet, fault: Fault, name: str) -> None:
     address, process = fleet.store.address, fleet.store.process
     if name == "forget":
         await fleet.post(address, "/_compact", {})
         return
-    with fleet.trouble.mark("store"):
+    with fleet.disturbances.mark("store"):
         if name == "pause":
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(fault.seconds)
@@ -159,18 +159,18 @@
         await fleet.post(address, "/_fault", {"mode": "up"})
 
 
-async def _disturb_host(fleet: Fleet, fault: Fault, name: str) -> None:
+async def _inject_host(fleet: Fleet, fault: Fault, name: str) -> None:
     host = fleet.hosts[fault.target % len(fleet.hosts)]
     peers = [one for one in fleet.hosts if one.service == host.service]
-    if name in ("leave", "crash") and len(peers) < FEWEST_PEERS:
+    if name in ("leave", "crash") and len(peers) < MIN_PEERS:
         return
     match name:
         case "leave":
-            await _leave(fleet, host, fault.variant)
+            await _replace_host(fleet, host, fault.variant)
         case "crash":
-            await _crash(fleet, host)
+            await _crash_host(fleet, host)
         case "pause":
-            with fleet.trouble.mark(host.name):
+            with fleet.disturbances.mark(host.name):
                 host.child.process.send_signal(signal.SIGSTOP)
                 await asyncio.sleep(fault.seconds)
                 host.child.process.send_signal(signal.SIGCONT)
@@ -181,15 +181,15 @@
                 await fleet.announce(host)
 
 
-async def _leave(fleet: Fleet, host: Host, variant: int) -> None:
-    """Let a host leave; another one comes, and it serves on whatever still comes.
+async def _replace_host(fleet: Fleet, host: Host, variant: int) -> None:
+    """Replace a host; the old one goes on serving requests that still arrive.
 
-    An engine may come with the other role, until the gateways order another one.
+    A new engine may start with the opposite role, until the gateways order another.
     """
     fleet.hosts.remove(host)
-    others = {"prefill": "decode", "decode": "prefill"}
-    turned = others.get(host.phase, "") if variant % 4 < 2 else host.phase
-    await fleet.add_host(turned)
+    opposite = {"prefill": "decode", "decode": "prefill"}
+    role = opposite.get(host.phase, "") if variant % 4 < 2 else host.phase
+    await fleet.add_host(role)
     if variant % 2:
         await fleet.announce(host, "draining")
         await asyncio.sleep(DRAIN_SECONDS)
@@ -198,43 +198,43 @@
     host.child.process.terminate()
 
 
-async def _crash(fleet: Fleet, host: Host) -> None:
-    """Kill a host; it starts again at its address under another id."""
+async def _crash_host(fleet: Fleet, host: Host) -> None:
+    """Kill a host and start another at its address, under a new id."""
     fleet.hosts.remove(host)
     host.child.process.kill()
     await fleet.add_host(host.phase, host.proxy)
-    await asyncio.sleep(CRASH_SECONDS)
+    await asyncio.sleep(CRASHED_ENTRY_SECONDS)
     await fleet.withdraw(host)
 
 
-async def _disturb_answers(fleet: Fleet, fault: Fault, name: str) -> None:
-    """Let a host answer falsely; it is not told to be sound before its time is up."""
+async def _inject_answers(fleet: Fleet, fault: Fault, name: str) -> None:
+    """Make a host give faulty answers until the fault's duration is over."""
     is_desk = fault.kind.startswith("desk")
     hosts = [host for host in fleet.hosts if is_desk != bool(host.phase)]
     host = hosts[fault.target % len(hosts)]
     if is_desk:
         modes = DESK_MODES[fault.variant % len(DESK_MODES)]
-        shown, sound = {"modes": modes, "seed": fault.variant}, {"modes": ["whole"]}
+        faulty, sound = {"modes": modes, "seed": fault.variant}, {"modes": ["whole"]}
     else:
-        shown, sound = ENGINE_FAULTS[fault.variant % len(ENGINE_FAULTS)], {}
-    await _tell(fleet, host, shown)
+        faulty, sound = ENGINE_FAULTS[fault.variant % len(ENGINE_FAULTS)], {}
+    await _set_fault(fleet, host, faulty)
     await asyncio.sleep(fault.seconds)
-    await _tell(fleet, host, sound)
+    await _set_fault(fleet, host, sound)
 
 
-async def _spoil_runs(fleet: Fleet, fault: Fault, name: str) -> None:
-    """Let all engines spoil each run in a way of its own."""
+async def _inject_spoiled_runs(fleet: Fleet, fault: Fault, name: str) -> None:
+    """Make all engines spoil each run with a fault that is drawn for it."""
     engines = [host for host in fleet.hosts if host.phase]
     for number, engine in enumerate(engines):
         seed = fault.variant + number
-        await _tell(fleet, engine, {"runs": SPOILED_RUNS, "seed": seed})
+        await _set_fault(fleet, engine, {"runs": SPOILED_RUNS, "seed": seed})
     await asyncio.sleep(fault.seconds)
     for engine in engines:
-        await _tell(fleet, engine, {})
+        await _set_fault(fleet, engine, {})
 
 
-async def _tell(fleet: Fleet, host: Host, fault: dict) -> None:
-    """Tell a host how to answer, as long as it runs."""
+async def _set_fault(fleet: Fleet, host: Host, fault: dict) -> None:
+    """Set a host's fault; ignore connection errors of a host out of service."""
     try:
         await fleet.post(host.child.address, "/_fault", fault)
     except aiohttp.ClientError:
@@ -242,8 +242,8 @@
             raise
 
 
-async def _configure(fleet: Fleet, fault: Fault, name: str) -> None:
-    """Change times and add a route, then take it away."""
+async def _inject_configuration(fleet: Fleet, fault: Fault, name: str) -> None:
+    """Change timeouts and priority and add a route, then restore the configuration."""
     variant = fault.variant
     times = {"timeoutMs": 4000 + variant % 2000, "priority": variant % 5}
     route = {"name": f"more-{variant % 3}", "kind": "safe", "service": "desk"}
@@ -252,14 +252,14 @@
     await fleet.configure()
 
 
-_CARRIERS: Final[dict[str, Carry]] = {
-    "link": _disturb_link,
-    "gateway": _disturb_gateway,
-    "store": _disturb_store,
-    "host": _disturb_host,
-    "desk": _disturb_answers,
-    "engine": _disturb_answers,
-    "configure": _configure,
-    "spoil": _spoil_runs,
-    "stall": _stall_gateways,
+_INJECTORS: Final[dict[str, Injector]] = {
+    "link": _inject_link,
+    "gateway": _inject_gateway,
+    "store": _inject_store,
+    "host": _inject_host,
+    "desk": _inject_answers,
+    "engine": _inject_answers,
+    "configure": _inject_configuration,
+    "spoil": _inject_spoiled_runs,
+    "stall": _inject_stall,
 }
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Start and end the processes of a soak, and lead their connections through proxies."""
+"""Start and stop the processes of a soak, connected through fault proxies."""
 
 import asyncio
 import base64
@@ -17,49 +17,49 @@
 import aiohttp
 
 from bench.fleet import ROOT, Child, make_environment, read_address
-from soak.checks import Ledger, Trouble
+from soak.checks import Disturbances, Ledger
 from soak.const import (
     DEPLOYMENT,
     EVENT_SECONDS,
     EVENTS,
+    EXPECTED_EXIT_CODES,
     GRACE_SECONDS,
     POLL_SECONDS,
-    START_SECONDS,
-    STOP_CODES,
+    START_TIMEOUT_SECONDS,
 )
 from standins.proxy import FaultProxy
 from standins.runs import Order, RunReader, read_clock
 
 PROGRAM: Final = ROOT / "platform" / "radishtallyd.py"
-TAKEN: Final = 202
-"""Status with which an engine takes another role."""
-IPS: Final = itertools.count(1)
+ORDER_ACCEPTED: Final = 202
+"""Status with which an engine accepts a change of role."""
+IP_NUMBERS: Final = itertools.count(1)
 
 
 @dataclass
 class Gateway:
-    """Hold one gateway and what stands before and behind it."""
+    """Represent a gateway and its proxies towards callers and store."""
 
     name: str
     ip: str
-    front: FaultProxy
-    store: FaultProxy
+    front_proxy: FaultProxy
+    store_proxy: FaultProxy
     settings: dict[str, Any]
     process: subprocess.Popen[bytes] | None = None
     is_ending: bool = False
-    """Whether the process was told to end."""
+    """Whether the process was told to stop."""
     was_ready: bool = False
-    """Whether the process has taken callers."""
+    """Whether the process was ready for callers."""
 
     @property
     def address(self) -> str:
-        """Give where callers connect."""
-        return self.front.address
+        """Return the address that callers connect to."""
+        return self.front_proxy.address
 
 
 @dataclass
 class Host:
-    """Hold a host of an upstream, reached through a proxy only."""
+    """Represent a host of an upstream, which is reached through its proxy only."""
 
     name: str
     service: str
@@ -73,15 +73,15 @@
 
 @dataclass
 class Fleet:
-    """Hold what runs."""
+    """Manage the store, the hosts and the gateways of a soak."""
 
     folder: Path
     ledger: Ledger
-    trouble: Trouble
-    chance: random.Random
+    disturbances: Disturbances
+    rng: random.Random
     gateways: list[Gateway] = field(default_factory=list)
     hosts: list[Host] = field(default_factory=list)
-    """Hosts that are in service, those that left not among them."""
+    """Hosts in service, without those that left or crashed."""
     version: int = 0
     _started: list[subprocess.Popen[bytes]] = field(default_factory=list)
     _proxies: list[FaultProxy] = field(default_factory=list)
@@ -89,8 +89,8 @@
     _names: itertools.count = field(default_factory=lambda: itertools.count(1))
 
     async def start(self, gateways: int, engines: int, desks: int) -> None:
-        """Start everything and wait until callers are taken."""
-        # A connection that is kept may end just as a process is told something on it.
+        """Start all processes and wait until the gateways are ready."""
+        # A kept-alive connection may close just as a command is sent on it.
         connector = aiohttp.TCPConnector(force_close=True)
         self.session = aiohttp.ClientSession(connector=connector)
         child = await self._launch("store", "rows")
@@ -106,9 +106,9 @@
             await self.wait_ready(gateway)
 
     async def stop(self) -> None:
-        """End every process that was started."""
+        """Kill all processes and stop all proxies."""
         for process in self._started:
-            # A paused process is killed all the same.
+            # SIGKILL ends paused processes, too.
             process.kill()
         for process in self._started:
             process.wait()
@@ -120,7 +120,7 @@
 
     async def configure(self, *more: dict[str, Any], **changes: Any) -> None:
         """Write a configuration with changed or added routes as the operator does."""
-        self.version += self.chance.randint(1, 4)
+        self.version += self.rng.randint(1, 4)
         routes = [
             {**DEPLOYMENT["route"], **changes, "prefix": f"/{one['name']}/", **one}
             for one in (*DEPLOYMENT["routes"], *more)
@@ -130,7 +130,7 @@
         await self._write("op", "config", value)
 
     async def add_host(self, phase: str, proxy: FaultProxy | None = None) -> Host:
-        """Start a host, at an address that another one had if there is such a one."""
+        """Start a host; with a proxy, take over the address of an earlier host."""
         name = f"{phase[:1] or 's'}-{next(self._names)}"
         log = self.folder / f"{name}.runs"
         args = ["--instance", name, "--log", str(log)]
@@ -151,7 +151,7 @@
         return host
 
     async def announce(self, host: Host, state: str = "ready") -> None:
-        """Write a host's entry as the host does."""
+        """Write a host's entry as the host itself does."""
         host.sequence += 1
         entry = {
             **DEPLOYMENT["entry"],
@@ -165,10 +165,10 @@
     async def withdraw(self, host: Host) -> None:
         """Remove a host's entry."""
         await self._write("servers", host.name, None)
-        self.ledger.gone[host.name] = read_clock()
+        self.ledger.removed_at[host.name] = read_clock()
 
     async def garble(self, host: Host) -> None:
-        """Write over a host's entry as a foreign writer may."""
+        """Overwrite a host's entry with an invalid value, as a foreign writer may."""
         await self._write("servers", host.name, ["no entry"])
 
     async def _write(self, table: str, key: str, value: Any) -> None:
@@ -178,29 +178,29 @@
         await self.post(self.store.address, "/_write", row)
 
     async def post(self, address: str, path: str, body: Any) -> None:
-        """Tell a stand-in something, not through a proxy."""
+        """Send a command to a stand-in directly, not through a proxy."""
         async with self.session.post(f"http://{address}{path}", json=body) as reply:
             reply.raise_for_status()
 
-    async def read_runs(self) -> None:
-        """Read what hosts have noted, and compare the answers with it."""
-        signed = self.ledger.take_signed()
+    async def check_records(self) -> None:
+        """Read the hosts' new records and check the signed answers against them."""
+        signed = self.ledger.pop_signed()
         records = [record for reader in self._readers for record in reader.read()]
-        self.ledger.take(records)
+        self.ledger.add_records(records)
         self.ledger.check_signed(signed)
         for order in records:
-            if isinstance(order, Order) and order.status == TAKEN:
+            if isinstance(order, Order) and order.status == ORDER_ACCEPTED:
                 await self._change_role(order)
 
     async def _change_role(self, order: Order) -> None:
-        """Write the entry of an engine that has taken another role."""
+        """Write the entry of an engine that has accepted another role."""
         for host in self.hosts:
             if host.name == order.host:
                 host.phase = order.role
                 await self.announce(host)
 
     def start_gateway(self, gateway: Gateway) -> None:
-        """Start a gateway's process with its settings as they stand."""
+        """Start a gateway's process with its current settings."""
         path = self.write_settings(gateway)
         command = [sys.executable, str(PROGRAM), "gateway"]
         environment = {**make_environment(), "RADISHTALLY_CONFIG": str(path)}
@@ -215,18 +215,18 @@
         """Write a gateway's settings file."""
         path = self.folder / f"{gateway.name}.json"
         text = json.dumps(gateway.settings, indent=2)
-        whole = path.with_suffix(".new")
-        whole.write_text(text)
-        whole.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_text(text)
+        temporary.replace(path)
         return path
 
     def signal_gateway(self, gateway: Gateway, number: int) -> None:
-        """Send a signal to the process that the soak has started."""
+        """Send a signal to a gateway's process."""
         with suppress(ProcessLookupError):
             gateway.process.send_signal(number)
 
     async def restart_gateway(self, gateway: Gateway, number: int) -> None:
-        """End a gateway by a signal, killed when its time is up, and start it anew."""
+        """Stop a gateway, with SIGKILL after the grace period, and start it again."""
         process, is_first = gateway.process, not gateway.is_ending
         gateway.is_ending = True
         self.signal_gateway(gateway, number)
@@ -237,13 +237,13 @@
             if read_clock() > until:
                 process.kill()
             await asyncio.sleep(POLL_SECONDS)
-        self.check_end(gateway)
+        self.check_exit(gateway)
         self.start_gateway(gateway)
         await self.wait_ready(gateway)
 
     async def wait_ready(self, gateway: Gateway) -> None:
-        """Wait until a gateway's process takes callers, or has been told to end."""
-        process, until = gateway.process, read_clock() + START_SECONDS
+        """Wait until a gateway's process is ready, or has been told to stop."""
+        process, until = gateway.process, read_clock() + START_TIMEOUT_SECONDS
         while process is gateway.process and not gateway.is_ending:
             if await self._answers(gateway):
                 gateway.was_ready = process is gateway.process
@@ -251,7 +251,9 @@
             if process.poll() is not None:
                 return
             if read_clock() > until:
-                self.ledger.find(f"{gateway.name} was not ready in {START_SECONDS} s")
+                self.ledger.report_finding(
+                    f"{gateway.name} was not ready in {START_TIMEOUT_SECONDS} s"
+                )
                 return
             await asyncio.sleep(POLL_SECONDS)
 
@@ -264,23 +266,23 @@
         except (aiohttp.ClientError, TimeoutError):
             return False
 
-    def check_end(self, gateway: Gateway) -> None:
-        """Check how a gateway's process ended that was told to."""
+    def check_exit(self, gateway: Gateway) -> None:
+        """Check the exit code of a gateway that was told to stop."""
         code = gateway.process.returncode
-        if code not in STOP_CODES:
-            self.ledger.find(f"{gateway.name} ended with {code}; see its log")
+        if code not in EXPECTED_EXIT_CODES:
+            self.ledger.report_finding(f"{gateway.name} ended with {code}; see its log")
 
-    def check_processes(self) -> None:
-        """Start gateways again that ended though nobody told them to."""
+    def restart_exited(self) -> None:
+        """Report and restart gateways that exited without being told to stop."""
         for gateway in self.gateways:
             if gateway.is_ending or gateway.process.poll() is None:
                 continue
             code = gateway.process.returncode
-            self.ledger.find(f"{gateway.name} ended by itself with {code}")
+            self.ledger.report_finding(f"{gateway.name} ended by itself with {code}")
             self.start_gateway(gateway)
 
     async def heal(self) -> None:
-        """End all faults; what is stopped goes on."""
+        """End all faults and resume paused processes."""
         for gateway in self.gateways:
             self.signal_gateway(gateway, signal.SIGCONT)
         for proxy in self._proxies:
@@ -291,7 +293,7 @@
             await self.announce(host)
 
     async def _prepare_gateway(self, name: str) -> Gateway:
-        ip = take_ip()
+        ip = allocate_ip()
         front = await self._add_proxy(f"{ip}:8101")
         store = await self._add_proxy(self.store.address)
         settings = {
@@ -309,12 +311,12 @@
         return Gateway(name, ip, front, store, settings)
 
     async def _add_proxy(self, target: str) -> FaultProxy:
-        proxy = await FaultProxy.start(target, take_ip())
+        proxy = await FaultProxy.start(target, allocate_ip())
         self._proxies.append(proxy)
         return proxy
 
     async def _launch(self, name: str, kind: str, *args: str) -> Child:
-        command = [sys.executable, "-m", f"standins.{kind}", "--address", take_ip()]
+        command = [sys.executable, "-m", f"standins.{kind}", "--address", allocate_ip()]
         with (self.folder / "standins.log").open("ab") as log:
             process = subprocess.Popen(
                 [*command, *args],
@@ -327,7 +329,9 @@
         return await asyncio.to_thread(read_address, Child(name, process, ""))
 
 
-def take_ip() -> str:
-    """Give a loopback address that nothing else on the machine uses."""
+def allocate_ip() -> str:
+    """Allocate a loopback address that nothing else on the machine uses."""
     process = os.getpid() % 12_500
-    return f"127.{200 + process // 250}.{1 + process % 250}.{next(IPS) % 250 + 1}"
+    return (
+        f"127.{200 + process // 250}.{1 + process % 250}.{next(IP_NUMBERS) % 250 + 1}"
+    )
--- a/soak/wire.py
+++ b/soak/wire.py
@@ -1,32 +1,32 @@
-"""Speak HTTP/1.1 as a caller that sees every byte."""
+"""Implement a minimal HTTP/1.1 client that checks every byte it receives."""
 
 import asyncio
 from dataclasses import dataclass, field
 from typing import Final
 
-LOOK_SECONDS: Final = 0.001
-"""Time of a look for bytes that nobody asked for."""
+UNSOLICITED_WAIT_SECONDS: Final = 0.001
+"""Time to wait for bytes that belong to no request."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """Hold what has come of an answer."""
+    """Represent an answer as far as it was received."""
 
     status: int = 0
     headers: dict[str, list[str]] = field(default_factory=dict)
     body: bytearray = field(default_factory=bytearray)
-    is_whole: bool = False
-    fault: str = ""
-    """What is no HTTP in it."""
+    is_complete: bool = False
+    protocol_error: str = ""
+    """Description of invalid HTTP in it."""
 
-    def get(self, name: str) -> str:
-        """Give a header's only value."""
+    def get_header(self, name: str) -> str:
+        """Return a header's value; join several values with `|`."""
         values = self.headers.get(name, [])
         return values[0] if len(values) == 1 else "|".join(values)
 
 
 class Connection:
-    """Keep one connection open for requests that follow each other."""
+    """Send successive requests over one persistent connection."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -34,21 +34,21 @@
         self.is_open = False
 
     async def open(self) -> None:
-        """Connect."""
+        """Open the connection."""
         ip, port = self.address.rsplit(":", 1)
         self._reader, self._writer = await asyncio.open_connection(ip, int(port))
         self.is_open = True
 
     def close(self) -> None:
-        """Close."""
+        """Reset the connection, if it is open."""
         if self.is_open:
             self.is_open = False
             self._writer.transport.abort()
 
-    async def read_unasked(self) -> bytes:
-        """Give what came though nothing was asked; an end closes the connection."""
+    async def read_unsolicited(self) -> bytes:
+        """Return bytes that belong to no request; close after them or at an end."""
         try:
-            async with asyncio.timeout(LOOK_SECONDS):
+            async with asyncio.timeout(UNSOLICITED_WAIT_SECONDS):
                 data = await self._reader.read(1024)
         except TimeoutError:
             return b""
@@ -57,8 +57,8 @@
         self.close()
         return data
 
-    async def ask(self, request: bytes) -> None:
-        """Send a request and read its answer as far as it comes."""
+    async def fetch(self, request: bytes) -> None:
+        """Send a request and read its answer as far as it arrives."""
         self.answer = Answer()
         try:
             self._writer.write(request)
@@ -67,9 +67,9 @@
         except (asyncio.IncompleteReadError, OSError):
             self.close()
         except (ValueError, asyncio.LimitOverrunError) as error:
-            self.answer.fault = repr(error)
+            self.answer.protocol_error = repr(error)
             self.close()
-        if "close" in self.answer.get("connection").lower():
+        if "close" in self.answer.get_header("connection").lower():
             self.close()
 
     async def _read(self, answer: Answer) -> None:
@@ -82,19 +82,19 @@
             name, _, value = line.partition(":")
             answer.headers.setdefault(name.lower(), []).append(value.strip())
         answer.status = int(status)
-        if answer.get("transfer-encoding") == "chunked":
+        if answer.get_header("transfer-encoding") == "chunked":
             await self._read_chunks(answer)
         else:
-            length = int(answer.get("content-length"))
+            length = int(answer.get_header("content-length"))
             answer.body += await self._reader.readexactly(length)
-        answer.is_whole = True
+        answer.is_complete = True
 
     async def _read_chunks(self, answer: Answer) -> None:
         while True:
             size = int(await self._reader.readuntil(b"\r\n"), 16)
             data = await self._reader.readexactly(size)
             if await self._reader.readexactly(2) != b"\r\n":
-                raise ValueError("a chunk without an end")
+                raise ValueError("chunk without a line break at its end")
             if not size:
                 return
             answer.body += data
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -1,11 +1,11 @@
-"""Each check of the soak finds the failure that it is for."""
+"""Test that each check of the soak finds its failure."""
 
 from collections.abc import Callable
 
 import pytest
 
-from soak.checks import Ledger, Sent, Trouble
-from soak.const import EVENTS, GONE_SECONDS
+from soak.checks import Disturbances, Ledger, SentRequest
+from soak.const import DEREGISTRATION_SECONDS, EVENTS
 from soak.wire import Answer
 from standins.runs import ORDER, RUN, Order, Run, digest
 from standins.staged import make_event
@@ -14,12 +14,12 @@
 SIGNATURE = "h-1.1"
 
 
-def make_sent(kind: str = "book", name: str = "r1") -> Sent:
+def make_sent(kind: str = "book", name: str = "r1") -> SentRequest:
     """Make a request that a caller sent."""
-    return Sent(name, kind, "POST", f"/{kind}/1", digest(b""), "g-1", 100.0)
+    return SentRequest(name, kind, "POST", f"/{kind}/1", digest(b""), "g-1", 100.0)
 
 
-def make_run(sent: Sent, **changes: object) -> Run:
+def make_run(sent: SentRequest, **changes: object) -> Run:
     """Make the run of a request."""
     asked = sent.id, sent.method, sent.path, sent.body
     run = Run(RUN, 100.0, "h-1", *asked, SIGNATURE, 200, digest(BODY))
@@ -27,7 +27,7 @@
 
 
 def make_answer(body: bytes = BODY, status: int = 200, **more: str) -> Answer:
-    """Make an answer that a caller got whole."""
+    """Make an answer that a caller received completely."""
     headers = {"x-server-signature": [SIGNATURE], "x-request-id": ["r1"]}
     headers |= {name.replace("_", "-"): [value] for name, value in more.items()}
     return Answer(status, headers, bytearray(body), True)
@@ -38,60 +38,68 @@
     return b"".join(make_event("r1", number) for number in numbers)
 
 
-def play(*steps: Callable[[Ledger], None]) -> list[str]:
-    """Give what a ledger finds after some steps."""
-    ledger = Ledger(Trouble())
-    ledger.send(make_sent())
+def collect_findings(*steps: Callable[[Ledger], None]) -> list[str]:
+    """Return the findings of a ledger after these steps."""
+    ledger = Ledger(Disturbances())
+    ledger.record_request(make_sent())
     for step in steps:
         step(ledger)
-    ledger.check_signed(ledger.take_signed())
+    ledger.check_signed(ledger.pop_signed())
     return ledger.findings
 
 
-def get(answer: Answer, kind: str = "book") -> Callable[[Ledger], None]:
-    """Let the caller get an answer."""
-    return lambda ledger: ledger.end(make_sent(kind), answer)
+def receive(answer: Answer, kind: str = "book") -> Callable[[Ledger], None]:
+    """Make a step in which the caller receives an answer."""
+    return lambda ledger: ledger.record_answer(make_sent(kind), answer)
 
 
-def note(*records: Run | Order) -> Callable[[Ledger], None]:
-    """Let hosts note records."""
-    return lambda ledger: ledger.take(records)
+def record(*records: Run | Order) -> Callable[[Ledger], None]:
+    """Make a step in which hosts add records."""
+    return lambda ledger: ledger.add_records(records)
 
 
-RAN = note(make_run(make_sent()))
-STREAMED = note(make_run(make_sent(), answer=""))
+RECORDED_RUN = record(make_run(make_sent()))
+RECORDED_STREAM = record(make_run(make_sent(), answer=""))
 REFUSAL = Answer(503, {}, bytearray(), True)
 ORDERS = [Order(ORDER, 100.0, "e-1", "g-1", 7, "decode", 202)]
 
 
-def test_sound_request_is_no_finding() -> None:
-    assert play(RAN, get(make_answer())) == []
+def test_valid_request_is_no_finding() -> None:
+    assert collect_findings(RECORDED_RUN, receive(make_answer())) == []
 
 
-def test_sound_stream_is_no_finding() -> None:
-    whole = make_answer(make_events(range(1, EVENTS + 1)))
-    cut = Answer(200, whole.headers, bytearray(whole.body[:50]), False)
-    assert play(STREAMED, get(whole, "draft"), get(cut, "draft")) == []
+def test_valid_stream_is_no_finding() -> None:
+    complete = make_answer(make_events(range(1, EVENTS + 1)))
+    partial = Answer(200, complete.headers, bytearray(complete.body[:50]), False)
+    assert (
+        collect_findings(
+            RECORDED_STREAM, receive(complete, "draft"), receive(partial, "draft")
+        )
+        == []
+    )
 
 
 @pytest.mark.parametrize(
     ("steps", "text"),
     [
-        ([RAN, get(make_answer(b"another"))], "no run of that request"),
-        ([get(make_answer())], "no run of that request"),
-        ([RAN, get(make_answer(x_server_signature=""))], "without signature"),
-        ([RAN, get(make_answer(x_request_id="r2"))], "the answer names"),
-        ([RAN, RAN], "ran 2 times"),
-        ([RAN, get(REFUSAL)], "answered 503, and ran"),
-        ([get(REFUSAL), RAN], "answered 503, and ran"),
-        ([get(Answer(404, {}, bytearray(), True))], "denied with 404"),
-        ([note(make_run(make_sent(name="r2")))], "no caller sent it"),
-        ([note(make_run(make_sent(), path="/book/2"))], "it was sent as"),
-        ([get(Answer(fault="ValueError"))], "no answer"),
+        ([RECORDED_RUN, receive(make_answer(b"another"))], "no run of that request"),
+        ([receive(make_answer())], "no run of that request"),
+        (
+            [RECORDED_RUN, receive(make_answer(x_server_signature=""))],
+            "without signature",
+        ),
+        ([RECORDED_RUN, receive(make_answer(x_request_id="r2"))], "the answer names"),
+        ([RECORDED_RUN, RECORDED_RUN], "ran 2 times"),
+        ([RECORDED_RUN, receive(REFUSAL)], "answered 503, and ran"),
+        ([receive(REFUSAL), RECORDED_RUN], "answered 503, and ran"),
+        ([receive(Answer(404, {}, bytearray(), True))], "denied with 404"),
+        ([record(make_run(make_sent(name="r2")))], "no caller sent it"),
+        ([record(make_run(make_sent(), path="/book/2"))], "it was sent as"),
+        ([receive(Answer(protocol_error="ValueError"))], "no answer"),
     ],
 )
 def test_failure_is_found(steps: list[Callable[[Ledger], None]], text: str) -> None:
-    findings = play(*steps)
+    findings = collect_findings(*steps)
     assert findings and text in findings[0]
 
 
@@ -105,26 +113,28 @@
     ],
 )
 def test_broken_stream_is_found(body: bytes, text: str) -> None:
-    findings = play(STREAMED, get(make_answer(body), "draft"))
+    findings = collect_findings(RECORDED_STREAM, receive(make_answer(body), "draft"))
     assert len(findings) == 1 and text in findings[0]
 
 
-def test_run_at_a_host_that_left_is_found_unless_its_gateway_was_cut_off() -> None:
-    late = make_run(make_sent(), at=100.0 + 2 * GONE_SECONDS)
+def test_run_at_a_removed_host_is_found_unless_its_gateway_was_cut_off() -> None:
+    late = make_run(make_sent(), at=100.0 + 2 * DEREGISTRATION_SECONDS)
 
-    def leave(ledger: Ledger) -> None:
-        ledger.gone["h-1"] = 100.0
+    def remove_host(ledger: Ledger) -> None:
+        ledger.removed_at["h-1"] = 100.0
 
     def cut_off(ledger: Ledger) -> None:
-        ledger._trouble.spans["store:g-1"].append([111.0, 112.0])
+        ledger._disturbances.spans["store:g-1"].append([111.0, 112.0])
 
-    assert "after its host was gone" in play(leave, note(late))[0]
-    assert play(leave, cut_off, note(late)) == []
+    assert "after its host was gone" in collect_findings(remove_host, record(late))[0]
+    assert collect_findings(remove_host, cut_off, record(late)) == []
 
 
-def test_orders_of_two_holders_are_found() -> None:
+def test_orders_of_two_lease_holders_are_found() -> None:
     other = ORDERS[0]._replace(owner="g-2")
     lower = other._replace(fence=6)
-    assert "under the same number" in play(note(*ORDERS, other))[0]
-    assert "was seen before" in play(note(*ORDERS, lower))[0]
-    assert play(note(*ORDERS, other._replace(fence=8))) == []
+    assert "under the same fencing token" in collect_findings(record(*ORDERS, other))[0]
+    assert (
+        "fencing token 7 was seen before" in collect_findings(record(*ORDERS, lower))[0]
+    )
+    assert collect_findings(record(*ORDERS, other._replace(fence=8))) == []
--- a/tests/soak/test_signals.py
+++ b/tests/soak/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while a gateway ends."""
+"""Test that signals during a gateway's shutdown do not kill it."""
 
 import asyncio
 import json
@@ -9,10 +9,10 @@
 from pathlib import Path
 
 from bench.fleet import ROOT, make_environment
-from soak.checks import Ledger, Trouble
+from soak.checks import Disturbances, Ledger
 from soak.fleet import Fleet
 
-HANGUP_IN_BETWEEN = """
+HANGUP_PROGRAM = """
 import asyncio, os, signal, uvloop, radishtallyd
 from radishtally.runtime import Runtime
 
@@ -30,26 +30,26 @@
 with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
     runner.run(play())
 """
-"""Program to which the signal comes as it gives its own handler back."""
+"""Program that gets SIGHUP just before it replaces its signal handler."""
 SIGNAL_SECONDS = 0.001
-"""Time between two signals: far less than an interpreter takes to end."""
+"""Interval of the signals: far shorter than the shutdown of an interpreter."""
 
 
-# The same as below, in the moment in which the gateway gives its own handler back.
-def test_changed_settings_do_not_kill_a_gateway_that_gives_its_signals_back() -> None:
-    command = [sys.executable, "-c", HANGUP_IN_BETWEEN]
+# As the test below, for a SIGHUP at the moment when the gateway resets its handler.
+def test_hangup_while_handlers_are_reset_does_not_kill_the_gateway() -> None:
+    command = [sys.executable, "-c", HANGUP_PROGRAM]
     environment = make_environment() | {"PYTHONPATH": f"{ROOT}:{ROOT / 'platform'}"}
     assert subprocess.run(command, env=environment, check=False).returncode == 0
 
 
-# A process that was told to stop counts as crashed. Its settings change meanwhile: the
-# platform's SIGHUP comes once the loop has ended and given the signal back to its
-# default, which ends the process with -1 before the interpreter has. Found by the soak
-# (seed 208, 20 s), where the last line of the log was `gateway:stopped`.
-def test_changed_settings_do_not_kill_a_gateway_that_ends(tmp_path: Path) -> None:
-    async def play() -> int:
-        trouble = Trouble()
-        fleet = Fleet(tmp_path, Ledger(trouble), trouble, random.Random(1))
+# A change of settings sends SIGHUP while the gateway stops. If the event loop has
+# already restored the default handler, the signal kills the interpreter with -1, and
+# the stop counts as a crash although the log ends with `gateway:stopped`. Soak seed
+# 208 with 20 s of faults runs into this.
+def test_hangups_during_shutdown_do_not_kill_the_gateway(tmp_path: Path) -> None:
+    async def stop_under_hangups() -> int:
+        disturbances = Disturbances()
+        fleet = Fleet(tmp_path, Ledger(disturbances), disturbances, random.Random(1))
         try:
             await fleet.start(1, 1, 1)
             (gateway,) = fleet.gateways
@@ -62,6 +62,6 @@
         finally:
             await fleet.stop()
 
-    assert asyncio.run(play()) == 0
+    assert asyncio.run(stop_under_hangups()) == 0
     lines = (tmp_path / "g-1.log").read_text().splitlines()
     assert "gateway:stopped" in [json.loads(line)["message_type"] for line in lines]
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: the programs under a seed's faults, and what is promised then."""
+"""Run a short soak: the guarantees hold under the faults of one seed."""
 
 import asyncio
 import shutil
@@ -10,7 +10,7 @@
 SECONDS = 20.0
 
 
-def test_nothing_promised_is_broken_under_faults() -> None:
+def test_guarantees_hold_under_faults() -> None:
     outcome = asyncio.run(run_seed(SEED, SECONDS))
     assert outcome.findings == [], f"logs: {outcome.folder}"
     served = [outcome.counts.get(f"{kind} 200", 0) for kind in ("read", "book")]
@@ -18,6 +18,6 @@
     shutil.rmtree(outcome.folder)
 
 
-def test_seed_names_the_schedule() -> None:
+def test_seed_determines_the_schedule() -> None:
     assert make_schedule(SEED, 60.0) == make_schedule(SEED, 60.0)
     assert make_schedule(SEED, 60.0) != make_schedule(SEED + 1, 60.0)
