--- a/standins/rows.py
+++ b/standins/rows.py
@@ -22,7 +22,7 @@
 ERA_HEADER: Final = "Store-Era"
 
 
-class Name(NamedTuple):
+class RowId(NamedTuple):
     """Name a row."""
 
     table: str
@@ -30,11 +30,11 @@
     key: str
 
 
-Held = dict[Name, tuple[int, str | None]]
+Held = dict[RowId, tuple[int, str | None]]
 """Version and value of each row that ever was; no value once it is dropped."""
 
 
-class Copy(NamedTuple):
+class Snapshot(NamedTuple):
     """Hold what the store held at one moment."""
 
     rows: Held
@@ -53,7 +53,7 @@
     """Keep rows and the versions at which they changed."""
 
     def __init__(self, era: int = 0, seed: int = 0) -> None:
-        self.gate = FaultGate(STORE_MODES)
+        self.fault_gate = FaultGate(STORE_MODES)
         self.era = era
         """Number of the era that answers name; 0 names none, for ever."""
         self._random = random.Random(seed)
@@ -62,12 +62,12 @@
         self._oldest = 0
         """Version behind which the history is known."""
         self._changed = asyncio.Event()
-        self._copy = self.take_copy()
+        self._copy = self.take_snapshot()
         """Copy that a restore asked for by a call goes back to."""
         self._lost: Held = {}
         """Rows as they were before the last restore."""
         self._restores = 0
-        self.held = 0
+        self.waiting_feeds = 0
         """Feeds that wait for a change."""
 
     def build_app(self) -> web.Application:
@@ -78,13 +78,13 @@
         app.router.add_post("/_copy", self._keep_copy)
         app.router.add_post("/_restore", self._restore)
         app.router.add_post("/_write", self._write)
-        self.gate.install(app)
+        self.fault_gate.install(app)
         app.router.add_post("/api/rows-tx", self._transact)
         app.router.add_get("/api/rows-get", self._get)
         app.router.add_get("/api/rows-feed", self._feed)
         return app
 
-    def write(self, name: Name, value: str | None) -> int:
+    def write(self, name: RowId, value: str | None) -> int:
         """Write a row, or drop it, as the operator and the hosts do."""
         self._version += 1
         self._rows[name] = self._version, value
@@ -97,15 +97,15 @@
         self._oldest = self._version
         self._wake()
 
-    def take_copy(self) -> Copy:
+    def take_snapshot(self) -> Snapshot:
         """Copy all rows, and the version that comes with them."""
-        return Copy(dict(self._rows), self._version, self._oldest)
+        return Snapshot(dict(self._rows), self._version, self._oldest)
 
     async def _write(self, request: web.Request) -> web.Response:
         row = await read_json(request, dict[str, Any])
         return reply_json({"ver": self.write(_name(row), row.get("value"))})
 
-    def restore(self, copy: Copy) -> None:
+    def restore(self, copy: Snapshot) -> None:
         """Go back to a copy, in a new era; what was written since is lost."""
         self._lost = self._rows
         self._rows = dict(copy.rows)
@@ -114,7 +114,7 @@
         self.era += 1 if self.era else 0
         self._wake()
 
-    def rewrite(self, names: Iterable[Name]) -> None:
+    def rewrite(self, names: Iterable[RowId]) -> None:
         """Write rows again as they were before the last restore, in any order."""
         shuffled = sorted(names)
         self._random.shuffle(shuffled)
@@ -150,7 +150,7 @@
         return reply_json({})
 
     async def _keep_copy(self, request: web.Request) -> web.Response:
-        self._copy = self.take_copy()
+        self._copy = self.take_snapshot()
         return reply_json({})
 
     async def _restore(self, request: web.Request) -> web.Response:
@@ -202,22 +202,22 @@
 
     async def _wait(self, seconds: float) -> None:
         changed = self._changed
-        self.held += 1
+        self.waiting_feeds += 1
         try:
             async with asyncio.timeout(seconds):
                 await changed.wait()
         except TimeoutError:
             return
         finally:
-            self.held -= 1
+            self.waiting_feeds -= 1
 
-    def _is_there(self, name: Name) -> bool:
+    def _is_there(self, name: RowId) -> bool:
         return self._rows.get(name, (0, None))[1] is not None
 
-    def _get_version(self, name: Name) -> int:
+    def _get_version(self, name: RowId) -> int:
         return self._rows[name][0] if self._is_there(name) else 0
 
-    def _show(self, name: Name) -> dict[str, Any]:
+    def _show(self, name: RowId) -> dict[str, Any]:
         version, value = self._rows[name]
         row = {**name._asdict(), "ver": version}
         return {**row, "tombstone": True} if value is None else {**row, "value": value}
@@ -234,8 +234,8 @@
     return web.Response()
 
 
-def _name(row: dict[str, Any]) -> Name:
-    return Name(row["table"], row.get("part", ""), row["key"])
+def _name(row: dict[str, Any]) -> RowId:
+    return RowId(row["table"], row.get("part", ""), row["key"])
 
 
 def main() -> None:
--- a/tests/adapter/test_eras.py
+++ b/tests/adapter/test_eras.py
@@ -9,11 +9,11 @@
 from aiohttp import web
 
 from radishtally.store.core import Unavailable
-from standins.rows import ERA_HEADER, Name, Rows
+from standins.rows import ERA_HEADER, RowId, Rows
 from tests.common import run
 from tests.gateway.common import WAIT_SECONDS, serve, wait_until
 
-HOST = Name("servers", "", "h")
+HOST = RowId("servers", "", "h")
 HOSTS = 600
 PAGE = {"rows": [], "ver": 1}
 
@@ -87,7 +87,7 @@
         rows = Rows()
         async with connect(rows.build_app()) as client:
             assert (await client.read_table("servers")).is_ok()
-            rows.restore(rows.take_copy())
+            rows.restore(rows.take_snapshot())
             assert (await client.transact([], [], [])).ok.status == 200
             assert (client.era, client.era_changes) == (0, [])
 
@@ -108,7 +108,7 @@
                 "follow": lambda: client.follow_table("servers", 0, 0.0),
             }
             assert (await calls[name]()).is_ok()
-            rows.restore(rows.take_copy())
+            rows.restore(rows.take_snapshot())
             assert is_unavailable(await calls[name]())
             assert client.era_changes == [(0, 1, 1), (1, 2, 2)]
             assert (await calls[name]()).is_ok()
@@ -122,7 +122,7 @@
     async def play() -> None:
         rows = Rows(era=1)
         async with connect(rows.build_app()) as client:
-            copy = rows.take_copy()
+            copy = rows.take_snapshot()
             version = rows.write(HOST, "e30=")
             assert (await client.read_table("servers")).is_ok()
             rows.restore(copy)
@@ -229,7 +229,7 @@
     async def play(is_seen_between: bool) -> None:
         rows = Rows(era=1)
         for number in range(HOSTS):
-            rows.write(Name("servers", "", f"h{number:04}"), "e30=")
+            rows.write(RowId("servers", "", f"h{number:04}"), "e30=")
         async with connect(rows.build_app()) as client:
             assert (await client.read_table("op")).is_ok()
             read_page = client._read_page
@@ -237,7 +237,7 @@
             async def read_first(*args):
                 client._read_page = read_page
                 page = await read_page(*args)
-                rows.restore(rows.take_copy())
+                rows.restore(rows.take_snapshot())
                 if is_seen_between:
                     await client.read_table("op")
                 return page
--- a/tests/adapter/test_eras_machine.py
+++ b/tests/adapter/test_eras_machine.py
@@ -15,7 +15,7 @@
 from radishtally.outcome import Result
 from radishtally.store.core import ABSENT, Conflict, Key, Put, Row, TableError, Unclear
 from standins.common import read_json
-from standins.rows import Copy, Name, Rows, abort
+from standins.rows import RowId, Rows, Snapshot, abort
 from tests.gateway.common import serve
 
 KEYS = st.sampled_from([Key("p", "a"), Key("p", "b")])
@@ -27,7 +27,7 @@
 class Backup(NamedTuple):
     """Hold a copy of the store and the writes that were acknowledged by then."""
 
-    copy: Copy
+    copy: Snapshot
     acknowledged: dict[Key, str]
 
 
@@ -112,7 +112,7 @@
         """Id of the last acknowledged write of each row in this era."""
         self.clients: list[StoreClient] = []
         self.loop.run_until_complete(self._start())
-        self.backups = [Backup(self.rows.take_copy(), {})]
+        self.backups = [Backup(self.rows.take_snapshot(), {})]
 
     async def _start(self) -> None:
         address = await serve(self.rows.build_app())
@@ -193,7 +193,7 @@
     @rule(host=HOSTS, value=st.sampled_from(["e30=", "W10=", None]))
     def announce(self, host: str, value: str | None) -> None:
         """Write a host's entry, or delete it."""
-        self.rows.write(Name(SERVERS, "", host), value)
+        self.rows.write(RowId(SERVERS, "", host), value)
 
     @rule()
     def compact(self) -> None:
@@ -203,14 +203,14 @@
     @rule()
     def copy(self) -> None:
         """Make a copy of the store."""
-        self.backups.append(Backup(self.rows.take_copy(), dict(self.acknowledged)))
+        self.backups.append(Backup(self.rows.take_snapshot(), dict(self.acknowledged)))
 
     @rule(data=st.data(), hosts=st.frozensets(HOSTS))
     def restore(self, data: st.DataObject, hosts: frozenset[str]) -> None:
         """Restore a copy; some hosts write their entries again."""
         backup = data.draw(st.sampled_from(self.backups))
         self._restore(backup)
-        self.rows.rewrite(Name(SERVERS, "", host) for host in hosts)
+        self.rows.rewrite(RowId(SERVERS, "", host) for host in hosts)
 
     @rule(number=BOTH, key=KEYS, lists_rows=st.booleans())
     def overtake(self, number: int, key: Key, lists_rows: bool) -> None:
@@ -228,7 +228,7 @@
         """Read changes, and check that the follower has the current entries."""
         follower = self.followers[number]
         self.loop.run_until_complete(follower.follow())
-        current_rows = self.rows.take_copy().rows
+        current_rows = self.rows.take_snapshot().rows
         current = {
             name.key
             for name, (_, value) in current_rows.items()
@@ -237,7 +237,7 @@
         assert follower.hosts.keys() == current
         for host, value in follower.hosts.items():
             expected = {"e30=": b"{}", "W10=": b"[]"}[
-                current_rows[Name(SERVERS, "", host)][1]
+                current_rows[RowId(SERVERS, "", host)][1]
             ]
             assert value == expected
 
@@ -259,7 +259,7 @@
             self.acknowledged[key] = found
 
     def _find_id(self, key: Key) -> str | None:
-        row = self.rows.take_copy().rows.get(Name(TABLE, key.pk, key.sk))
+        row = self.rows.take_snapshot().rows.get(RowId(TABLE, key.pk, key.sk))
         if row is None or row[1] is None:
             return None
         return json.loads(base64.b64decode(row[1]))["write_id"]
--- a/tests/adapter/test_rows_standin.py
+++ b/tests/adapter/test_rows_standin.py
@@ -6,11 +6,11 @@
 import pytest
 
 from radishtally.exchange import SendOnce
-from standins.rows import Name, Rows
+from standins.rows import RowId, Rows
 from tests.common import run, run_standin
 from tests.gateway.common import WAIT_SECONDS, serve
 
-FIRST, SECOND, THIRD = (Name("servers", "", key) for key in "abc")
+FIRST, SECOND, THIRD = (RowId("servers", "", key) for key in "abc")
 ERA = "Store-Era"
 
 
@@ -46,7 +46,7 @@
             assert (await call(address, "/api/unknown"))[:2] == (404, era)
             refused = {"expected": [{**FIRST._asdict(), "ver": 4}]}
             assert (await call(address, "/api/rows-tx", refused))[:2] == (412, era)
-        silent.restore(silent.take_copy())
+        silent.restore(silent.take_snapshot())
         assert silent.era == 0
 
     run(play())
@@ -57,7 +57,7 @@
         rows = Rows(era=1)
         address = await serve(rows.build_app())
         rows.write(FIRST, "old")
-        copy = rows.take_copy()
+        copy = rows.take_snapshot()
         lost = rows.write(FIRST, "new")
         rows.write(SECOND, "new")
         rows.restore(copy)
@@ -73,18 +73,18 @@
 
 
 def test_rows_are_rewritten_in_an_order_that_depends_on_the_seed() -> None:
-    names = [Name("servers", "", str(number)) for number in range(20)]
+    names = [RowId("servers", "", str(number)) for number in range(20)]
 
     def restore(seed):
         rows = Rows(era=1, seed=seed)
         rows.write(THIRD, "there")
-        copy = rows.take_copy()
+        copy = rows.take_snapshot()
         for name in names:
             rows.write(name, f"value {name.key}")
         rows.write(THIRD, None)
         rows.restore(copy)
         rows.rewrite([*names, THIRD])
-        return rows.take_copy().rows
+        return rows.take_snapshot().rows
 
     held = restore(1)
     assert held == restore(1)
@@ -101,12 +101,12 @@
         address = await serve(rows.build_app())
         held = asyncio.create_task(call(address, feed(0, 30_000)))
         async with asyncio.timeout(WAIT_SECONDS):
-            while not rows.held:
+            while not rows.waiting_feeds:
                 await asyncio.sleep(0)
-            rows.restore(rows.take_copy())
+            rows.restore(rows.take_snapshot())
             with pytest.raises(aiohttp.ClientError):
                 await held
-        assert rows.held == 0
+        assert rows.waiting_feeds == 0
 
     run(play())
 
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -6,7 +6,7 @@
 from adapter.store import StoreClient
 from aiohttp import web
 
-from standins.rows import Name, Rows
+from standins.rows import RowId, Rows
 from tests.common import READ_SECONDS, answer_twice, run
 from tests.gateway.common import WAIT_SECONDS, serve
 
@@ -20,7 +20,7 @@
     async def play() -> None:
         rows = Rows()
         for number in range(HOSTS):
-            rows.write(Name("servers", "", f"h{number:04}"), "e30=")
+            rows.write(RowId("servers", "", f"h{number:04}"), "e30=")
         client = StoreClient(await serve(rows.build_app()))
         await client.start()
         read_page = client._read_page
@@ -28,7 +28,7 @@
         async def read_first(*args):
             client._read_page = read_page
             page = await read_page(*args)
-            rows.write(Name("servers", "", "h0000"), None)
+            rows.write(RowId("servers", "", "h0000"), None)
             return page
 
         client._read_page = read_first
@@ -70,9 +70,9 @@
 def test_value_that_is_not_base64_counts_as_empty() -> None:
     async def play() -> None:
         rows = Rows()
-        rows.write(Name("servers", "", "a"), "%%%")
-        rows.write(Name("servers", "", "aa"), "abc")
-        rows.write(Name("servers", "", "b"), "e30=")
+        rows.write(RowId("servers", "", "a"), "%%%")
+        rows.write(RowId("servers", "", "aa"), "abc")
+        rows.write(RowId("servers", "", "b"), "e30=")
         client = StoreClient(await serve(rows.build_app()))
         await client.start()
         page = (await client.read_table("servers")).ok
--- a/tests/adapter/test_table.py
+++ b/tests/adapter/test_table.py
@@ -20,7 +20,7 @@
     Unavailable,
     Unclear,
 )
-from standins.rows import Copy, Name, Rows
+from standins.rows import RowId, Rows, Snapshot
 from tests.common import run
 from tests.gateway.common import serve
 
@@ -31,16 +31,16 @@
     return result.is_error() and isinstance(result.error, Conflict)
 
 
-async def restore(rows: Rows, copy: Copy, store: StoreTable) -> None:
+async def restore(rows: Rows, copy: Snapshot, store: StoreTable) -> None:
     """Restore the store and let its client notice the new era."""
     rows.restore(copy)
     assert (await store.get(Key("nowhere", "n"))).is_error()
     assert store.era == rows.era
 
 
-def name(key: Key) -> Name:
+def name(key: Key) -> RowId:
     """Return the store's name of a row."""
-    return Name(TABLE, key.pk, key.sk)
+    return RowId(TABLE, key.pk, key.sk)
 
 
 @asynccontextmanager
@@ -98,7 +98,7 @@
     async def play() -> None:
         rows = Rows()
         async with table(rows) as store:
-            rows.gate._fault = {"mode": "lose_reply", "count": 1}
+            rows.fault_gate._fault = {"mode": "lose_reply", "count": 1}
             lost = await store.transact([Put(KEY, {"a": 1}, ABSENT)], "w1")
             assert isinstance(lost.error, Unclear)
             assert (await store.get(KEY)).ok.write_id == "w1"
@@ -155,7 +155,7 @@
         rows = Rows()
         async with table(rows) as store:
             await store.transact([Put(OTHER, {}, ABSENT)], "w1")
-            rows.write(Name(TABLE, KEY.pk, KEY.sk), value)
+            rows.write(RowId(TABLE, KEY.pk, KEY.sk), value)
             assert isinstance((await store.get(KEY)).error, Invalid)
             assert [row.key for row in (await store.query(KEY.pk)).ok] == [OTHER]
             refused = await store.transact([Put(KEY, {}, ABSENT)], "w2")
@@ -171,7 +171,7 @@
             await store.transact([Put(KEY, {"a": 1}, ABSENT)], "w1")
             assert (await store.get(KEY)).ok == Row(KEY, 1, "w1", {"a": 1}, 3)
             assert [row.era for row in (await store.query("p")).ok] == [3]
-            await restore(rows, rows.take_copy(), store)
+            await restore(rows, rows.take_snapshot(), store)
             assert (await store.get(KEY)).ok.era == 4
 
     run(play())
@@ -185,13 +185,13 @@
         rows = Rows(era=1)
         async with table(rows) as first, table(rows) as second:
             await first.transact([Put(KEY, {}, ABSENT)], "w1")
-            copy = rows.take_copy()
+            copy = rows.take_snapshot()
             assert (await first.transact([Put(KEY, {}, 1)], "lost")).is_ok()
-            lost = rows.take_copy().rows[name(KEY)]
+            lost = rows.take_snapshot().rows[name(KEY)]
             rows.restore(copy)
             assert (await second.get(KEY)).ok.write_id == "w1"
             assert (await second.transact([Put(KEY, {}, 1)], "other")).is_ok()
-            assert rows.take_copy().rows[name(KEY)][0] == lost[0]
+            assert rows.take_snapshot().rows[name(KEY)][0] == lost[0]
             assert isinstance((await first.get(OTHER)).error, Unavailable)
             for _ in range(2):
                 assert is_conflict(await first.transact([Put(KEY, {}, 2)], "w3"))
@@ -208,7 +208,7 @@
         rows = Rows(era=1)
         async with table(rows) as first, table(rows) as second:
             await first.transact([Put(KEY, {}, ABSENT)], "w1")
-            copy = rows.take_copy()
+            copy = rows.take_snapshot()
             assert (await first.transact([Put(KEY, {}, 1)], "lost")).is_ok()
             rows.restore(copy)
             await second.get(KEY)
@@ -228,12 +228,12 @@
         rows = Rows(era=1)
         async with table(rows) as store:
             await store.transact([Put(KEY, {}, ABSENT)], "w1")
-            copy = rows.take_copy()
-            before = rows.write(name(KEY), rows.take_copy().rows[name(KEY)][1])
+            copy = rows.take_snapshot()
+            before = rows.write(name(KEY), rows.take_snapshot().rows[name(KEY)][1])
             await store.get(KEY)
             await restore(rows, copy, store)
             rows.rewrite([name(OTHER), name(KEY)])
-            assert rows.take_copy().rows[name(KEY)][0] >= before
+            assert rows.take_snapshot().rows[name(KEY)][0] >= before
             assert (await store.transact([Put(KEY, {}, 1)], "w2")).is_ok()
             assert (await store.get(KEY)).ok.write_id == "w2"
 
@@ -248,7 +248,7 @@
         async with table(rows) as first, table(rows) as second:
             await first.transact([Put(KEY, {}, ABSENT)], "w1")
             assert (await second.get(OTHER)).ok is None
-            await restore(rows, rows.take_copy(), second)
+            await restore(rows, rows.take_snapshot(), second)
             for _ in range(2):
                 assert is_conflict(await second.transact([Put(KEY, {}, 1)], "w2"))
             assert (await second.get(KEY)).ok.rev == 1
@@ -262,7 +262,7 @@
     async def play() -> None:
         rows = Rows(era=1)
         async with table(rows) as first, table(rows) as second:
-            copy = rows.take_copy()
+            copy = rows.take_snapshot()
             await first.transact([Put(KEY, {}, ABSENT)], "lost")
             await second.transact([Put(KEY, {}, 1)], "later")
             await first.query("p")
@@ -284,7 +284,7 @@
     async def play() -> None:
         rows = Rows(era=1)
         async with table(rows) as first, table(rows) as second:
-            copy = rows.take_copy()
+            copy = rows.take_snapshot()
             await first.transact([Put(KEY, {}, ABSENT)], "lost")
             rows.restore(copy)
             assert (await second.transact([Put(KEY, {}, ABSENT)], "other")).is_ok()
@@ -304,7 +304,7 @@
         rows = Rows(era=1)
         async with table(rows) as store:
             await store.transact([Put(KEY, {}, ABSENT)], "w1")
-            rows.restore(rows.take_copy())
+            rows.restore(rows.take_snapshot())
             answered = await store.transact([Put(KEY, {}, 1)], "w2")
             assert isinstance(answered.error, Unclear)
             assert KEY not in store._known
@@ -319,7 +319,7 @@
     async def play() -> None:
         rows = Rows(era=1)
         async with table(rows) as store:
-            copy = rows.take_copy()
+            copy = rows.take_snapshot()
             await store.transact([Put(KEY, {}, ABSENT)], "w1")
             rows.restore(copy)
             answered = await store.transact([Put(KEY, {}, 1)], "w2")
@@ -342,7 +342,7 @@
             read = store.get
 
             async def read_late(key: Key):
-                rows.restore(rows.take_copy())
+                rows.restore(rows.take_snapshot())
                 assert (await read(key)).is_error()
                 return await read(key)
 
@@ -366,7 +366,7 @@
 
             async def call_late(*args):
                 answer = await call(*args)
-                rows.restore(rows.take_copy())
+                rows.restore(rows.take_snapshot())
                 await read(TABLE, OTHER.pk, OTHER.sk, "", 1)
                 return answer
 
--- a/tests/gateway/common.py
+++ b/tests/gateway/common.py
@@ -18,7 +18,7 @@
 from radishtally.engines.placement import EnginePlacement
 from radishtally.gateway.config import Bounds, GatewaySettings
 from radishtally.gateway.daemon import Gateway
-from standins.rows import Name, Rows
+from standins.rows import RowId, Rows
 from standins.staged import StagedEngine
 from tests.common import allocate_address
 
@@ -95,16 +95,16 @@
             "services": [{"name": "llm", "engine": ENGINE}, {"name": "desk"}],
             "limits": LIMITS,
         }
-        self.rows.write(Name("op", "", "config"), _encode(value))
+        self.rows.write(RowId("op", "", "config"), _encode(value))
 
     def announce(self, host: str, address: str, service: str, **more: Any) -> None:
         """Write a host's entry as the host itself does."""
         value = {**ENTRY, "service": service, "address": address, **more}
-        self.rows.write(Name("servers", "", host), _encode(value))
+        self.rows.write(RowId("servers", "", host), _encode(value))
 
     def withdraw(self, host: str) -> None:
         """Remove a host's entry."""
-        self.rows.write(Name("servers", "", host), None)
+        self.rows.write(RowId("servers", "", host), None)
 
     async def serve_engine(self, engine: StagedEngine) -> None:
         """Start an engine and wait until the gateway has discovered it."""
--- a/tests/gateway/test_peers_restore.py
+++ b/tests/gateway/test_peers_restore.py
@@ -22,7 +22,7 @@
     Unavailable,
     Unclear,
 )
-from standins.rows import Name
+from standins.rows import RowId
 from tests.common import run
 from tests.gateway.common import Deployment, deployment, run_gateway, wait_until
 from tests.gateway.test_streams import make_whole, start_engines, stream
@@ -46,7 +46,7 @@
 
 def read_value(env: Deployment, part: str, key: str) -> str | None:
     """Return the stored form of a row."""
-    _, value = env.rows._rows.get(Name(TABLE, part, key), (0, None))
+    _, value = env.rows._rows.get(RowId(TABLE, part, key), (0, None))
     return value
 
 
@@ -76,7 +76,7 @@
 def test_own_row_is_rewritten_immediately_in_a_new_era(copied: dict | None) -> None:
     async def scenario() -> None:
         async with deployment() as env:
-            name = Name(TABLE, GATEWAYS_PARTITION, "gateway-1")
+            name = RowId(TABLE, GATEWAYS_PARTITION, "gateway-1")
             value = await wait_for_row(env, GATEWAYS_PARTITION, "gateway-1")
             data = encode_value(copied) if copied else None
             env.rows.write(name, data)
@@ -117,7 +117,7 @@
         async with deployment() as env:
             gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
-            env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
+            env.rows.write(RowId(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
             drawn = []
             draw = SimpleNamespace(uniform=lambda *a: drawn.append(a) or 1000.0)
             monkeypatch.setattr(peers, "random", draw)
@@ -155,8 +155,8 @@
             monkeypatch.setattr(gateway.peers._registry, "read_rows", read)
             for module in (peers, registry):
                 monkeypatch.setattr(module, "JOIN_POLL_SECONDS", 0.01)
-            env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
-            env.rows.gate._fault = {"mode": "down", "count": 10}
+            env.rows.write(RowId(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
+            env.rows.fault_gate._fault = {"mode": "down", "count": 10}
             gateway.peers.enter_era()
             await wait_for_row(env, GATEWAYS_PARTITION, "gateway-1")
             await wait_until(lambda: gateway.peers._hub.hosts == ["gateway-2"])
@@ -171,7 +171,7 @@
 
 def write_secret(env: Deployment, secret: str) -> None:
     """Write a secret as another gateway does that generated it first."""
-    env.rows.write(Name(TABLE, *PEER_SECRET_KEY), encode_value({"secret": secret}))
+    env.rows.write(RowId(TABLE, *PEER_SECRET_KEY), encode_value({"secret": secret}))
 
 
 # Guards against two groups of gateways that can't link to each other and overload
@@ -184,7 +184,7 @@
             gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
             secret = read_secret(env)
-            env.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
+            env.rows.write(RowId(TABLE, *PEER_SECRET_KEY), None)
             gateway.peers.enter_era()
             await wait_for_row(env, *PEER_SECRET_KEY)
             assert read_secret(env) == secret
@@ -251,7 +251,7 @@
             await wait_until(lambda: first.peers._hub.hosts == ["gateway-2"])
             shared = find_min_retry_rate(first.settings.bounds, 2)
             link = first.peers._hub._links["gateway-2"]
-            env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-2"), None)
+            env.rows.write(RowId(TABLE, GATEWAYS_PARTITION, "gateway-2"), None)
             first.peers.enter_era()
             await wait_until(lambda: not first.peers._roster.is_read_pending)
             assert first.peers._hub._links == {"gateway-2": link}
@@ -282,7 +282,7 @@
             gateway = env.gateway
             await wait_until(lambda: gateway._gateway_count == 1)
             data = encode_value({"address": "127.0.0.1:9"})
-            env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-0"), data)
+            env.rows.write(RowId(TABLE, GATEWAYS_PARTITION, "gateway-0"), data)
             gateway.peers.enter_era()
             await wait_until(lambda: not gateway.peers._roster.is_read_pending)
             assert read_value(env, GATEWAYS_PARTITION, "gateway-0") == data
@@ -354,8 +354,8 @@
             async def write() -> bool:
                 rewrites.append(await write_own_row())
                 if len(rewrites) == 1:
-                    env.rows.write(Name(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
-                    env.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
+                    env.rows.write(RowId(TABLE, GATEWAYS_PARTITION, "gateway-1"), None)
+                    env.rows.write(RowId(TABLE, *PEER_SECRET_KEY), None)
                     gateway.peers.enter_era()
                 return rewrites[-1]
 
@@ -388,7 +388,7 @@
             monkeypatch.setattr(registry.GatewayRegistry, "read_or_create_secret", find)
             async with run_gateway(env.store, "gateway-2") as second:
                 await wait_until(lambda: len(found) == 1)
-                env.rows.write(Name(TABLE, *PEER_SECRET_KEY), None)
+                env.rows.write(RowId(TABLE, *PEER_SECRET_KEY), None)
                 second.peers.enter_era()
                 restored.set()
                 await wait_for_row(env, *PEER_SECRET_KEY)
--- a/tests/gateway/test_poison_requests.py
+++ b/tests/gateway/test_poison_requests.py
@@ -221,7 +221,7 @@
 def test_request_is_denied_while_the_store_is_away() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=9, gateways=2) as fleet:
-            fleet.env.rows.gate._fault = {"mode": "down"}
+            fleet.env.rows.fault_gate._fault = {"mode": "down"}
             for number in range(REPEATS):
                 await fleet.send(number, f"poison-{number}")
             assert fleet.arrivals <= ENDS_ALLOWED + RETRIES_ALLOWED
--- a/tests/gateway/test_restore.py
+++ b/tests/gateway/test_restore.py
@@ -7,7 +7,7 @@
 from radishtally.gateway.const import STAGES_LEASE
 from radishtally.gateway.registry import GATEWAYS_PARTITION
 from radishtally.store.core import Key
-from standins.rows import Name, Rows
+from standins.rows import RowId, Rows
 from tests.common import run
 from tests.gateway.common import deployment, run_gateway, wait_until
 from tests.gateway.test_calls import Desk, answer_whole, ask
@@ -28,7 +28,7 @@
             await env.serve_desk("desk-1", staying)
             await env.serve_desk("desk-2", leaving)
             await start_engines(env)
-            copy = rows.take_copy()
+            copy = rows.take_snapshot()
             env.announce("desk-2", env.addresses["desk-2"], "desk", state="draining")
             env.configure()
             version = env.version
@@ -44,7 +44,7 @@
             assert await stream(env, "/sheet/a", "s1") == make_whole("s1")
             assert gateway.router.configuration.version == version
             assert leaving.seen == []
-            rows.rewrite([Name("op", "", "config"), Name("servers", "", "desk-2")])
+            rows.rewrite([RowId("op", "", "config"), RowId("servers", "", "desk-2")])
             assert not gateway.core.hosts["desk-2"].live
 
     run(scenario())
@@ -58,7 +58,7 @@
         async with deployment(rows) as env:
             lease = env.gateway.lease
             lease.set_terms(SHORT_TERMS)
-            copy = rows.take_copy()
+            copy = rows.take_snapshot()
             await wait_until(lambda: lease.fencing is not None)
             before = lease.fencing
             rows.restore(copy)
@@ -75,7 +75,7 @@
 def test_gateways_find_each_other_again_after_a_restore() -> None:
     async def scenario() -> None:
         rows = Rows(era=1)
-        copy = rows.take_copy()
+        copy = rows.take_snapshot()
         async with (
             deployment(rows) as env,
             run_gateway(env.store, "gateway-2") as two,
