--- a/standins/staged.py
+++ b/standins/staged.py
@@ -33,32 +33,32 @@
         self.events = EVENTS
         """Events of each answer."""
         self.phase = phase
-        self.notice: dict[str, str] = {}
+        self.extra_headers: dict[str, str] = {}
         """Headers of all that it answers."""
         self.seconds = seconds
         """Time of each event, and of a prompt."""
-        self.born = 0
+        self.started_ms = 0
         """Unix milliseconds of its start; not told while 0."""
         self.runs: Counter[str] = Counter()
         self.handles: set[str] = set()
         self.orders: list[dict[str, Any]] = []
         self.highest_fence = 0
-        self.refuses = False
+        self.is_full = False
         """Whether it says that it is full."""
         self.loses_handles = False
         self.cut_after: int | None = None
         """Event after which it breaks the connection."""
         self.faults: Iterator[RunFault] = iter(())
         """Faults of the next runs, in place of that one."""
-        self.fetched: list[str] = []
+        self.fetched_handles: list[str] = []
         """KV caches that it was told to fetch."""
-        self.freed: list[str] = []
+        self.freed_handles: list[str] = []
         """Handles that it was told to free."""
-        self.kept: list[list] = []
+        self.cached_prefixes: list[list] = []
         """Parts of prompts in its cache, as it lists them."""
-        self.lists = 0
+        self.cache_list_calls = 0
         """Times that it was asked for them."""
-        self.dropped: list[str] = []
+        self.disconnected: list[str] = []
         """Requests whose callers left before the end."""
         self._names = itertools.count(1)
         self._log = RunLog(log)
@@ -80,14 +80,14 @@
     async def _add_notice(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        response.headers.update(self.notice)
+        response.headers.update(self.extra_headers)
 
-    def restart(self, born: int) -> None:
+    def restart(self, started_ms: int) -> None:
         """Start again under the same id, as after a reset: it holds nothing.
 
         What was open is left without a word; nobody closes its connections.
         """
-        self.born = born
+        self.started_ms = started_ms
         self.handles.clear()
         self.orders.clear()
         self.highest_fence = 0
@@ -95,7 +95,7 @@
 
     async def _set_fault(self, request: web.Request) -> web.Response:
         fault = await read_json(request, dict[str, Any])
-        self.refuses = fault.get("refuses", False)
+        self.is_full = fault.get("refuses", False)
         self.loses_handles = fault.get("loses_handles", False)
         self.cut_after = fault.get("cut_after")
         self.faults = draw_faults(fault.get("runs", ()), fault.get("seed", 0))
@@ -103,12 +103,12 @@
 
     def describe_start(self) -> dict[str, int]:
         """Say when it started, as in all that it says of itself."""
-        return {"born": self.born} if self.born else {}
+        return {"born": self.started_ms} if self.started_ms else {}
 
-    async def _sleep(self, born: int) -> None:
+    async def _sleep(self, started_ms: int) -> None:
         """Work for a while; work of an earlier start never goes on."""
         await asyncio.sleep(self.seconds)
-        if born != self.born:
+        if started_ms != self.started_ms:
             await asyncio.Event().wait()
 
     async def _report(self, request: web.Request) -> web.Response:
@@ -118,8 +118,8 @@
         return reply_json({**state, **self.describe_start()})
 
     async def _list_kept(self, request: web.Request) -> web.Response:
-        self.lists += 1
-        return reply_json({"epoch": 1, "next": 1, "held": self.kept})
+        self.cache_list_calls += 1
+        return reply_json({"epoch": 1, "next": 1, "held": self.cached_prefixes})
 
     async def _order(self, request: web.Request) -> web.Response:
         if request.headers.get("X-Target-Instance") != self.instance:
@@ -143,7 +143,7 @@
         return 202
 
     async def _free(self, request: web.Request) -> web.Response:
-        self.freed.append(request.match_info["name"])
+        self.freed_handles.append(request.match_info["name"])
         self.handles.discard(request.match_info["name"])
         return web.Response()
 
@@ -151,7 +151,7 @@
         body = await request.read()
         if request.headers.get("X-Target-Instance") != self.instance:
             return web.Response(status=421, headers={"X-Instance-Id": self.instance})
-        if self.refuses:
+        if self.is_full:
             return web.Response(status=503, headers=NOT_RUN)
         wants_prefill = request.headers.get("X-Serving-Phase") == "prefill"
         if wants_prefill != (self.phase == "prefill"):
@@ -161,7 +161,7 @@
             self._note(PROMPT, request, body, "")
             return await self._read_prompt()
         if "X-Kv-Source" in request.headers:
-            self.fetched.append(request.headers["X-Kv-Source"])
+            self.fetched_handles.append(request.headers["X-Kv-Source"])
             if self.loses_handles:
                 return web.Response(status=503, headers=NOT_RUN)
         signature = f"by-{self.instance}-{next(self._signatures)}"
@@ -195,7 +195,7 @@
         self._log.write(run)
 
     async def _read_prompt(self) -> web.Response:
-        await self._sleep(self.born)
+        await self._sleep(self.started_ms)
         handle = f"{self.instance}-{next(self._names)}"
         self.handles.add(handle)
         return reply_json({"kvHandle": handle, "tokens": 1, "version": 1})
@@ -203,7 +203,7 @@
     async def _stream(
         self, request: web.Request, name: str, signature: str, fault: RunFault
     ) -> web.StreamResponse:
-        born = self.born
+        started_ms = self.started_ms
         self.runs[name] += 1
         headers = {
             "Content-Type": "text/event-stream",
@@ -217,13 +217,13 @@
             return writer.response
         try:
             for number in range(fault.first_event or asked, self.events + 1):
-                await self._sleep(born)
+                await self._sleep(started_ms)
                 await writer.write(make_event(name, number))
                 if number == fault.cut_after:
                     await writer.break_off()
                     return writer.response
         except (ConnectionError, asyncio.CancelledError):
-            self.dropped.append(name)
+            self.disconnected.append(name)
             raise
         await writer.end()
         return writer.response
--- a/tests/gateway/test_cache_discovery.py
+++ b/tests/gateway/test_cache_discovery.py
@@ -83,13 +83,15 @@
     async def check() -> None:
         async with deployment() as env:
             engines = await start_engines(env)
-            engines[0].kept = [["", "aa", 500, "m"]]
+            engines[0].cached_prefixes = [["", "aa", 500, "m"]]
             row = Key(GATEWAYS_PARTITION, "gateway-1")
             while not (await env.gateway.table.get(row)).ok:
                 await asyncio.sleep(0.005)
-            assert [engine.lists for engine in engines] == [0, 0]
+            assert [engine.cache_list_calls for engine in engines] == [0, 0]
             async with run_gateway(env.store, "gateway-1") as again:
-                await wait_until(lambda: all(engine.lists == 1 for engine in engines))
+                await wait_until(
+                    lambda: all(engine.cache_list_calls == 1 for engine in engines)
+                )
                 cache = again.placement._engines["p-1"].cache
                 await wait_until(lambda: cache.count_cached_tokens("m", PROMPT) == 500)
 
--- a/tests/gateway/test_kept_answers.py
+++ b/tests/gateway/test_kept_answers.py
@@ -53,7 +53,7 @@
             prefill, decode = await start_engines(env)
             for name in ("r1", "r2", "r3"):
                 assert await stream(env, "/sheet/a", name) == make_whole(name)
-            assert len(decode.fetched) == 3
+            assert len(decode.fetched_handles) == 3
             assert len(prefill.handles) == 3
 
     run(scenario())
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -88,7 +88,7 @@
             for engine in engines:
                 await env.serve_engine(engine)
             leaving = engines[1]
-            leaving.notice = LEAVING
+            leaving.extra_headers = LEAVING
             while not leaving.runs:
                 await stream(env, "/sheet/a", f"first-{time.monotonic()}")
             await asyncio.sleep(DRAIN_SECONDS)
@@ -151,7 +151,7 @@
         async with deployment() as env:
             engine = StagedEngine("d-1", "decode")
             await env.serve_engine(engine)
-            engine.notice = LEAVING
+            engine.extra_headers = LEAVING
             await question(env, await find_instance(env, "d-1"))
             assert (await find_instance(env, "d-1")).is_draining
             assert not env.gateway.core.hosts["d-1"].live
@@ -166,7 +166,7 @@
         async with deployment() as env:
             engine = StagedEngine("d-1", "decode")
             await env.serve_engine(engine)
-            engine.notice = LEAVING
+            engine.extra_headers = LEAVING
             engine.instance = "d-2"
             for question in (ask_report, give_order):
                 await question(env, await find_instance(env, "d-1"))
@@ -232,7 +232,7 @@
     async def scenario() -> None:
         async with deployment() as env:
             engine = StagedEngine("d-1", "decode")
-            engine.born = 1_000
+            engine.started_ms = 1_000
             await env.serve_engine(engine)
             instance = await find_instance(env, "d-1")
             env.gateway.handle_notice(instance, Notice(pause=60.0))
--- a/tests/gateway/test_poison_requests.py
+++ b/tests/gateway/test_poison_requests.py
@@ -263,7 +263,7 @@
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             for engine in fleet.decode_engines:
-                engine.born = 1_000
+                engine.started_ms = 1_000
                 fleet.env.announce_engine(engine)
             core = fleet.gateways[0].core
             for number in range(REPEATS):
--- a/tests/gateway/test_restarts.py
+++ b/tests/gateway/test_restarts.py
@@ -25,7 +25,7 @@
 ) -> StagedEngine:
     """Start an engine that reports its start time."""
     engine = StagedEngine(name, phase, seconds)
-    engine.born = EARLY
+    engine.started_ms = EARLY
     await env.serve_engine(engine)
     return engine
 
@@ -64,7 +64,7 @@
             await restart(env, first)
             assert await task == make_whole("r1")
             assert first.runs["r1"] == 2
-            await wait_until(lambda: first.dropped == ["r1"])
+            await wait_until(lambda: first.disconnected == ["r1"])
 
     run(scenario())
 
@@ -184,7 +184,7 @@
         async with deployment() as env:
             prefill = await start_engine(env, "p-1", "prefill")
             decode = await start_engine(env, "d-1", "decode")
-            decode.refuses = True
+            decode.is_full = True
             task = asyncio.create_task(stream(env, "/draft/a", "r1"))
             requests = env.gateway.core.requests
             await wait_until(lambda: any(r.kv is not None for r in requests.values()))
@@ -193,10 +193,10 @@
             assert request.kv is None
             # An offer in flight at that time carried the handle, and is refused.
             await wait_until(lambda: request.host is None)
-            decode.refuses = False
+            decode.is_full = False
             assert await task == make_whole("r1")
-            assert decode.fetched == []
-            assert prefill.freed == []
+            assert decode.fetched_handles == []
+            assert prefill.freed_handles == []
 
     run(scenario())
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -168,7 +168,7 @@
             await wait_until(lambda: decode.runs["r1"] == 1)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            await wait_until(lambda: decode.dropped == ["r1"])
+            await wait_until(lambda: decode.disconnected == ["r1"])
 
     run(scenario())
 
