--- a/soak/wire.py
+++ b/soak/wire.py
@@ -40,13 +40,13 @@
         self.is_open = True
 
     def close(self) -> None:
-        """Reset the connection, if it is open."""
+        """Close an open connection at once, without flushing it."""
         if self.is_open:
             self.is_open = False
             self._writer.transport.abort()
 
     async def read_unsolicited(self) -> bytes:
-        """Return bytes that belong to no request; close after them or at an end."""
+        """Return bytes that belong to no request; close if there are any or at an end."""
         try:
             async with asyncio.timeout(UNSOLICITED_WAIT_SECONDS):
                 data = await self._reader.read(1024)
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small in-memory stand-ins for the platform, for tests."""
+"""Provide small in-memory stand-ins for systems of the platform, for tests."""
--- a/standins/batch.py
+++ b/standins/batch.py
@@ -1,4 +1,4 @@
-"""Timing model of a model engine: continuous batching with a prefix cache."""
+"""Model the timing of a model engine: continuous batching with a prefix cache."""
 
 import heapq
 from collections import OrderedDict, deque
@@ -7,20 +7,22 @@
 import xxhash
 
 BLOCK_TOKENS: Final = 32
-EVENT_DELAY: Final = 0.5
-EVENT_GAP: Final = 7
-EVENT_LIMIT: Final = 10_000
+EVENT_DELAY_SECONDS: Final = 0.5
+"""Time until a cache event becomes visible."""
+LOST_EVENT_INTERVAL: Final = 7
+"""Cache events whose number is a multiple of this are lost."""
+MAX_EVENTS: Final = 10_000
 
 
 class Profile(NamedTuple):
-    """Say what a role allows in one step."""
+    """Limit the work of a role in one step."""
 
     prefill_tokens: int
     max_batch: int
 
 
 class Timing(NamedTuple):
-    """Give the parts of a step's time in seconds."""
+    """Set a step's base time and its time per prefilled and per decoded token."""
 
     base: float = 0.020
     prefill: float = 0.0001
@@ -28,7 +30,7 @@
 
 
 class Load(NamedTuple):
-    """Count the work that an engine holds."""
+    """Count the running and waiting requests and the tokens to prefill."""
 
     running: int = 0
     waiting: int = 0
@@ -36,7 +38,7 @@
 
 
 class CacheEvent(NamedTuple):
-    """Tell that a prefix was stored in the cache or removed from it."""
+    """Represent that a prefix was stored in the cache or removed from it."""
 
     seq: int
     kind: str
@@ -53,13 +55,13 @@
 
 
 def prefill_rate(role: str, speed: float) -> float:
-    """Compute the prefill tokens a second of a lone sequence."""
+    """Compute the prefill rate of a single sequence in tokens per second."""
     budget = PROFILES[role].prefill_tokens
     return speed * budget / (TIMING.base + budget * TIMING.prefill)
 
 
 def decode_seconds(speed: float) -> float:
-    """Compute the seconds a token of a lone sequence."""
+    """Compute the decode time per token of a single sequence."""
     return (TIMING.base + TIMING.decode) / speed
 
 
@@ -70,7 +72,7 @@
 
 
 def hash_blocks(model: str, words: list[str]) -> list[str]:
-    """Hash each prefix that is made of whole blocks."""
+    """Hash each prefix that consists of whole blocks."""
     state = xxhash.xxh64(f"{model}\n".encode())
     hashes = []
     for end in range(BLOCK_TOKENS, len(words) + 1, BLOCK_TOKENS):
@@ -81,12 +83,12 @@
 
 
 class PrefixCache:
-    """Keep prefixes of whole blocks in limited memory, least recently used first."""
+    """Cache prefixes of whole blocks and evict the least recently used ones."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self._capacity = capacity_tokens // BLOCK_TOKENS
         self._blocks: OrderedDict[str, int] = OrderedDict()
-        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=EVENT_LIMIT)
+        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=MAX_EVENTS)
         self._seq = 0
 
     def match(self, prefixes: list[str]) -> int:
@@ -111,20 +113,20 @@
             self._evict(now)
 
     def clear(self, now: float) -> None:
-        """Forget all prefixes."""
+        """Evict all prefixes."""
         while self._blocks:
             self._evict(now)
 
     def events_after(self, seq: int, now: float) -> list[CacheEvent]:
-        """List the events that are old enough to be seen."""
+        """List the events after a sequence number whose visibility delay is over."""
         return [
             event
             for recorded_at, event in self._events
-            if event.seq > seq and recorded_at + EVENT_DELAY <= now
+            if event.seq > seq and recorded_at + EVENT_DELAY_SECONDS <= now
         ]
 
     def _touch(self, prefixes: list[str]) -> None:
-        # Backwards, since a longer prefix is of no use without the shorter one.
+        # In reverse, since a longer prefix is useless once a shorter one is evicted.
         for prefix in reversed(prefixes):
             self._blocks.move_to_end(prefix)
 
@@ -134,14 +136,14 @@
 
     def _record(self, kind: str, prefix: str, now: float) -> None:
         self._seq += 1
-        if self._seq % EVENT_GAP == 0:
+        if self._seq % LOST_EVENT_INTERVAL == 0:
             return
         event = CacheEvent(self._seq, kind, prefix, self._blocks[prefix])
         self._events.append((now, event))
 
 
 class Sequence:
-    """Follow one request through the batch."""
+    """Track the progress of one request in the batch."""
 
     def __init__(
         self, prefixes: list[str], prompt_tokens: int, max_tokens: int, priority: int
@@ -157,12 +159,12 @@
 
     @property
     def kv_tokens(self) -> int:
-        """Count the tokens whose KV the engine holds."""
+        """Count the tokens whose KV is in the engine."""
         return max(0, self.prompt_tokens - self.to_prefill) + self.generated
 
 
 class Step(NamedTuple):
-    """Hold one iteration's work."""
+    """Represent the work of one iteration."""
 
     seconds: float
     prefills: list[tuple[Sequence, int]]
@@ -170,7 +172,7 @@
 
 
 class Batch:
-    """Choose the work of each iteration."""
+    """Schedule the work of each iteration."""
 
     def __init__(self, role: str, speed: float, cache: PrefixCache) -> None:
         self.profile = PROFILES[role]
@@ -182,18 +184,18 @@
 
     @property
     def load(self) -> Load:
-        """Count the work as it is now."""
+        """Count the current work."""
         tokens = sum(sequence.to_prefill for _, _, sequence in self._waiting)
         return Load(len(self._running), len(self._waiting), tokens)
 
     def submit(self, sequence: Sequence) -> None:
-        """Queue a sequence by its priority, then its arrival."""
+        """Queue a sequence, ordered by priority and then by arrival."""
         self._arrivals += 1
         entry = (sequence.priority, self._arrivals, sequence)
         heapq.heappush(self._waiting, entry)
 
     def remove(self, sequence: Sequence) -> None:
-        """Drop a sequence, running or waiting."""
+        """Remove a sequence, running or waiting."""
         if sequence in self._running:
             self._running.remove(sequence)
             return
@@ -201,7 +203,7 @@
         heapq.heapify(self._waiting)
 
     def admit(self) -> list[Sequence]:
-        """Move waiting sequences into the free places of the batch."""
+        """Move waiting sequences into the free slots of the batch and return them."""
         admitted = []
         while self._waiting and len(self._running) < self.profile.max_batch:
             sequence = heapq.heappop(self._waiting)[2]
@@ -211,7 +213,7 @@
         return admitted
 
     def plan(self) -> Step:
-        """Choose the next step's work."""
+        """Plan the next step."""
         budget = self.profile.prefill_tokens
         prefills: list[tuple[Sequence, int]] = []
         decodes = []
@@ -249,26 +251,26 @@
     def _skip_prefill(self, sequence: Sequence) -> None:
         cached = self._cache.match(sequence.prefixes)
         known = max(cached, sequence.imported_tokens)
-        # The last prompt token is always computed: it yields the first new token.
+        # The last prompt token is always computed, since it yields the first new token.
         sequence.cached_tokens = max(0, min(known, sequence.prompt_tokens - 1))
         sequence.to_prefill = max(1, sequence.prompt_tokens) - sequence.cached_tokens
 
 
 class LaggingLoad:
-    """Report the load as it was some time ago."""
+    """Report the load with a fixed delay."""
 
     def __init__(self, lag: float) -> None:
         self._lag = lag
         self._samples: deque[tuple[float, Load]] = deque([(0.0, Load())])
 
     def record(self, load: Load, now: float) -> None:
-        """Remember the load as it is now."""
+        """Record the current load."""
         self._prune(now)
         if self._samples[-1][1] != load:
             self._samples.append((now, load))
 
     def read(self, now: float) -> Load:
-        """Return the newest load that is older than the lag."""
+        """Return the newest load that is older than the delay."""
         self._prune(now)
         return self._samples[0][1]
 
--- a/standins/common.py
+++ b/standins/common.py
@@ -1,4 +1,4 @@
-"""Start-up, JSON helpers and fault modes that the stand-ins share."""
+"""Provide the start-up, JSON helpers and fault modes of the stand-ins."""
 
 import argparse
 import asyncio
@@ -12,7 +12,7 @@
 from aiohttp import web
 from aiohttp.typedefs import Handler
 
-BODY_LIMIT: Final = 256 * 1024 * 1024
+MAX_BODY_BYTES: Final = 256 * 1024 * 1024
 SHUTDOWN_SECONDS: Final = 0.5
 T = TypeVar("T")
 STORE_MODES: Final = frozenset({"up", "down", "slow", "lose_reply"})
@@ -21,7 +21,7 @@
 
 
 class Fault(TypedDict):
-    """Describe the fault that a stand-in shows."""
+    """Describe an injected fault; `count` limits the requests that it affects."""
 
     mode: str
     seconds: NotRequired[float]
@@ -29,7 +29,7 @@
 
 
 class FaultGate:
-    """Put a fault mode before the handlers of an application."""
+    """Apply a fault mode to the requests of an application."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
 
     def install(self, app: web.Application) -> None:
         """Add the fault route and the middleware."""
-        app.router.add_post("/_fault", self._set)
+        app.router.add_post("/_fault", self._set_fault)
         app.middlewares.append(self._apply)
 
-    async def _set(self, request: web.Request) -> web.Response:
+    async def _set_fault(self, request: web.Request) -> web.Response:
         fault = await read_json(request, Fault)
         if fault["mode"] not in self._modes:
             raise bad_request(f"mode is one of {sorted(self._modes)}")
@@ -60,7 +60,7 @@
             return await handler(request)
         if self._fault["mode"] == "lose_write" and not self._is_write(request):
             return await handler(request)
-        fault = self._take()
+        fault = self._consume()
         if fault["mode"] in ("down", "lose_write"):
             return _close(request)
         if fault["mode"] == "error":
@@ -70,7 +70,7 @@
         response = await handler(request)
         return _close(request) if fault["mode"] == "lose_reply" else response
 
-    def _take(self) -> Fault:
+    def _consume(self) -> Fault:
         fault = self._fault
         if "count" not in fault:
             return fault
@@ -86,13 +86,13 @@
 
 
 def bad_request(message: str) -> web.HTTPBadRequest:
-    """Build the answer to a body that breaks the contract."""
+    """Build the answer to an invalid request."""
     body = msgspec.json.encode({"error": {"code": "bad_request", "message": message}})
     return web.HTTPBadRequest(body=body, content_type="application/json")
 
 
 async def read_json(request: web.Request, kind: type[T]) -> T:
-    """Decode the body as the given type, or answer 400."""
+    """Decode the body as the given type; raise a 400 answer if it is invalid."""
     try:
         return msgspec.json.decode(await request.read(), type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -106,7 +106,7 @@
 
 
 def build_parser(description: str) -> argparse.ArgumentParser:
-    """Build a parser with the arguments that every stand-in takes."""
+    """Build a parser with the arguments common to all stand-ins."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--address", default="127.0.0.1", type=_parse_loopback)
     parser.add_argument("--port", default=0, type=int)
@@ -115,20 +115,20 @@
 
 def _parse_loopback(text: str) -> str:
     if not ipaddress.ip_address(text).is_loopback:
-        raise argparse.ArgumentTypeError("stand-ins answer on loopback only")
+        raise argparse.ArgumentTypeError("stand-ins listen on loopback addresses only")
     return text
 
 
 def parse_bool(text: str) -> bool:
     """Parse `true` or `false`."""
     if text not in ("true", "false"):
-        raise argparse.ArgumentTypeError("true or false")
+        raise argparse.ArgumentTypeError("must be true or false")
     return text == "true"
 
 
 def build_app() -> web.Application:
-    """Build an application that takes large bodies."""
-    return web.Application(client_max_size=BODY_LIMIT)
+    """Build an application that accepts large bodies."""
+    return web.Application(client_max_size=MAX_BODY_BYTES)
 
 
 def serve(
@@ -156,7 +156,7 @@
 
 
 def print_ready(address: str, **more: str) -> None:
-    """Print the line that says where the stand-in listens."""
+    """Print the ready line with the address that the stand-in listens on."""
     line = msgspec.json.encode({"ready": True, "address": address, **more})
     print(line.decode(), flush=True)
 
--- a/standins/completions.py
+++ b/standins/completions.py
@@ -1,4 +1,4 @@
-"""OpenAI bodies of the model engine: requests in, answers and events out."""
+"""Parse and build the OpenAI bodies of the model engine."""
 
 import hashlib
 import time
@@ -14,27 +14,27 @@
 
 
 class Message(TypedDict):
-    """Hold one message of a chat."""
+    """Represent one message of a chat."""
 
     role: str
     content: str
 
 
 class StreamOptions(TypedDict):
-    """Choose what a stream carries."""
+    """Select the contents of a stream."""
 
     include_usage: NotRequired[bool]
 
 
 class KvTransfer(TypedDict):
-    """Say which KV to use and whether to keep the request's own."""
+    """Select imported KV to use, and whether to keep the request's own KV."""
 
     handle: NotRequired[str]
     export: NotRequired[bool]
 
 
 class Body(TypedDict):
-    """Hold what both kinds of request share."""
+    """Represent the fields common to both kinds of request."""
 
     model: str
     max_tokens: NotRequired[Positive | None]
@@ -46,21 +46,21 @@
 
 
 class ChatBody(Body):
-    """Ask for a chat completion."""
+    """Request a chat completion."""
 
     messages: Annotated[list[Message], msgspec.Meta(min_length=1)]
     continue_final_message: NotRequired[bool]
 
 
 class CompletionBody(Body):
-    """Ask for a text completion."""
+    """Request a text completion."""
 
     prompt: str
     continue_from: NotRequired[NotNegative]
 
 
 class Prompt(NamedTuple):
-    """Hold a prompt's words and what of its answer stands already."""
+    """Represent a prompt and the number of answer tokens that it already contains."""
 
     words: list[str]
     seed: str
@@ -76,7 +76,7 @@
 
 
 def read_chat(body: ChatBody) -> Prompt:
-    """Count the words of the messages."""
+    """Build the prompt from the messages of a chat."""
     messages = body["messages"]
     words = [word for message in messages for word in message["content"].split()]
     users = [message["content"] for message in messages if message["role"] == "user"]
@@ -89,7 +89,7 @@
 
 
 def read_completion(body: CompletionBody) -> Prompt:
-    """Count the words of the prompt and of the part that follows it."""
+    """Build the prompt from a text and the part of the answer that follows it."""
     length = body.get("continue_from", 0)
     if length > len(body["prompt"]):
         raise ValueError("continue_from is longer than the prompt")
@@ -99,19 +99,19 @@
 
 
 def build_token(seed_digest: str, index: int) -> str:
-    """Build the token at this place of the answer."""
+    """Build the token at this index of the answer."""
     if index == 0:
         return seed_digest
     return f" w{index}-{seed_digest[index % len(seed_digest)]}"
 
 
 def digest_seed(seed: str) -> str:
-    """Hash the text that the whole answer follows from."""
+    """Hash the text that determines the whole answer."""
     return hashlib.sha256(seed.encode()).hexdigest()
 
 
 class Writer:
-    """Build the answer's bodies and events."""
+    """Build the bodies and events of an answer."""
 
     def __init__(self, answer_id: str, model: str, chat: bool) -> None:
         self._chat = chat
@@ -130,11 +130,11 @@
         return self._encode_event({"choices": [choice]})
 
     def build_usage_event(self, usage: Usage) -> bytes:
-        """Build the event that closes a stream with its usage."""
+        """Build the last event of a stream, with its usage."""
         return self._encode_event({"choices": [], "usage": _build_usage(usage)})
 
     def build_answer(self, text: str, finish_reason: str, usage: Usage) -> bytes:
-        """Build the body of an answer that is not streamed."""
+        """Build the body of a non-streamed answer."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason}
         if self._chat:
             choice["message"] = {"role": "assistant", "content": text}
--- a/standins/desk.py
+++ b/standins/desk.py
@@ -1,4 +1,4 @@
-"""Stand-in for a host of a plain service that breaks off, repeats itself or lies."""
+"""Stand-in for a host of a plain service that truncates or repeats answers."""
 
 import asyncio
 import itertools
@@ -16,10 +16,10 @@
 
 BACKLOG: Final = 1024
 FAULT_PATH: Final = "/_fault"
-SPREAD: Final = 4000
-"""Most bytes by which answers differ in length."""
-LATE_SECONDS: Final = 0.02
-"""Time after which a second answer comes late."""
+MAX_PADDING: Final = 4000
+"""Upper bound of the random padding of answers, in bytes."""
+DELAY_SECONDS: Final = 0.02
+"""Delay before the rest of a split answer, a repeated answer or a reset."""
 LINGER_RESET: Final = struct.pack("ii", 1, 0)
 Mode = Literal[
     "whole",
@@ -39,15 +39,15 @@
 
 
 class Fault(TypedDict):
-    """Say how the host answers from now on."""
+    """Set how the host answers from now on."""
 
     modes: list[Mode]
-    """One of these for each request, by the host's own chance."""
+    """Modes of which one is drawn at random for each request."""
     seed: NotRequired[int]
 
 
-class Asked(NamedTuple):
-    """Hold a request."""
+class Request(NamedTuple):
+    """Represent a request."""
 
     method: str
     path: str
@@ -55,13 +55,13 @@
     body: bytes
 
     @property
-    def name(self) -> str:
-        """Give the request's name."""
+    def request_id(self) -> str:
+        """Return the request's id."""
         return self.headers.get("x-request-id", "")
 
 
 class Desk:
-    """Answer each request with a text of its own, and keep a record of it."""
+    """Answer each request with a unique body, and record its run."""
 
     def __init__(self, host: str, log: RunLog) -> None:
         self.host = host
@@ -74,51 +74,53 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Serve one connection."""
-        kept = b""
+        pending = b""
         try:
             while True:
-                asked = await read_request(reader)
-                writer.write(kept)
-                kept = b""
-                if asked.path == FAULT_PATH:
-                    self._take_fault(asked.body)
+                request = await read_request(reader)
+                writer.write(pending)
+                pending = b""
+                if request.path == FAULT_PATH:
+                    self._set_fault(request.body)
                     writer.write(make_answer("", 200, b"{}"))
                     continue
-                if not self._is_meant(asked):
-                    writer.write(refuse(asked.name, 421))
+                if not self._is_addressed(request):
+                    writer.write(make_refusal(request.request_id, 421))
                     continue
-                kept = await self._answer(asked, writer)
+                pending = await self._answer(request, writer)
         except (asyncio.IncompleteReadError, asyncio.CancelledError, OSError):
             pass
         finally:
             writer.close()
 
-    def _take_fault(self, body: bytes) -> None:
+    def _set_fault(self, body: bytes) -> None:
         fault = msgspec.json.decode(body, type=Fault)
         self.modes = deque(fault["modes"])
         self._random.seed(fault.get("seed", 0))
 
-    def _is_meant(self, asked: Asked) -> bool:
-        return asked.headers.get("x-target-instance", self.host) == self.host
+    def _is_addressed(self, request: Request) -> bool:
+        return request.headers.get("x-target-instance", self.host) == self.host
 
-    async def _answer(self, asked: Asked, writer: asyncio.StreamWriter) -> bytes:
-        """Answer a request; give what is to be sent before the next answer."""
+    async def _answer(self, request: Request, writer: asyncio.StreamWriter) -> bytes:
+        """Answer a request; return the bytes to send before the next answer."""
         mode = self._random.choice(self.modes)
         if mode == "refuse":
-            writer.write(refuse(asked.name, 503))
+            writer.write(make_refusal(request.request_id, 503))
             return b""
         status = 500 if mode in ("fail", "fail_part") else 200
         number = next(self._numbers)
-        body = self._make_body(asked.name, number)
+        body = self._make_body(request.request_id, number)
         signature = f"{self.host}.{number}.{digest(body)}"
-        self._note(asked, signature, status, body)
-        answer = make_answer(asked.name, status, body, signature)
-        return await self._send(mode, asked.name, answer, body, signature, writer)
+        self._record_run(request, signature, status, body)
+        answer = make_answer(request.request_id, status, body, signature)
+        return await self._send(
+            mode, request.request_id, answer, body, signature, writer
+        )
 
     async def _send(
         self,
         mode: Mode,
-        name: str,
+        request_id: str,
         answer: bytes,
         body: bytes,
         signature: str,
@@ -133,8 +135,10 @@
                 reset(writer)
                 raise ConnectionResetError(mode)
             case "reset_unframed":
-                writer.write(make_unframed(name, body[: len(body) // 2], signature))
-                await asyncio.sleep(LATE_SECONDS)
+                writer.write(
+                    make_unframed(request_id, body[: len(body) // 2], signature)
+                )
+                await asyncio.sleep(DELAY_SECONDS)
                 reset(writer)
                 raise ConnectionResetError(mode)
             case "hang":
@@ -144,11 +148,11 @@
             case "twice_unnamed":
                 cut = answer.index(b"\r\n\r\n") + 5
                 writer.write(answer[:cut])
-                await asyncio.sleep(LATE_SECONDS)
+                await asyncio.sleep(DELAY_SECONDS)
                 writer.write(answer[cut:] + unnamed)
             case "twice_late":
                 writer.write(answer)
-                await asyncio.sleep(LATE_SECONDS)
+                await asyncio.sleep(DELAY_SECONDS)
                 writer.write(answer)
             case "twice_next":
                 writer.write(answer)
@@ -160,19 +164,21 @@
                 writer.write(answer)
         return b""
 
-    def _make_body(self, name: str, number: int) -> bytes:
-        text = f"{name} {self.host} {number} ".encode()
-        return text + b"." * self._random.randrange(SPREAD)
+    def _make_body(self, request_id: str, number: int) -> bytes:
+        text = f"{request_id} {self.host} {number} ".encode()
+        return text + b"." * self._random.randrange(MAX_PADDING)
 
-    def _note(self, asked: Asked, signature: str, status: int, body: bytes) -> None:
+    def _record_run(
+        self, request: Request, signature: str, status: int, body: bytes
+    ) -> None:
         run = Run(
             RUN,
             read_clock(),
             self.host,
-            asked.name,
-            asked.method,
-            asked.path,
-            digest(asked.body),
+            request.request_id,
+            request.method,
+            request.path,
+            digest(request.body),
             signature,
             status,
             digest(body),
@@ -180,41 +186,45 @@
         self._log.write(run)
 
 
-async def read_request(reader: asyncio.StreamReader) -> Asked:
-    """Read a request whose body, if any, comes with a length."""
+async def read_request(reader: asyncio.StreamReader) -> Request:
+    """Read a request; a body must have a Content-Length."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head.splitlines()
     method, path, _ = first.split(" ")
     pairs = (line.partition(":") for line in lines if line)
     headers = {name.lower(): value.strip() for name, _, value in pairs}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Asked(method, path, headers, body)
+    return Request(method, path, headers, body)
 
 
-def make_answer(name: str, status: int, body: bytes, signature: str = "") -> bytes:
-    """Make an answer with a length; it bears the names that are not empty."""
-    return _make_head(name, status, signature, f"Content-Length: {len(body)}") + body
+def make_answer(
+    request_id: str, status: int, body: bytes, signature: str = ""
+) -> bytes:
+    """Make an answer with a length; leave out the id and signature if empty."""
+    return (
+        _make_head(request_id, status, signature, f"Content-Length: {len(body)}") + body
+    )
 
 
-def make_unframed(name: str, body: bytes, signature: str) -> bytes:
-    """Make an answer that ends with its connection."""
-    return _make_head(name, 200, signature, "Connection: close") + body
+def make_unframed(request_id: str, body: bytes, signature: str) -> bytes:
+    """Make an answer whose end is marked by the end of the connection only."""
+    return _make_head(request_id, 200, signature, "Connection: close") + body
 
 
-def refuse(name: str, status: int) -> bytes:
-    """Make the answer that the request was not run."""
-    return _make_head(name, status, "", "X-Not-Executed: 1", "Content-Length: 0")
+def make_refusal(request_id: str, status: int) -> bytes:
+    """Make the answer to a request that was not run."""
+    return _make_head(request_id, status, "", "X-Not-Executed: 1", "Content-Length: 0")
 
 
-def _make_head(name: str, status: int, signature: str, *lines: str) -> bytes:
-    named = [f"X-Request-Id: {name}"] if name else []
+def _make_head(request_id: str, status: int, signature: str, *lines: str) -> bytes:
+    named = [f"X-Request-Id: {request_id}"] if request_id else []
     signed = [f"X-Server-Signature: {signature}"] if signature else []
     head = [f"HTTP/1.1 {status} Said", *named, *signed, *lines, "", ""]
     return "\r\n".join(head).encode("latin-1")
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset, not by a close."""
+    """Reset a connection instead of closing it."""
     end = writer.get_extra_info("socket")
     end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: OpenAI HTTP with the usual extensions."""
+"""Stand-in for a model engine: OpenAI HTTP with extensions for KV and orders."""
 
 import argparse
 import asyncio
@@ -31,15 +31,15 @@
     read_chat,
     read_completion,
 )
-from standins.jobs import Job, Kv, Update, keep
+from standins.jobs import Job, Kv, Update, keep_kv
 from standins.work import Engine, Order, Settings
 
 KV_BYTES_PER_TOKEN: Final = 64
-CRASH_DELAY: Final = 0.01
+CRASH_DELAY_SECONDS: Final = 0.01
 
 
 class Fault(TypedDict):
-    """Describe the fault that the engine shows."""
+    """Describe an injected fault of the engine."""
 
     crash_in_change: NotRequired[bool]
     stall: NotRequired[float]
@@ -47,13 +47,13 @@
 
 
 class Export(TypedDict):
-    """Name the request whose KV is wanted."""
+    """Select the request whose KV to export."""
 
     request_id: str
 
 
 class Server:
-    """Answer the engine's HTTP calls."""
+    """Serve the engine's HTTP interface."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -80,7 +80,7 @@
     async def _run_engine(self, app: web.Application) -> Any:
         self._engine = Engine(self._settings)
         task = asyncio.create_task(self._engine.run())
-        task.add_done_callback(_stop_on_error)
+        task.add_done_callback(_exit_on_error)
         yield
         task.cancel()
 
@@ -104,7 +104,7 @@
         self, request: web.Request, body: Body, prompt: Prompt, chat: bool
     ) -> web.StreamResponse:
         if self._engine.changing:
-            return _refuse()
+            return _reply_not_started()
         if body["model"] not in (self._engine.model, *self._engine.adapters):
             return reply_json({"error": {"code": "model_not_found"}}, status=404)
         request_id = request.headers.get("X-Request-Id") or secrets.token_hex(8)
@@ -134,7 +134,7 @@
         if kv is None:
             return reply_json({"error": {"code": "unknown_request"}}, status=404)
         handle = secrets.token_hex(8)
-        keep(self._exports, handle, kv)
+        keep_kv(self._exports, handle, kv)
         size = len(_encode_kv(kv))
         return reply_json({"handle": handle, "tokens": kv.tokens, "bytes": size})
 
@@ -152,7 +152,7 @@
             raise bad_request(str(error)) from error
         if not handle:
             raise bad_request("handle is missing")
-        keep(self._engine.imported, handle, kv)
+        keep_kv(self._engine.imported, handle, kv)
         return reply_json({"handle": handle, "tokens": kv.tokens})
 
     async def _report_state(self, request: web.Request) -> web.Response:
@@ -196,7 +196,7 @@
         if "stall" in fault:
             engine.stalled_until = time.monotonic() + fault["stall"]
         if fault.get("crash"):
-            asyncio.get_running_loop().call_later(CRASH_DELAY, os._exit, 1)
+            asyncio.get_running_loop().call_later(CRASH_DELAY_SECONDS, os._exit, 1)
         return reply_json({})
 
     async def _report_counts(self, request: web.Request) -> web.Response:
@@ -205,7 +205,7 @@
         return reply_json({**counts, **engine.totals})
 
 
-def _stop_on_error(task: asyncio.Task[None]) -> None:
+def _exit_on_error(task: asyncio.Task[None]) -> None:
     if task.cancelled():
         return
     asyncio.get_running_loop().call_exception_handler(
@@ -218,11 +218,11 @@
     return msgspec.json.encode(kv).ljust(kv.tokens * KV_BYTES_PER_TOKEN, b"\0")
 
 
-def _refuse() -> web.Response:
+def _reply_not_started() -> web.Response:
     return reply_json({"error": {"code": "not_started"}}, status=503)
 
 
-def _break(request: web.Request) -> web.Response:
+def _abort(request: web.Request) -> web.Response:
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
@@ -234,7 +234,7 @@
     while update.finish_reason is None:
         update = await job.updates.get()
         if update.lost:
-            return _break(request) if job.started else _refuse()
+            return _abort(request) if job.started else _reply_not_started()
         text += update.text
     body = writer.build_answer(text, update.finish_reason, job.usage)
     headers = {"X-Request-Id": job.request_id}
@@ -246,7 +246,7 @@
 ) -> web.StreamResponse:
     update = await job.updates.get()
     if update.lost:
-        return _break(request) if job.started else _refuse()
+        return _abort(request) if job.started else _reply_not_started()
     headers = {"Content-Type": "text/event-stream", "X-Request-Id": job.request_id}
     response = web.StreamResponse(headers=headers)
     await response.prepare(request)
@@ -254,7 +254,7 @@
         await response.write(writer.build_event(update.text, None))
         update = await job.updates.get()
         if update.lost:
-            _break(request)
+            _abort(request)
             return response
     await response.write(writer.build_event(update.text, update.finish_reason))
     if usage:
@@ -265,7 +265,7 @@
 
 
 def parse_settings(args: argparse.Namespace) -> Settings:
-    """Take the engine's settings from its arguments."""
+    """Build the engine's settings from its arguments."""
     values = {name: getattr(args, name) for name in Settings._fields}
     adapters = tuple(name for name in args.adapters.split(",") if name)
     return Settings(**{**values, "adapters": adapters})
--- a/standins/hosts.py
+++ b/standins/hosts.py
@@ -16,11 +16,11 @@
     serve,
 )
 
-DEFAULT_LAG: Final = 2.0
+DEFAULT_LAG_SECONDS: Final = 2.0
 
 
 class Change(TypedDict):
-    """Change the entry of one host."""
+    """Describe a change of one host's entry, visible after a lag."""
 
     host: str
     state: Literal["live", "leaving", "gone"]
@@ -31,11 +31,11 @@
 
 
 class Server:
-    """Answer the host list's HTTP calls."""
+    """Serve the host list's HTTP interface."""
 
     def __init__(self, lag: float) -> None:
         self._lag = lag
-        self._shown: dict[str, Change] = {}
+        self._visible: dict[str, Change] = {}
         self._applied: dict[str, int] = {}
         self._changes = 0
 
@@ -43,18 +43,18 @@
         """Build the application with its routes."""
         app = build_app()
         app.router.add_get("/hosts", self._list)
-        app.router.add_post("/_hosts", self._take)
+        app.router.add_post("/_hosts", self._change)
         FaultGate(STORE_MODES).install(app)
         return app
 
     async def _list(self, request: web.Request) -> web.Response:
-        hosts = sorted(self._shown)
-        return reply_json([_build_entry(self._shown[host]) for host in hosts])
+        hosts = sorted(self._visible)
+        return reply_json([_build_entry(self._visible[host]) for host in hosts])
 
-    async def _take(self, request: web.Request) -> web.Response:
+    async def _change(self, request: web.Request) -> web.Response:
         change = await read_json(request, Change)
-        complete = change.keys() >= {"place", "upstream", "target"}
-        if change["state"] != "gone" and not complete:
+        is_complete = change.keys() >= {"place", "upstream", "target"}
+        if change["state"] != "gone" and not is_complete:
             raise bad_request("place, upstream and target are needed")
         self._changes += 1
         lag = change.get("lag", self._lag)
@@ -69,9 +69,9 @@
             return
         self._applied[host] = number
         if change["state"] == "gone":
-            self._shown.pop(host, None)
+            self._visible.pop(host, None)
             return
-        self._shown[host] = change
+        self._visible[host] = change
 
 
 def _build_entry(change: Change) -> dict[str, object]:
@@ -82,7 +82,7 @@
 def main() -> None:
     """Run the host list."""
     parser = build_parser("host list")
-    parser.add_argument("--lag", type=float, default=DEFAULT_LAG)
+    parser.add_argument("--lag", type=float, default=DEFAULT_LAG_SECONDS)
     args = parser.parse_args()
     serve(Server(args.lag).build_app(), args.address, args.port)
 
--- a/standins/jobs.py
+++ b/standins/jobs.py
@@ -1,4 +1,4 @@
-"""Requests of a stand-in engine, and the KV that they make."""
+"""Represent the requests of a stand-in engine and their KV."""
 
 import asyncio
 from collections import OrderedDict
@@ -14,18 +14,18 @@
     digest_seed,
 )
 
-KEPT_KV: Final = 256
+MAX_KEPT_KV: Final = 256
 
 
 class Kv(NamedTuple):
-    """Stand for the KV of a prefix."""
+    """Represent the KV of a prefix by a digest and a length."""
 
     digest: str
     tokens: int
 
 
 class Update(NamedTuple):
-    """Tell a request's handler of a new token or of the end."""
+    """Represent a new token, or the end of a request, for its handler."""
 
     text: str = ""
     finish_reason: str | None = None
@@ -33,7 +33,7 @@
 
 
 class Job:
-    """Tie a request to its sequence in the batch."""
+    """Represent a request and its sequence in the batch."""
 
     def __init__(self, request_id: str, body: Body, prompt: Prompt) -> None:
         self.request_id = request_id
@@ -60,17 +60,17 @@
 
     @property
     def done(self) -> bool:
-        """Tell whether the last token is there."""
+        """Tell whether the last token was generated."""
         return self.sequence.generated == self.sequence.max_tokens
 
     def push_token(self) -> None:
-        """Hand the newest token to the handler."""
+        """Send the newest token to the handler."""
         index = self.prompt.start + self.sequence.generated - 1
         reason = ("stop" if self.natural_end else "length") if self.done else None
         self.updates.put_nowait(Update(build_token(self.digest, index), reason))
 
     def snapshot_kv(self) -> Kv:
-        """Describe the KV that the engine holds for this request."""
+        """Describe the KV that the engine has computed for this request."""
         start, generated = self.prompt.start, self.sequence.generated
         made = [build_token(self.digest, start + i).strip() for i in range(generated)]
         prompt_end = self.sequence.kv_tokens - generated
@@ -78,8 +78,8 @@
         return Kv(hash_prefix(self.model, words), len(words))
 
 
-def keep(store: OrderedDict[str, Kv], name: str, kv: Kv) -> None:
-    """Remember a KV and forget the oldest beyond the limit."""
+def keep_kv(store: OrderedDict[str, Kv], name: str, kv: Kv) -> None:
+    """Store a KV and evict the oldest one beyond the limit."""
     store[name] = kv
-    if len(store) > KEPT_KV:
+    if len(store) > MAX_KEPT_KV:
         store.popitem(last=False)
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -21,7 +21,7 @@
 
 
 class Server:
-    """Answer the object store's HTTP calls."""
+    """Serve the object store's HTTP interface."""
 
     def __init__(self) -> None:
         self._objects: dict[str, bytes] = {}
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,4 +1,4 @@
-"""TCP proxy that cuts, silences and delays connections for tests."""
+"""TCP proxy that resets, silences and delays connections for tests."""
 
 import asyncio
 import socket
@@ -17,8 +17,8 @@
     wait_for_stop,
 )
 
-CHUNK: Final = 64 * 1024
-QUEUED_CHUNKS: Final = 256
+CHUNK_BYTES: Final = 64 * 1024
+MAX_QUEUED_CHUNKS: Final = 256
 BACKLOG: Final = 1024
 LINGER_RESET: Final = struct.pack("ii", 1, 0)
 
@@ -26,7 +26,7 @@
 
 
 class FaultProxy:
-    """Pass connections on to a target and show network faults on demand."""
+    """Forward connections to a target and inject network faults."""
 
     def __init__(self, target: str) -> None:
         host, port = target.rsplit(":", 1)
@@ -46,7 +46,8 @@
     ) -> "FaultProxy":
         """Listen on the address."""
         proxy = cls(target)
-        # A bound socket that never listens keeps the port while it refuses.
+        # A bound socket that never listens reserves the port while the proxy refuses
+        # connections.
         proxy._reservation = _bind(address, port)
         host, bound_port = proxy._reservation.getsockname()
         proxy.address = f"{host}:{bound_port}"
@@ -71,9 +72,9 @@
             link.reset()
 
     def heal(self) -> None:
-        """End `cut` and `cut_one_way`; connections that lost bytes are reset."""
+        """End `cut` and `cut_one_way`, and reset connections that lost bytes."""
         self.lossy.clear()
-        # Bytes that follow a gap must not arrive: real TCP never shows a gap.
+        # Bytes after a gap must not arrive, since TCP never delivers data with a gap.
         for link in list(self.links):
             if link.lost_bytes and not link.silent:
                 link.reset()
@@ -81,12 +82,12 @@
             self._listen()
 
     def go_silent(self) -> None:
-        """Swallow all bytes of the open connections for good, without closing."""
+        """Discard all further bytes of the open connections without closing them."""
         for link in self.links:
             link.silent = True
 
     def cut_one_way(self, direction: Direction) -> None:
-        """Swallow the bytes towards the target or back until `heal`."""
+        """Discard the bytes in one direction until `heal`; `up` is to the target."""
         if direction not in ("up", "down"):
             raise ValueError(direction)
         self.lossy.add(direction)
@@ -96,7 +97,7 @@
         self.delay_seconds = seconds
 
     def drop_next_reply(self) -> None:
-        """Swallow the answer to the next bytes sent up, then reset."""
+        """Drop the answer to the next bytes sent `up`, and reset the connection."""
         self.drops_next_reply = True
 
     def _listen(self) -> None:
@@ -120,7 +121,7 @@
 
 
 class Link:
-    """Carry one connection."""
+    """Forward one connection."""
 
     def __init__(self, proxy: FaultProxy, connection: socket.socket) -> None:
         self.silent = False
@@ -132,7 +133,7 @@
         self._drops_reply = False
 
     async def run(self) -> None:
-        """Carry bytes both ways until both ends have closed."""
+        """Forward bytes both ways until both ends have closed."""
         self._task = asyncio.current_task()
         loop = asyncio.get_running_loop()
         self._target = socket.socket()
@@ -142,8 +143,8 @@
                 end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await loop.sock_connect(self._target, self._proxy.target)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._carry("up", self._client, self._target))
-                group.create_task(self._carry("down", self._target, self._client))
+                group.create_task(self._forward("up", self._client, self._target))
+                group.create_task(self._forward("down", self._target, self._client))
         except (OSError, ExceptionGroup):
             self._prepare_reset()
         finally:
@@ -156,7 +157,7 @@
         self._prepare_reset()
         self._proxy.links.discard(self)
         if self._task is None:
-            # Not begun: closing now makes the first step fail at once.
+            # The task has not started yet; a closed socket makes its first step fail.
             self._client.close()
             return
         self._task.cancel()
@@ -166,10 +167,10 @@
             if end is not None and end.fileno() >= 0:
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
-    async def _carry(
+    async def _forward(
         self, direction: Direction, source: socket.socket, sink: socket.socket
     ) -> None:
-        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(QUEUED_CHUNKS)
+        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
         async with asyncio.TaskGroup() as group:
             group.create_task(self._read(source, queue))
             group.create_task(self._write(direction, sink, queue))
@@ -180,7 +181,7 @@
         loop = asyncio.get_running_loop()
         data = b"-"
         while data:
-            data = await loop.sock_recv(source, CHUNK)
+            data = await loop.sock_recv(source, CHUNK_BYTES)
             await queue.put((loop.time() + self._proxy.delay_seconds, data))
 
     async def _write(
@@ -194,7 +195,7 @@
             due, data = await queue.get()
             if due > loop.time():
                 await asyncio.sleep(due - loop.time())
-            if self._swallows(direction):
+            if self._discards(direction):
                 self.lost_bytes = True
                 continue
             if not data:
@@ -203,7 +204,7 @@
             self._check_reply_drop(direction)
             await loop.sock_sendall(sink, data)
 
-    def _swallows(self, direction: Direction) -> bool:
+    def _discards(self, direction: Direction) -> bool:
         return self.silent or direction in self._proxy.lossy
 
     def _check_reply_drop(self, direction: Direction) -> None:
@@ -223,14 +224,14 @@
 
 
 class Command(TypedDict):
-    """Name the fault that a proxy process shows."""
+    """Select the fault that a proxy process injects."""
 
     mode: Literal["cut", "heal", "go_silent", "cut_one_way", "delay", "drop_next_reply"]
     direction: NotRequired[Direction]
     seconds: NotRequired[float]
 
 
-def _carry_out(proxy: FaultProxy, command: Command) -> None:
+def _apply(proxy: FaultProxy, command: Command) -> None:
     match command["mode"]:
         case "cut_one_way":
             proxy.cut_one_way(command.get("direction", "up"))
@@ -244,7 +245,7 @@
     proxy = await FaultProxy.start(target, address, port)
 
     async def set_fault(request: web.Request) -> web.Response:
-        _carry_out(proxy, await read_json(request, Command))
+        _apply(proxy, await read_json(request, Command))
         return reply_json({})
 
     app = build_app()
@@ -260,7 +261,7 @@
 
 
 def main() -> None:
-    """Run a proxy whose control address takes `POST /_fault`."""
+    """Run a proxy with a control address that accepts `POST /_fault`."""
     parser = build_parser("fault proxy")
     parser.add_argument("--target", required=True)
     args = parser.parse_args()
--- a/standins/runs.py
+++ b/standins/runs.py
@@ -1,4 +1,4 @@
-"""Keep a stand-in's own record of what it ran, for who checks the callers' answers."""
+"""Record the runs of a stand-in, to check the callers' answers against them."""
 
 import hashlib
 import os
@@ -14,11 +14,11 @@
 
 
 class Run(NamedTuple):
-    """Hold a request that a host ran, or a prompt that it read."""
+    """Represent the run of a request, or the reading of a prompt, at a host."""
 
     kind: str
     at: float
-    """Steady clock of the machine, which its processes share."""
+    """Time on the monotonic clock, which all processes of the machine share."""
     host: str
     id: str
     method: str
@@ -28,11 +28,11 @@
     signature: str
     status: int
     answer: str
-    """Digest of the answer's body; empty where it is a stream."""
+    """Digest of the answer's body; empty for a stream."""
 
 
 class Order(NamedTuple):
-    """Hold an order that an engine got, taken or not."""
+    """Represent an order that an engine received, accepted or not."""
 
     kind: str
     at: float
@@ -44,27 +44,27 @@
 
 
 class RunLog:
-    """Write records to a file, each before anything of its answer goes out."""
+    """Write records to a file; each is written before its answer is sent."""
 
     def __init__(self, path: str) -> None:
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
         self._file = os.open(path, flags, 0o644) if path else None
 
     def write(self, record: Run | Order) -> None:
-        """Write one record; it outlives the process, however that ends."""
+        """Write one record, which survives any end of the process."""
         if self._file is not None:
             os.write(self._file, msgspec.json.encode(record) + b"\n")
 
 
 class RunReader:
-    """Read what was added to a log."""
+    """Read new records of a log."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._offset = 0
 
     def read(self) -> list[Run | Order]:
-        """Read the records that are whole and were not read before."""
+        """Return the complete records that were not read before."""
         if not self._path.exists():
             return []
         with self._path.open("rb") as file:
@@ -81,10 +81,10 @@
 
 
 def digest(data: bytes) -> str:
-    """Give a short digest of a body."""
+    """Return a short digest of a body."""
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
 
 def read_clock() -> float:
-    """Read the clock that the machine's processes share."""
+    """Read the monotonic clock, which all processes of the machine share."""
     return time.monotonic()
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service that counts its effects."""
+"""Stand-in for a plain service that counts the runs per idempotency key."""
 
 import asyncio
 import hashlib
@@ -17,7 +17,7 @@
 
 
 class Server:
-    """Answer any call with what it was given, after an optional delay."""
+    """Answer any call with a description of it, after an optional delay."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
--- a/standins/spoiling.py
+++ b/standins/spoiling.py
@@ -1,4 +1,4 @@
-"""Spoil single runs of a staged engine."""
+"""Inject faults into single runs of a staged engine."""
 
 import asyncio
 import random
@@ -13,43 +13,43 @@
 CLOSE: Final = "close"
 LINGER_RESET: Final = struct.pack("ii", 1, 0)
 HALF_EVENT: Final = b"id: 99\ndata: half an ev"
-SIGNATURE: Final = "X-Server-Signature"
-REQUEST_NAME: Final = "X-Request-Id"
+SIGNATURE_HEADER: Final = "X-Server-Signature"
+REQUEST_ID_HEADER: Final = "X-Request-Id"
 DELIVERY_SECONDS: Final = 0.01
-"""Time in which what was written reaches its reader, which a reset would lose."""
+"""Time for written data to reach its reader, since a reset would discard it."""
 
 
 class RunFault(NamedTuple):
-    """Say how one run is spoiled; as it stands, not at all."""
+    """Describe the fault of one run; the defaults describe no fault."""
 
     status: int = 0
-    """Status that is answered in place of a stream; 0 for a stream."""
+    """Status of an answer in place of the stream; 0 for a stream."""
     body: str = ""
     """Body of that answer."""
     cut_after: int | None = None
-    """Event after which the stream breaks off; 0 for its head."""
+    """Event after which the stream breaks off; 0 for right after the head."""
     half: bool = True
-    """Whether it breaks off within the next event."""
+    """Whether it breaks off in the middle of the next event."""
     end: str = RESET
-    """RESET or CLOSE of the connection where the stream breaks off."""
+    """Whether the connection is reset (RESET) or closed (CLOSE) there."""
     is_unframed: bool = False
-    """Whether the stream has neither length nor chunks."""
+    """Whether the stream has neither a length nor chunked encoding."""
     first_event: int = 0
-    """Event that the stream begins with, whatever was asked for; 0 to obey."""
+    """Event to start with in place of the requested one; 0 for the requested one."""
 
 
 SOUND: Final = RunFault()
 
 
 def draw_faults(faults: Sequence[Mapping[str, Any]], seed: int) -> Iterator[RunFault]:
-    """Draw a fault for each run."""
-    chance = random.Random(seed)
+    """Draw a random fault for each run."""
+    rng = random.Random(seed)
     while faults:
-        yield RunFault(**chance.choice(faults))
+        yield RunFault(**rng.choice(faults))
 
 
 class EventWriter:
-    """Write the events of one answer, with chunks or without."""
+    """Write the events of one answer, with or without chunked encoding."""
 
     def __init__(
         self, request: web.Request, headers: Mapping[str, str], fault: RunFault
@@ -59,25 +59,25 @@
         self.response = web.StreamResponse(headers=headers)
 
     async def start(self) -> None:
-        """Send the head."""
+        """Send the head of the answer."""
         if not self._fault.is_unframed:
             await self.response.prepare(self._request)
             return
         headers = dict(self.response.headers)
-        headers[REQUEST_NAME] = self._request.headers[REQUEST_NAME]
+        headers[REQUEST_ID_HEADER] = self._request.headers[REQUEST_ID_HEADER]
         lines = [f"{name}: {value}" for name, value in headers.items()]
         head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "Connection: close", "", ""])
         self._request.transport.write(head.encode())
 
     async def write(self, data: bytes) -> None:
-        """Send a part."""
+        """Send a part of the body."""
         if self._fault.is_unframed:
             self._request.transport.write(data)
             return
         await self.response.write(data)
 
     async def break_off(self) -> None:
-        """End the connection before the answer is whole."""
+        """End the connection before the answer is complete."""
         if self._fault.half:
             await self.write(HALF_EVENT)
         await asyncio.sleep(DELIVERY_SECONDS)
@@ -89,6 +89,6 @@
         self._request.transport.abort()
 
     async def end(self) -> None:
-        """End the whole answer."""
+        """End a complete answer."""
         if self._fault.is_unframed:
             self._request.transport.close()
--- a/standins/staged.py
+++ b/standins/staged.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine whose prompts and answers are computed apart."""
+"""Stand-in for a model engine that runs either prefill or decode."""
 
 import asyncio
 import itertools
@@ -11,8 +11,8 @@
 from standins.common import build_app, build_parser, read_json, reply_json, serve
 from standins.runs import ORDER, PROMPT, RUN, Order, Run, RunLog, digest, read_clock
 from standins.spoiling import (
-    REQUEST_NAME,
-    SIGNATURE,
+    REQUEST_ID_HEADER,
+    SIGNATURE_HEADER,
     SOUND,
     EventWriter,
     RunFault,
@@ -24,43 +24,43 @@
 
 
 class StagedEngine:
-    """Read prompts or make answers, as its stage is, and count what it ran."""
+    """Run prefill or decode requests, according to its phase, and count them."""
 
     def __init__(
         self, instance: str, phase: str, seconds: float = 0.0, log: str = ""
     ) -> None:
         self.instance = instance
         self.events = EVENTS
-        """Events of each answer."""
+        """Number of events of each answer."""
         self.phase = phase
         self.extra_headers: dict[str, str] = {}
-        """Headers of all that it answers."""
+        """Headers to add to every answer."""
         self.seconds = seconds
-        """Time of each event, and of a prompt."""
+        """Time that it takes for each event, and for a prompt."""
         self.started_ms = 0
-        """Unix milliseconds of its start; not told while 0."""
+        """Time of its start in Unix milliseconds; not reported while 0."""
         self.runs: Counter[str] = Counter()
         self.handles: set[str] = set()
         self.orders: list[dict[str, Any]] = []
         self.highest_fence = 0
         self.is_full = False
-        """Whether it says that it is full."""
+        """Whether it refuses every request as if it were full."""
         self.loses_handles = False
         self.cut_after: int | None = None
-        """Event after which it breaks the connection."""
+        """Event after which it breaks off a stream; None for never."""
         self.faults: Iterator[RunFault] = iter(())
-        """Faults of the next runs, in place of that one."""
+        """Faults of the next runs, which take precedence over `cut_after`."""
         self.fetched_handles: list[str] = []
-        """KV caches that it was told to fetch."""
+        """Sources of KV that requests told it to fetch."""
         self.freed_handles: list[str] = []
-        """Handles that it was told to free."""
+        """Handles that callers freed."""
         self.cached_prefixes: list[list] = []
-        """Parts of prompts in its cache, as it lists them."""
+        """Cached prefixes of prompts, in the form of its list."""
         self.cache_list_calls = 0
-        """Times that it was asked for them."""
+        """Number of calls for that list."""
         self.disconnected: list[str] = []
-        """Requests whose callers left before the end."""
-        self._names = itertools.count(1)
+        """Requests whose callers disconnected before the end."""
+        self._handle_numbers = itertools.count(1)
         self._log = RunLog(log)
         self._signatures = itertools.count(1)
 
@@ -69,29 +69,29 @@
         app = build_app()
         app.router.add_post("/_fault", self._set_fault)
         app.router.add_get("/api/report", self._report)
-        app.router.add_post("/api/order", self._order)
-        app.router.add_get("/api/kv-list", self._list_kept)
-        app.router.add_delete("/api/kv-handle/{name}", self._free)
+        app.router.add_post("/api/order", self._receive_order)
+        app.router.add_get("/api/kv-list", self._list_cached_prefixes)
+        app.router.add_delete("/api/kv-handle/{name}", self._free_handle)
         app.router.add_route("*", "/{path:.*}", self._serve)
-        app.on_response_prepare.append(_echo_name)
-        app.on_response_prepare.append(self._add_notice)
+        app.on_response_prepare.append(_echo_request_id)
+        app.on_response_prepare.append(self._add_extra_headers)
         return app
 
-    async def _add_notice(
+    async def _add_extra_headers(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
         response.headers.update(self.extra_headers)
 
     def restart(self, started_ms: int) -> None:
-        """Start again under the same id, as after a reset: it holds nothing.
+        """Restart under the same id without any state, as after a reset.
 
-        What was open is left without a word; nobody closes its connections.
+        Open requests get no further data, but their connections stay open.
         """
         self.started_ms = started_ms
         self.handles.clear()
         self.orders.clear()
         self.highest_fence = 0
-        self._names = itertools.count(1)
+        self._handle_numbers = itertools.count(1)
 
     async def _set_fault(self, request: web.Request) -> web.Response:
         fault = await read_json(request, dict[str, Any])
@@ -102,11 +102,11 @@
         return reply_json({})
 
     def describe_start(self) -> dict[str, int]:
-        """Say when it started, as in all that it says of itself."""
+        """Return the start time as its entry and its reports contain it."""
         return {"born": self.started_ms} if self.started_ms else {}
 
     async def _sleep(self, started_ms: int) -> None:
-        """Work for a while; work of an earlier start never goes on."""
+        """Simulate work; block forever if the engine has restarted meanwhile."""
         await asyncio.sleep(self.seconds)
         if started_ms != self.started_ms:
             await asyncio.Event().wait()
@@ -117,20 +117,20 @@
         state = {"phase": self.phase, "busy": False, "sequence": len(self.orders)}
         return reply_json({**state, **self.describe_start()})
 
-    async def _list_kept(self, request: web.Request) -> web.Response:
+    async def _list_cached_prefixes(self, request: web.Request) -> web.Response:
         self.cache_list_calls += 1
         return reply_json({"epoch": 1, "next": 1, "held": self.cached_prefixes})
 
-    async def _order(self, request: web.Request) -> web.Response:
+    async def _receive_order(self, request: web.Request) -> web.Response:
         if request.headers.get("X-Target-Instance") != self.instance:
             return web.Response(status=421, headers={"X-Instance-Id": self.instance})
         order = await request.json()
-        status = self._take_order(order)
+        status = self._apply_order(order)
         seen = order["owner"], order["fenceToken"], order["phase"], status
         self._log.write(Order(ORDER, read_clock(), self.instance, *seen))
         return web.Response(status=status)
 
-    def _take_order(self, order: dict[str, Any]) -> int:
+    def _apply_order(self, order: dict[str, Any]) -> int:
         if order["fenceToken"] < self.highest_fence:
             return 412
         if order.get("expected", len(self.orders)) != len(self.orders):
@@ -142,7 +142,7 @@
         self.phase = order["phase"]
         return 202
 
-    async def _free(self, request: web.Request) -> web.Response:
+    async def _free_handle(self, request: web.Request) -> web.Response:
         self.freed_handles.append(request.match_info["name"])
         self.handles.discard(request.match_info["name"])
         return web.Response()
@@ -156,9 +156,9 @@
         wants_prefill = request.headers.get("X-Serving-Phase") == "prefill"
         if wants_prefill != (self.phase == "prefill"):
             return web.Response(status=421, headers=NOT_RUN)
-        name = request.headers[REQUEST_NAME]
+        request_id = request.headers[REQUEST_ID_HEADER]
         if wants_prefill:
-            self._note(PROMPT, request, body, "")
+            self._record_run(PROMPT, request, body, "")
             return await self._read_prompt()
         if "X-Kv-Source" in request.headers:
             self.fetched_handles.append(request.headers["X-Kv-Source"])
@@ -167,20 +167,20 @@
         signature = f"by-{self.instance}-{next(self._signatures)}"
         fault = next(self.faults, SOUND._replace(cut_after=self.cut_after))
         if fault.status:
-            return self._fail(request, body, signature, fault)
-        self._note(RUN, request, body, signature)
-        return await self._stream(request, name, signature, fault)
+            return self._answer_error(request, body, signature, fault)
+        self._record_run(RUN, request, body, signature)
+        return await self._stream(request, request_id, signature, fault)
 
-    def _fail(
+    def _answer_error(
         self, request: web.Request, asked: bytes, signature: str, fault: RunFault
     ) -> web.Response:
-        self.runs[request.headers[REQUEST_NAME]] += 1
+        self.runs[request.headers[REQUEST_ID_HEADER]] += 1
         body = fault.body.encode()
-        self._note(RUN, request, asked, signature, fault.status, digest(body))
-        headers = {SIGNATURE: signature}
+        self._record_run(RUN, request, asked, signature, fault.status, digest(body))
+        headers = {SIGNATURE_HEADER: signature}
         return web.Response(status=fault.status, body=body, headers=headers)
 
-    def _note(
+    def _record_run(
         self,
         kind: str,
         request: web.Request,
@@ -189,25 +189,25 @@
         status: int = 200,
         answer: str = "",
     ) -> None:
-        name, asked = request.headers[REQUEST_NAME], digest(body)
-        sent = name, request.method, request.raw_path, asked
+        request_id, asked = request.headers[REQUEST_ID_HEADER], digest(body)
+        sent = request_id, request.method, request.raw_path, asked
         run = Run(kind, read_clock(), self.instance, *sent, signature, status, answer)
         self._log.write(run)
 
     async def _read_prompt(self) -> web.Response:
         await self._sleep(self.started_ms)
-        handle = f"{self.instance}-{next(self._names)}"
+        handle = f"{self.instance}-{next(self._handle_numbers)}"
         self.handles.add(handle)
         return reply_json({"kvHandle": handle, "tokens": 1, "version": 1})
 
     async def _stream(
-        self, request: web.Request, name: str, signature: str, fault: RunFault
+        self, request: web.Request, request_id: str, signature: str, fault: RunFault
     ) -> web.StreamResponse:
         started_ms = self.started_ms
-        self.runs[name] += 1
+        self.runs[request_id] += 1
         headers = {
             "Content-Type": "text/event-stream",
-            SIGNATURE: signature,
+            SIGNATURE_HEADER: signature,
         }
         writer = EventWriter(request, headers, fault)
         await writer.start()
@@ -218,27 +218,27 @@
         try:
             for number in range(fault.first_event or asked, self.events + 1):
                 await self._sleep(started_ms)
-                await writer.write(make_event(name, number))
+                await writer.write(make_event(request_id, number))
                 if number == fault.cut_after:
                     await writer.break_off()
                     return writer.response
         except (ConnectionError, asyncio.CancelledError):
-            self.disconnected.append(name)
+            self.disconnected.append(request_id)
             raise
         await writer.end()
         return writer.response
 
 
-async def _echo_name(request: web.Request, response: web.StreamResponse) -> None:
-    """Name the request in each answer to one, refusals and handles too."""
-    name = request.headers.get(REQUEST_NAME)
-    if name is not None:
-        response.headers[REQUEST_NAME] = name
+async def _echo_request_id(request: web.Request, response: web.StreamResponse) -> None:
+    """Repeat the request id in every answer, including refusals and handles."""
+    request_id = request.headers.get(REQUEST_ID_HEADER)
+    if request_id is not None:
+        response.headers[REQUEST_ID_HEADER] = request_id
 
 
-def make_event(name: str, number: int) -> bytes:
+def make_event(request_id: str, number: int) -> bytes:
     """Make one event of the answer to a request."""
-    return f"id: {number}\ndata: {name}.{number}\n\n".encode()
+    return f"id: {number}\ndata: {request_id}.{number}\n\n".encode()
 
 
 def main() -> None:
--- a/standins/table.py
+++ b/standins/table.py
@@ -20,13 +20,13 @@
 
 TARGET_PREFIX: Final = "DynamoDB_20120810."
 ERROR_PREFIX: Final = "com.amazonaws.dynamodb.v20120810#"
-WRITTEN_ITEMS_PER_SECOND: Final = 500
+WRITES_PER_SECOND: Final = 500
 READS_PER_SECOND: Final = 2000
-TRANSACTION_LIMIT: Final = 100
-ITEM_BYTES_LIMIT: Final = 400 * 1024
-PAGE_BYTES: Final = 1024 * 1024
-ITEM_KINDS: Final = {"pk": "S", "sk": "S", "rev": "N", "write_id": "S", "value": "S"}
-KEY_KINDS: Final = {"pk": "S", "sk": "S"}
+MAX_TRANSACTION_ITEMS: Final = 100
+MAX_ITEM_BYTES: Final = 400 * 1024
+MAX_PAGE_BYTES: Final = 1024 * 1024
+ITEM_TYPES: Final = {"pk": "S", "sk": "S", "rev": "N", "write_id": "S", "value": "S"}
+KEY_TYPES: Final = {"pk": "S", "sk": "S"}
 
 Attributes: TypeAlias = dict[str, dict[str, str]]
 
@@ -50,7 +50,7 @@
 
 
 class Transaction(TypedDict):
-    """Write up to a hundred items, all or none."""
+    """Write up to a hundred items atomically."""
 
     TransactItems: list[dict[str, Write]]
 
@@ -68,7 +68,7 @@
 
 
 class Address(NamedTuple):
-    """Name one item."""
+    """Identify one item."""
 
     table: str
     pk: str
@@ -76,7 +76,7 @@
 
 
 class Action(NamedTuple):
-    """Hold one checked part of a transaction."""
+    """Represent one validated part of a transaction."""
 
     kind: str
     address: Address
@@ -84,7 +84,7 @@
 
 
 class TableError(Exception):
-    """Say why an operation had no effect."""
+    """Signal that an operation was rejected without effect."""
 
     def __init__(self, name: str, **more: Any) -> None:
         super().__init__(name)
@@ -92,7 +92,7 @@
 
 
 class Partition:
-    """Keep the items of one partition in the order of their sort keys."""
+    """Store the items of one partition, ordered by their sort keys."""
 
     def __init__(self) -> None:
         self.items: dict[str, Attributes] = {}
@@ -105,13 +105,13 @@
         self.items[sk] = item
 
     def remove(self, sk: str) -> None:
-        """Remove an item if it is there."""
+        """Remove an item if it exists."""
         if self.items.pop(sk, None) is not None:
             del self.keys[bisect.bisect_left(self.keys, sk)]
 
 
 class RateLimit:
-    """Allow a number of units a second, with one second's worth of burst."""
+    """Limit the units per second, with a burst of one second's units."""
 
     def __init__(self, per_second: float) -> None:
         self._per_second = per_second
@@ -119,7 +119,7 @@
         self._filled_at = time.monotonic()
 
     def take(self, units: int) -> bool:
-        """Take the units if they are there."""
+        """Take the units if that many are available."""
         now = time.monotonic()
         filled = self._left + (now - self._filled_at) * self._per_second
         self._left = min(self._per_second, filled)
@@ -131,7 +131,7 @@
 
 
 class Table:
-    """Hold all tables and carry out the operations."""
+    """Store the partitions of all tables and carry out the operations."""
 
     def __init__(self, reads_per_second: float, writes_per_second: float) -> None:
         self._partitions: dict[tuple[str, str], Partition] = {}
@@ -143,22 +143,25 @@
 
     def get(self, body: GetItem) -> dict[str, Any]:
         """Read one item."""
-        address = _address(body["TableName"], body["Key"])
+        address = _parse_address(body["TableName"], body["Key"])
         self._charge(self._reads, "reads", 1)
         item = self._find(address)
         return {} if item is None else {"Item": item}
 
     def transact(self, body: Transaction) -> dict[str, Any]:
-        """Carry out all parts of a transaction or none."""
+        """Carry out a transaction atomically."""
         actions = [_parse_action(part) for part in body["TransactItems"]]
         _check_transaction(actions)
         written = sum(action.kind != "ConditionCheck" for action in actions)
         self._charge(self._writes, "writes", written)
         self.counts["transactions"] += 1
-        met = [_meets(action.write, self._find(action.address)) for action in actions]
-        if not all(met):
+        holds = [
+            _condition_holds(action.write, self._find(action.address))
+            for action in actions
+        ]
+        if not all(holds):
             self.counts["cancelled"] += 1
-            codes = ["None" if ok else "ConditionalCheckFailed" for ok in met]
+            codes = ["None" if ok else "ConditionalCheckFailed" for ok in holds]
             reasons = [{"Code": code} for code in codes]
             raise TableError(
                 "TransactionCanceledException", CancellationReasons=reasons
@@ -168,12 +171,12 @@
         return {}
 
     def query(self, body: Query) -> dict[str, Any]:
-        """Read one page of a partition's range."""
+        """Read one page of a range of a partition."""
         pk, selected = _parse_query(body)
         self._charge(self._reads, "reads", 1)
         partition = self._partitions.get((body["TableName"], pk), Partition())
         page = _Page(body.get("Limit"))
-        for sk in _walk(partition.keys, body):
+        for sk in _iterate_keys(partition.keys, body):
             if not selected(sk):
                 continue
             if page.full:
@@ -210,13 +213,13 @@
     def add(self, item: Attributes) -> None:
         self._items.append(item)
         self._bytes += _count_bytes(item)
-        self.full = len(self._items) == self._limit or self._bytes >= PAGE_BYTES
+        self.full = len(self._items) == self._limit or self._bytes >= MAX_PAGE_BYTES
 
     def reply(self) -> dict[str, Any]:
-        # As in DynamoDB, a full page names its last key even if nothing follows.
+        # As in DynamoDB, a full page has a last key even if no items follow.
         if not self.full:
             return {"Items": self._items}
-        last = {name: self._items[-1][name] for name in KEY_KINDS}
+        last = {name: self._items[-1][name] for name in KEY_TYPES}
         return {"Items": self._items, "LastEvaluatedKey": last}
 
 
@@ -234,8 +237,8 @@
             raise _invalid(f"{name} must be of type {kind}")
 
 
-def _address(table: str, key: Attributes) -> Address:
-    _check_attributes(key, KEY_KINDS)
+def _parse_address(table: str, key: Attributes) -> Address:
+    _check_attributes(key, KEY_TYPES)
     return Address(table, key["pk"]["S"], key["sk"]["S"])
 
 
@@ -251,11 +254,11 @@
     if attributes is None:
         raise _invalid("Item or Key is missing")
     if kind == "Put":
-        _check_attributes(attributes, ITEM_KINDS)
-    if _count_bytes(attributes) > ITEM_BYTES_LIMIT:
+        _check_attributes(attributes, ITEM_TYPES)
+    if _count_bytes(attributes) > MAX_ITEM_BYTES:
         raise _invalid("item is too large")
     _check_condition(write)
-    return Action(kind, _address(write["TableName"], attributes), write)
+    return Action(kind, _parse_address(write["TableName"], attributes), write)
 
 
 def _check_condition(write: Write) -> None:
@@ -270,13 +273,13 @@
 
 
 def _check_transaction(actions: list[Action]) -> None:
-    if not 1 <= len(actions) <= TRANSACTION_LIMIT:
-        raise _invalid(f"1 to {TRANSACTION_LIMIT} items")
+    if not 1 <= len(actions) <= MAX_TRANSACTION_ITEMS:
+        raise _invalid(f"1 to {MAX_TRANSACTION_ITEMS} items")
     if len({action.address for action in actions}) != len(actions):
         raise _invalid("an item may stand only once in a transaction")
 
 
-def _meets(write: Write, item: Attributes | None) -> bool:
+def _condition_holds(write: Write, item: Attributes | None) -> bool:
     match write.get("ConditionExpression"):
         case None:
             return True
@@ -298,7 +301,7 @@
     _check_attributes(values, dict.fromkeys(names, "S"))
     pk = values[":pk"]["S"]
     if "ExclusiveStartKey" in body:
-        _check_attributes(body["ExclusiveStartKey"], KEY_KINDS)
+        _check_attributes(body["ExclusiveStartKey"], KEY_TYPES)
     if expression == "pk = :pk":
         return pk, lambda sk: True
     bound = values[":sk"]["S"]
@@ -309,7 +312,7 @@
     raise _invalid(f"unknown key condition {expression}")
 
 
-def _walk(keys: list[str], body: Query) -> Iterator[str]:
+def _iterate_keys(keys: list[str], body: Query) -> Iterator[str]:
     start = body.get("ExclusiveStartKey")
     if body.get("ScanIndexForward", True):
         first = bisect.bisect_right(keys, start["sk"]["S"]) if start else 0
@@ -323,7 +326,7 @@
 
 
 class Server:
-    """Answer the table service's HTTP calls."""
+    """Serve the table service's HTTP interface."""
 
     def __init__(self, table: Table) -> None:
         self._table = table
@@ -362,9 +365,7 @@
     """Run the table service."""
     parser = build_parser("table service")
     parser.add_argument("--reads-per-second", type=float, default=READS_PER_SECOND)
-    parser.add_argument(
-        "--writes-per-second", type=float, default=WRITTEN_ITEMS_PER_SECOND
-    )
+    parser.add_argument("--writes-per-second", type=float, default=WRITES_PER_SECOND)
     args = parser.parse_args()
     table = Table(args.reads_per_second, args.writes_per_second)
     serve(Server(table).build_app(), args.address, args.port)
--- a/standins/work.py
+++ b/standins/work.py
@@ -1,4 +1,4 @@
-"""Work of a stand-in engine: its batch, its role and the orders that change it."""
+"""Run the batch of a stand-in engine and carry out its orders."""
 
 import asyncio
 import os
@@ -8,16 +8,16 @@
 from typing import Any, Final, Literal, NamedTuple, NotRequired, TypedDict
 
 from standins.batch import Batch, LaggingLoad, PrefixCache, Sequence, hash_prefix
-from standins.jobs import Job, Kv, Update, keep
+from standins.jobs import Job, Kv, Update, keep_kv
 
-MIN_SLEEP: Final = 0.002
-MAX_BEHIND: Final = 0.05
-LOAD_FACTORS: Final = {"role": 1.0, "model": 2.0, "adapter": 0.2}
-"""How long a load takes, as a multiple of a change of role."""
+MIN_SLEEP_SECONDS: Final = 0.002
+MAX_LAG_SECONDS: Final = 0.05
+CHANGE_TIME_FACTORS: Final = {"role": 1.0, "model": 2.0, "adapter": 0.2}
+"""Duration of each kind of change, as a multiple of a change of role."""
 
 
 class Settings(NamedTuple):
-    """Hold what the command line gives an engine."""
+    """Represent an engine's command-line settings."""
 
     role: str
     model: str
@@ -82,7 +82,7 @@
         self._wake.set()
 
     def cancel(self, request_id: str) -> int:
-        """End all work under a request id."""
+        """Cancel all requests with this id and return their number."""
         jobs = [job for job in self._jobs.values() if job.request_id == request_id]
         for job in jobs:
             self.drop(job)
@@ -91,21 +91,21 @@
         return len(jobs)
 
     def drop(self, job: Job) -> None:
-        """Take a request that nobody waits for out of the batch."""
+        """Remove an unfinished request from the batch; its tokens count as wasted."""
         if job.ended:
             return
         self.totals["wasted_tokens"] += job.sequence.generated
         self._end(job)
 
     def find_kv(self, request_id: str) -> Kv | None:
-        """Find the KV of a running request or of one kept after its end."""
+        """Find the KV of a running request, or KV kept after a request's end."""
         for job in self._jobs.values():
             if job.request_id == request_id and job.started:
                 return job.snapshot_kv()
         return self.kept_kv.get(request_id)
 
     def take_order(self, order: Order) -> tuple[int, dict[str, Any]]:
-        """Start a change, or say why not."""
+        """Start a change or reject it; return the status and body of the answer."""
         running = self.changing and self.changing["order_id"]
         if order["order_id"] in self._carried_out:
             return 200, {"order_id": order["order_id"]}
@@ -122,18 +122,18 @@
         return 202, {"order_id": order["order_id"]}
 
     def _start_change(self, order: Order) -> None:
-        seconds = self.settings.role_change_seconds * LOAD_FACTORS[order["kind"]]
+        seconds = self.settings.role_change_seconds * CHANGE_TIME_FACTORS[order["kind"]]
         entry = {name: order.get(name) for name in ("order_id", "fencing", "kind")}
         self.orders.append({**entry, "role": order.get("role")})
         self.changing = order
         self.change_ends_at = time.monotonic() + seconds
         if order["kind"] != "adapter":
-            self._lose_work()
+            self._drop_all_work()
         loop = asyncio.get_running_loop()
-        loop.call_later(seconds / 2, self._pass_middle)
+        loop.call_later(seconds / 2, self._crash_if_set)
         loop.call_later(seconds, self._end_change)
 
-    def _lose_work(self) -> None:
+    def _drop_all_work(self) -> None:
         for job in list(self._jobs.values()):
             self._end(job)
             self.totals["cut"] += job.started
@@ -142,7 +142,7 @@
         self.kept_kv.clear()
         self.imported.clear()
 
-    def _pass_middle(self) -> None:
+    def _crash_if_set(self) -> None:
         if self.crash_in_change:
             os._exit(1)
 
@@ -168,14 +168,14 @@
         self._batch.remove(job.sequence)
         self._jobs.pop(job.sequence, None)
         if job.keeps_kv and job.started:
-            keep(self.kept_kv, job.request_id, job.snapshot_kv())
+            keep_kv(self.kept_kv, job.request_id, job.snapshot_kv())
         self._record_load()
 
     def _record_load(self) -> None:
         self.lagging_load.record(self._batch.load, time.monotonic())
 
     async def run(self) -> None:
-        """Step through the batch for ever."""
+        """Run the steps of the batch until cancelled."""
         due = time.monotonic()
         short_steps = 0
         while True:
@@ -183,21 +183,21 @@
                 self._wake.clear()
                 await self._wake.wait()
                 due = time.monotonic()
-            await self._wait_out_stall()
+            await self._wait_for_stall_end()
             self._start_jobs()
             step = self._batch.plan()
-            due = max(due, time.monotonic() - MAX_BEHIND) + step.seconds
-            # Steps shorter than a sleep's grain are run in groups, so that the
-            # rates hold and the loop still gives way.
+            due = max(due, time.monotonic() - MAX_LAG_SECONDS) + step.seconds
+            # Steps shorter than the sleep's resolution run in groups. This keeps the
+            # rates right and still yields to the event loop.
             delay = due - time.monotonic()
             short_steps = (
-                0 if delay >= MIN_SLEEP or short_steps > 8 else short_steps + 1
+                0 if delay >= MIN_SLEEP_SECONDS or short_steps > 8 else short_steps + 1
             )
             if short_steps == 0:
-                await asyncio.sleep(max(delay, MIN_SLEEP))
-            self._deliver(self._batch.finish(step, time.monotonic()))
+                await asyncio.sleep(max(delay, MIN_SLEEP_SECONDS))
+            self._push_tokens(self._batch.finish(step, time.monotonic()))
 
-    async def _wait_out_stall(self) -> None:
+    async def _wait_for_stall_end(self) -> None:
         while (left := self.stalled_until - time.monotonic()) > 0:
             await asyncio.sleep(left)
 
@@ -208,7 +208,7 @@
             self.requests[job.request_id] += 1
         self._record_load()
 
-    def _deliver(self, gained: list[Sequence]) -> None:
+    def _push_tokens(self, gained: list[Sequence]) -> None:
         for sequence in gained:
             job = self._jobs[sequence]
             job.push_token()
--- a/tests/gateway/crashing.py
+++ b/tests/gateway/crashing.py
@@ -103,13 +103,13 @@
         self.abort_all()
 
     async def _stream(
-        self, request: web.Request, name: str, signature: str, fault: RunFault
+        self, request: web.Request, request_id: str, signature: str, fault: RunFault
     ) -> web.StreamResponse:
         if await request.read() != POISON:
-            return await super()._stream(request, name, signature, fault)
+            return await super()._stream(request, request_id, signature, fault)
         self.arrivals += 1
         if self.survives_poison:
-            return await super()._stream(request, name, signature, fault)
+            return await super()._stream(request, request_id, signature, fault)
         response = web.StreamResponse(headers={"X-Server-Signature": signature})
         await response.prepare(request)
         await self.crash()
