--- a/soak/wire.py
+++ b/soak/wire.py
@@ -46,7 +46,7 @@
             self._writer.transport.abort()
 
     async def read_unsolicited(self) -> bytes:
-        """Return bytes that belong to no request; close if there are any or at an end."""
+        """Return bytes that belong to no request; close if any came or at an end."""
         try:
             async with asyncio.timeout(UNSOLICITED_WAIT_SECONDS):
                 data = await self._reader.read(1024)
