--- a/bench/load.py
+++ b/bench/load.py
@@ -65,7 +65,7 @@
         return self.whole and self.own and self.took <= self.deadline
 
 
-class Answered(NamedTuple):
+class AnswerText(NamedTuple):
     """Hold the text of an answer and whether its end was seen."""
 
     text: str
@@ -148,14 +148,14 @@
         async with await self._connect(call, headers, body) as response:
             record.status = response.status
             if response.status != 200:
-                note_refusal(record, response, await response.read())
+                record_refusal(record, response, await response.read())
             elif call.streamed:
                 answered = await read_stream(response, record, begin)
-                note_answer(call, prompt, answered, record)
+                check_answer(call, prompt, answered, record)
             else:
                 text = await response.read()
                 record.first = time.monotonic() - begin
-                note_answer(call, prompt, read_whole(call, text), record)
+                check_answer(call, prompt, read_unstreamed(call, text), record)
 
     async def _connect(
         self, call: Call, headers: dict[str, str], body: bytes
@@ -193,15 +193,17 @@
     )
 
 
-def note_refusal(record: Record, response: aiohttp.ClientResponse, body: bytes) -> None:
+def record_refusal(
+    record: Record, response: aiohttp.ClientResponse, body: bytes
+) -> None:
     """Note what a refusal says."""
     retry_after = response.headers.get("Retry-After")
     record.retry_after = float(retry_after) if retry_after else None
     record.ran = response.headers.get("X-Ran", "")
-    read_error(record, json.loads(body))
+    record_error_code(record, json.loads(body))
 
 
-def read_error(record: Record, body: Any) -> None:
+def record_error_code(record: Record, body: Any) -> None:
     """Note the code of a refusal."""
     error = body.get("error")
     record.code = str(error.get("code", "")) if isinstance(error, dict) else "unknown"
@@ -211,7 +213,7 @@
 
 async def read_stream(
     response: aiohttp.ClientResponse, record: Record, begin: float
-) -> Answered:
+) -> AnswerText:
     """Read server-sent events until the end, however it comes."""
     texts: list[str] = []
     last = begin
@@ -220,10 +222,10 @@
             continue
         data = line[len(DATA) :].strip()
         if data == b"[DONE]":
-            return Answered("".join(texts), True)
+            return AnswerText("".join(texts), True)
         event = msgspec.json.decode(data)
         if "error" in event:
-            read_error(record, event)
+            record_error_code(record, event)
             break
         parts = [item["delta"].get("content") for item in event["choices"]]
         if not any(parts):
@@ -235,17 +237,19 @@
             record.gaps.append(now - last)
         last = now
         texts += [part for part in parts if part]
-    return Answered("".join(texts), False)
+    return AnswerText("".join(texts), False)
 
 
-def read_whole(call: Call, body: bytes) -> Answered:
+def read_unstreamed(call: Call, body: bytes) -> AnswerText:
     """Read an answer that is not streamed."""
     if not call.model:
-        return Answered("", True)
-    return Answered(msgspec.json.decode(body)["choices"][0]["message"]["content"], True)
+        return AnswerText("", True)
+    return AnswerText(
+        msgspec.json.decode(body)["choices"][0]["message"]["content"], True
+    )
 
 
-def note_answer(call: Call, prompt: str, answered: Answered, record: Record) -> None:
+def check_answer(call: Call, prompt: str, answered: AnswerText, record: Record) -> None:
     """Check an answer: ended in good order, own, and nothing missing or doubled."""
     if not call.model:
         record.whole = record.own = True
--- a/tests/bench/test_figures.py
+++ b/tests/bench/test_figures.py
@@ -8,7 +8,7 @@
     find_recovery,
     find_series,
 )
-from bench.load import Answered, Record, note_answer
+from bench.load import AnswerText, Record, check_answer
 from bench.report import summarise
 from bench.traces import Call, make_prompt
 from standins.completions import build_token, digest_seed
@@ -96,7 +96,7 @@
     prompts = {"own": make_prompt(call), "other": "other"}
     text = make_answer(prompts[prompt], tokens)
     record = make_record(whole=False, own=False)
-    note_answer(call, prompts["own"], Answered(text, ended), record)
+    check_answer(call, prompts["own"], AnswerText(text, ended), record)
     assert (record.whole, record.own) == (whole, own)
 
 
@@ -105,7 +105,7 @@
     text = make_answer(make_prompt(call), 2)
     doubled = f"{text} {text.split()[-1]}"
     record = make_record(whole=False, own=False)
-    note_answer(call, make_prompt(call), Answered(doubled, True), record)
+    check_answer(call, make_prompt(call), AnswerText(doubled, True), record)
     assert not record.whole
 
 
