--- a/bench/capacity/configurations.py
+++ b/bench/capacity/configurations.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from bench.capacity.figures import Figure, time_calls
-from bench.capacity.samples import make_letter_folder
+from bench.capacity.samples import make_full_size_folder
 from bench.capacity.usage import read_resident
 from radishtally.distribution.core import ConfigurationReplica, hash_files
 from radishtally.entry.callers import Directory
@@ -31,7 +31,7 @@
 
 def measure_configuration() -> Iterator[Figure]:
     """Measure the first merge, one change, and what moves for it."""
-    files = make_letter_folder()
+    files = make_full_size_folder()
     total = sum(map(len, files.values()))
     at = {"files": len(files), "teams": 27_000}
     yield Figure("configuration, all files", total, "bytes", at)
--- a/bench/capacity/samples.py
+++ b/bench/capacity/samples.py
@@ -27,7 +27,7 @@
     return files
 
 
-def make_letter_folder() -> dict[str, str]:
+def make_full_size_folder() -> dict[str, str]:
     """Make a folder of the letter's size: 27,000 teams in 277 files with the rest."""
     files = make_folder(TEAMS, TEAM_FILES, POOLS, HOSTS)
     pools = [name for name in files if name.startswith("30-")]
--- a/tests/bench/test_capacity.py
+++ b/tests/bench/test_capacity.py
@@ -6,7 +6,7 @@
 
 from bench.capacity.core import MEASURES, find_measure
 from bench.capacity.figures import Figure, print_figure
-from bench.capacity.samples import make_letter_folder
+from bench.capacity.samples import make_full_size_folder
 from radishtally.configuration.merger import Merger
 
 
@@ -24,7 +24,7 @@
 
 
 def test_the_letters_folder_has_its_size():
-    files = make_letter_folder()
+    files = make_full_size_folder()
     merged = Merger().merge(files)
     assert merged.is_ok()
     assert len(files) == 277
