--- a/bench/actions.py
+++ b/bench/actions.py
@@ -64,7 +64,7 @@
     return None
 
 
-class Takeover(threading.Thread):
+class TakeoverTimer(threading.Thread):
     """Time until an entry plans for a place again."""
 
     def __init__(self, place: str, fleet: Fleet) -> None:
--- a/bench/capacity/fleets.py
+++ b/bench/capacity/fleets.py
@@ -44,6 +44,6 @@
     return SharedFleet(files, entries_wanted=entries, engine_args=(f"--speed={speed}",))
 
 
-def wait_quiet(seconds: float = 3.0) -> None:
+def wait_to_settle(seconds: float = 3.0) -> None:
     """Let what a start sets off come to rest."""
     time.sleep(seconds)
--- a/bench/capacity/idle.py
+++ b/bench/capacity/idle.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from bench.capacity.figures import Figure
-from bench.capacity.fleets import make_fleet, wait_quiet
+from bench.capacity.fleets import make_fleet, wait_to_settle
 
 SECONDS: Final = 20.0
 FLEETS: Final = ((1, 2), (4, 2), (1, 26), (4, 26))
@@ -26,7 +26,7 @@
     """Watch a fleet that serves nothing."""
     fleet = make_fleet(entries, agents)
     with fleet:
-        wait_quiet(5.0)
+        wait_to_settle(5.0)
         counts = fleet.read_table_counts()
         used = fleet.read_seconds("entry"), fleet.read_seconds("agent")
         began = time.monotonic()
--- a/bench/capacity/requests.py
+++ b/bench/capacity/requests.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from bench.capacity.figures import Figure
-from bench.capacity.fleets import SharedFleet, make_fleet, wait_quiet
+from bench.capacity.fleets import SharedFleet, make_fleet, wait_to_settle
 
 SHORT: Final = 4
 LONG: Final = 104
@@ -127,7 +127,7 @@
 def measure_pace(pace: Pace) -> Iterator[Figure]:
     """Measure whole and streamed answers, short and long, at one pace."""
     with make_fleet(entries=1, agents=AGENTS, speed=pace.speed) as fleet:
-        wait_quiet()
+        wait_to_settle()
         clock = Clock(fleet)
         for streamed in (False, True):
             kind = "streamed" if streamed else "whole"
--- a/bench/capacity/spread.py
+++ b/bench/capacity/spread.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from bench.capacity.figures import Figure
-from bench.capacity.fleets import SharedFleet, make_fleet, wait_quiet
+from bench.capacity.fleets import SharedFleet, make_fleet, wait_to_settle
 
 FLEETS: Final = ((1, 4), (3, 17), (6, 54), (12, 78))
 """Entries and agents."""
@@ -49,7 +49,7 @@
     """Measure fleets of several sizes."""
     for entries, agents in FLEETS:
         with make_fleet(entries, agents) as fleet:
-            wait_quiet()
+            wait_to_settle()
             took = [time_change(fleet, number + 1) for number in range(CHANGES)]
         at = {"processes": entries + agents, "entries": entries, "changes": CHANGES}
         longest = max(took) * 1e3
--- a/bench/capacity/startup.py
+++ b/bench/capacity/startup.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from bench.capacity.figures import Figure
-from bench.capacity.fleets import make_fleet, wait_quiet
+from bench.capacity.fleets import make_fleet, wait_to_settle
 from bench.capacity.usage import read_usage
 from bench.fleet import ROOT, make_environment
 
@@ -48,7 +48,7 @@
         yield from measure_imports(role)
     fleet = make_fleet(entries=1, agents=2)
     with fleet:
-        wait_quiet()
+        wait_to_settle()
         for role, group in (("entry", fleet.entries), ("agent", fleet.agents)):
             child = next(iter(group.values()))
             at = {"entries": 1, "agents": 2}
--- a/bench/run.py
+++ b/bench/run.py
@@ -15,14 +15,20 @@
 
 import msgspec
 
-from bench.actions import Takeover, carry_out
+from bench.actions import TakeoverTimer, carry_out
 from bench.figures import describe_classes, find_recovery, find_series
 from bench.fleet import ROOT, Fleet, get_json, make_environment, read_sample
 from bench.kinds import KINDS, find_engine_rate
 from bench.load import Plan, Record, read_records
 from bench.scenarios import ENGINES, POOLS, Scenario, Variant
 from bench.traces import Call, make_trace
-from bench.usage import QUIET_LOAD, Used, compare, read_usage, wait_quiet
+from bench.usage import (
+    QUIET_LOAD,
+    UsageDelta,
+    compute_delta,
+    read_usage,
+    wait_until_quiet,
+)
 
 LOADS: Final = 2
 ROLE_CHANGE_SECONDS: Final = 3.0
@@ -109,7 +115,7 @@
     """Run a scenario once on a fleet of its own."""
     engines = ENGINES[scenario.deployment]
     calls = make_trace(scenario.phases, engines, scenario.speed, seed)
-    load_before = wait_quiet(patience)
+    load_before = wait_until_quiet(patience)
     with make_fleet(scenario, variant) as fleet:
         time.sleep(SETTLE_SECONDS)
         name = f"{scenario.name}-{variant.name}-{seed}"
@@ -191,18 +197,18 @@
     loads.begin(starts_at)
     before = read_usage(pids)
     sampler.start()
-    takeovers = []
+    timers = []
     for action in sorted(scenario.actions):
         time.sleep(max(0.0, starts_at + action.at - time.monotonic()))
         carry_out(action, fleet)
         if action.kind == "kill_planner":
-            takeovers.append(Takeover(action.target, fleet))
-            takeovers[-1].start()
+            timers.append(TakeoverTimer(action.target, fleet))
+            timers[-1].start()
     time.sleep(max(0.0, starts_at + scenario.seconds - time.monotonic()))
     after = read_usage(pids)
     records = loads.collect(timeout=120.0)
     sampler.end()
-    used = compare(before, after, kinds)
+    used = compute_delta(before, after, kinds)
     figures = {
         "scenario": scenario.name,
         "variant": variant.name,
@@ -213,7 +219,7 @@
         **describe_machine(used, records, load_before),
         **describe_engines(fleet),
         "engine_seconds_away": round(sampler.away_seconds, 1),
-        "takeover_seconds": [takeover.seconds for takeover in takeovers],
+        "takeover_seconds": [takeover.seconds for takeover in timers],
         "useful_share": find_useful_share(scenario, records),
         **describe_recovery(scenario, records),
     }
@@ -243,7 +249,7 @@
 
 
 def describe_machine(
-    used: Used, records: list[Record], load_before: float
+    used: UsageDelta, records: list[Record], load_before: float
 ) -> dict[str, Any]:
     """Describe the machine's use, and whether the run counts."""
     late = sorted(1000 * (record.sent - record.at) for record in records)
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -149,7 +149,11 @@
     return (
         Variant("off", {"planning": "off"}),
         *(
-            Variant(f"static-{name}", {"planning": "static"}, spread(deployment, roles))
+            Variant(
+                f"static-{name}",
+                {"planning": "static"},
+                assign_roles(deployment, roles),
+            )
             for name, roles in SPLITS[deployment].items()
         ),
         Variant("threshold", {"planning": "threshold", **quick}),
@@ -157,7 +161,7 @@
     )
 
 
-def spread(deployment: Deployment, roles: tuple[str, ...]) -> dict[str, str]:
+def assign_roles(deployment: Deployment, roles: tuple[str, ...]) -> dict[str, str]:
     """Give the engines of each place these roles."""
     name = HOSTS[deployment]
     number = ENGINES[deployment]
--- a/bench/usage.py
+++ b/bench/usage.py
@@ -25,7 +25,7 @@
     processes: dict[str, float]
 
 
-class Used(NamedTuple):
+class UsageDelta(NamedTuple):
     """Tell what was used between two looks."""
 
     machine: float
@@ -62,7 +62,7 @@
     return Usage(time.monotonic(), read_machine(), known)
 
 
-def compare(before: Usage, after: Usage, kinds: Mapping[str, str]) -> Used:
+def compute_delta(before: Usage, after: Usage, kinds: Mapping[str, str]) -> UsageDelta:
     """Tell what was used between two looks, by kind of process."""
     by_kind = dict.fromkeys(kinds.values(), 0.0)
     busiest, most = "", 0.0
@@ -73,7 +73,7 @@
             busiest, most = name, spent
     whole = after.machine.whole - before.machine.whole
     busy = after.machine.busy - before.machine.busy
-    return Used(
+    return UsageDelta(
         busy / whole if whole else 0.0,
         {kind: round(seconds, 2) for kind, seconds in by_kind.items()},
         busiest,
@@ -81,7 +81,7 @@
     )
 
 
-def wait_quiet(patience: float) -> float:
+def wait_until_quiet(patience: float) -> float:
     """Wait some seconds for the machine to be quiet; give its load average."""
     until = time.monotonic() + patience
     while (load := os.getloadavg()[0]) >= QUIET_LOAD and time.monotonic() < until:
