--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Run a whole fleet on one machine: for the demo, the tests and the measurements."""
+"""Run a complete fleet on one machine for the demo, the tests and the measurements."""
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""Start stand-ins, entries, agents and upstreams as processes on loopback."""
+"""Start stand-ins, entries, agents and upstreams as processes on loopback addresses."""
 
 import contextlib
 import json
@@ -27,12 +27,12 @@
 START_SECONDS: Final = 60.0
 STOP_SECONDS: Final = 40.0
 POLL_SECONDS: Final = 0.02
-KINDS: Final = ("table", "objects", "hosts")
-PLATFORM_PARTS: Final = {"table": "table", "objects": "objects", "hosts": "host_list"}
+PLATFORM_KINDS: Final = ("table", "objects", "hosts")
+SETTINGS_BY_KIND: Final = {"table": "table", "objects": "objects", "hosts": "host_list"}
 
 
 class Child(NamedTuple):
-    """Hold a process that the fleet has started."""
+    """Describe a process that the fleet has started."""
 
     name: str
     process: subprocess.Popen[bytes]
@@ -40,40 +40,40 @@
 
     @property
     def url(self) -> str:
-        """Give the address as a URL."""
+        """Return the address as a URL."""
         return f"http://{self.address}"
 
     @property
     def pid(self) -> int:
-        """Give the process id."""
+        """Return the process id."""
         return self.process.pid
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Hold a running fleet and what it is made of."""
+    """Manage the processes of a fleet, their settings and the configuration."""
 
     files: dict[str, str]
-    """Configuration folder: text by file name."""
+    """Files of the configuration folder: text by file name."""
     entries_wanted: int = 2
     engine_args: tuple[str, ...] = ()
     service_args: tuple[str, ...] = ()
     servers_wanted: Callable[[str], bool] = lambda name: True
-    """Tell which of the configured servers are started."""
+    """Predicate on the server name that selects the configured servers to start."""
     entry_places: tuple[str, ...] = ()
-    """Places of the entries in turn; by default those of the configuration."""
+    """Places assigned to the entries round robin; empty: those of the configuration."""
     daemon_settings: dict[str, Any] = field(default_factory=dict)
-    """Settings that all daemons share beside their own."""
+    """Settings that are added to those of every daemon."""
     stopping: set[str] = field(default_factory=set)
-    """Hosts whose planned stop was begun."""
+    """Hosts whose daemon has been sent SIGTERM and has not been restarted."""
     network: Network | None = None
-    """If given, all links, the platform and the upstreams are reached through it."""
+    """If set, daemons reach peers, platform and upstreams through its proxies."""
     standins: dict[str, Child] = field(default_factory=dict)
     upstreams: dict[str, Child] = field(default_factory=dict)
     agents: dict[str, Child] = field(default_factory=dict)
     entries: dict[str, Child] = field(default_factory=dict)
     settings: dict[str, dict[str, Any]] = field(default_factory=dict)
-    """Settings of each daemon by host; changed ones hold from its next start."""
+    """Settings of each daemon by host; changes take effect at its next start."""
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp()))
     _children: list[Child] = field(default_factory=list)
     _next_ip: int = 0
@@ -81,13 +81,13 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Give the configuration that the fleet is started with."""
+        """Return the configuration that the fleet is started with."""
         merged = merge_files(self.files)
         assert merged.is_ok(), str(merged)
         return merged.ok
 
     def start(self) -> "Fleet":
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until the fleet is ready to serve."""
         servers = list(self._list_servers())
         self._start_standins(servers)
         for host, name, place, _ in servers:
@@ -96,7 +96,7 @@
         for number in range(self.entries_wanted):
             self._prepare_entry(f"entry-{number + 1}", places[number % len(places)])
         if self.network is not None:
-            self._put_proxies(self.network)
+            self._insert_proxies(self.network)
         for host, settings in self.settings.items():
             upstream = settings.get("upstream", {"name": "entry"})["name"]
             self.list_host(host, settings["place"], upstream, settings["address"])
@@ -106,9 +106,9 @@
         return self
 
     def stop(self) -> None:
-        """End every process that was started."""
+        """Kill every process that was started and wait for its exit."""
         for child in self._children:
-            # A paused process would not take the signal.
+            # Resume paused processes so that they exit.
             with contextlib.suppress(ProcessLookupError):
                 child.process.send_signal(signal.SIGCONT)
         for child in self._children:
@@ -121,38 +121,38 @@
             self.network.stop()
 
     def kill(self, host: str) -> None:
-        """Kill a host's daemon and wait until it is gone."""
+        """Kill a host's daemon and wait for its exit."""
         child = self.find_daemon(host)
         child.process.kill()
         child.process.wait()
 
     def pause(self, host: str) -> None:
-        """Pause a host's daemon."""
+        """Suspend a host's daemon with SIGSTOP."""
         self.find_daemon(host).process.send_signal(signal.SIGSTOP)
 
     def resume(self, host: str) -> None:
-        """Let a paused daemon go on."""
+        """Resume a suspended daemon."""
         self.find_daemon(host).process.send_signal(signal.SIGCONT)
 
     def terminate(self, host: str) -> Child:
-        """Begin a planned stop of a host's daemon."""
+        """Start a graceful shutdown of a host's daemon with SIGTERM."""
         child = self.find_daemon(host)
         child.process.terminate()
         self.stopping.add(host)
         return child
 
     def restart(self, host: str) -> Child:
-        """Start a host's daemon anew, after its end."""
+        """Wait for a host's daemon to exit and start it again."""
         assert self.find_daemon(host).process.wait(STOP_SECONDS) is not None
         self.stopping.discard(host)
         return self.start_daemon(host)
 
     def find_daemon(self, host: str) -> Child:
-        """Find a host's daemon."""
+        """Return the daemon process of an entry or agent."""
         return self.entries[host] if host in self.entries else self.agents[host]
 
     def restart_upstream(self, host: str) -> Child:
-        """Start a host's engine or service anew at its address, after its end."""
+        """Wait for a host's engine or service to exit; restart it at its address."""
         old = self.upstreams[host]
         assert old.process.wait(STOP_SECONDS) is not None
         command = list(old.process.args)
@@ -163,7 +163,7 @@
         return self.upstreams[host]
 
     def __enter__(self) -> "Fleet":
-        """Start."""
+        """Start the fleet; stop it if the start fails."""
         try:
             return self.start()
         except BaseException:
@@ -171,16 +171,16 @@
             raise
 
     def __exit__(self, *_: object) -> None:
-        """Stop."""
+        """Stop the fleet."""
         self.stop()
 
     def take_ip(self) -> str:
-        """Give a loopback address that no other host of this fleet has."""
+        """Allocate a loopback address that no other host of this fleet uses."""
         self._next_ip += 1
         return f"127.{self._ip_base}.{self._next_ip // 250}.{self._next_ip % 250 + 1}"
 
     def start_standin(self, name: str, kind: str, ip: str, *args: str) -> Child:
-        """Start a stand-in and read where it listens."""
+        """Start a stand-in and wait for the address that it listens on."""
         return read_address(self._launch_standin(name, kind, ip, *args))
 
     def _launch_standin(self, name: str, kind: str, ip: str, *args: str) -> Child:
@@ -190,14 +190,14 @@
         return child
 
     def _start_standins(self, servers: list[tuple[str, str, str, Any]]) -> None:
-        """Start the platform and the upstreams side by side."""
-        platform = [self._launch_standin(k, k, self.take_ip()) for k in KINDS]
+        """Start the platform and the upstreams in parallel."""
+        platform = [self._launch_standin(k, k, self.take_ip()) for k in PLATFORM_KINDS]
         upstreams = [self._launch_upstream(host, up) for host, _, _, up in servers]
         self.standins = {child.name: read_address(child) for child in platform}
         self.upstreams = {child.name: read_address(child) for child in upstreams}
 
     def start_daemon(self, host: str) -> Child:
-        """Start the daemon of a host with its settings as they stand."""
+        """Start the daemon of a host with its current settings."""
         settings = self.settings[host]
         path = self.folder / f"{host}.json"
         path.write_text(json.dumps(settings, indent=2))
@@ -217,7 +217,7 @@
     def list_host(
         self, host: str, place: str, upstream: str, target: str, state: str = "live"
     ) -> None:
-        """Put a host on the platform's list at once."""
+        """Add a host to the platform's host list without propagation lag."""
         body = {
             "host": host,
             "place": place,
@@ -231,7 +231,7 @@
     def apply(
         self, files: Mapping[str, str | None], key: str = PEER_KEY, base: int = 0
     ) -> int:
-        """Apply a change of the configuration; give the revision."""
+        """Apply a configuration change through an entry and return its revision."""
         entry = next(iter(self.entries.values()))
         self.wait_until(lambda: is_up(entry.url), "an entry to listen")
         body = {"base": base, "files": dict(files), "cause": "first configuration"}
@@ -239,7 +239,7 @@
         return post_json(url, body, key)["revision"]
 
     def is_ready(self) -> bool:
-        """Tell whether every entry is ready and sees every agent usable."""
+        """Return whether every entry reports every agent as live and not draining."""
         for entry in self.entries.values():
             try:
                 status = get_json(f"{entry.url}/operators/v1/status", self.operator_key)
@@ -255,7 +255,7 @@
 
     @property
     def operator_key(self) -> str:
-        """Give a key that operators of the samples have."""
+        """Return an operator key of the sample that the fleet runs."""
         operators = self.configuration.operators
         return (
             "brolga-operator-key"
@@ -264,22 +264,26 @@
         )
 
     def status(self, entry: str = "entry-1") -> dict[str, Any]:
-        """Read an entry's status."""
+        """Return an entry's status."""
         url = f"{self.entries[entry].url}/operators/v1/status"
         return get_json(url, self.operator_key)
 
     def wait_until(self, condition: Callable[[], bool], what: str) -> None:
-        """Wait for a condition, at most as long as a start may take."""
+        """Poll a condition until it holds; raise after `START_SECONDS`.
+
+        The error has the entries' log lines about leases, because a fleet that does
+        not get ready is often waiting for one.
+        """
         until = time.monotonic() + START_SECONDS
         while not condition():
-            self._check_children()
+            self._check_daemons()
             if time.monotonic() >= until:
-                told = "\n".join(self._list_lease_lines())
-                raise AssertionError(f"waited in vain for {what}\n{told}")
+                lease_lines = "\n".join(self._list_lease_lines())
+                raise AssertionError(f"timed out waiting for {what}\n{lease_lines}")
             time.sleep(POLL_SECONDS)
 
     def _list_lease_lines(self) -> list[str]:
-        """List what the entries logged of leases: without it a wait tells no cause."""
+        """List the entries' log lines about leases, to explain a time-out."""
         return [
             line
             for entry in self.entries
@@ -287,12 +291,12 @@
             if '"lease:' in line
         ]
 
-    def _check_children(self) -> None:
+    def _check_daemons(self) -> None:
         for child in (*self.entries.values(), *self.agents.values()):
             code = child.process.poll()
             if code is not None and code > 0:
                 log = (self.folder / f"{child.name}.log").read_text()[-2000:]
-                raise AssertionError(f"{child.name} ended with {code}: {log}")
+                raise AssertionError(f"{child.name} exited with code {code}: {log}")
 
     def _list_servers(self) -> Iterable[tuple[str, str, str, Any]]:
         for name, upstream in self.configuration.upstreams.items():
@@ -348,10 +352,10 @@
             **self.daemon_settings,
         }
 
-    def _put_proxies(self, network: Network) -> None:
-        """Lead every connection that a daemon opens through a proxy of its own."""
+    def _insert_proxies(self, network: Network) -> None:
+        """Route each daemon's outgoing connections through proxies of their own."""
         for host, settings in self.settings.items():
-            for kind, part in PLATFORM_PARTS.items():
+            for kind, part in SETTINGS_BY_KIND.items():
                 address = network.add(host, kind, self.standins[kind].address)
                 settings[part] = {"url": f"http://{address}"}
             if settings["role"] == "agent":
@@ -359,14 +363,14 @@
                 settings["upstream"]["url"] = f"http://{address}"
                 continue
             settings["dial"] = {
-                other: network.add(host, other, known["address"])
-                for other, known in self.settings.items()
+                other: network.add(host, other, other_settings["address"])
+                for other, other_settings in self.settings.items()
                 if other != host
             }
 
 
 def launch(name: str, command: list[str]) -> Child:
-    """Start a stand-in."""
+    """Start a stand-in process; its address is not known yet."""
     process = subprocess.Popen(
         command, cwd=ROOT, env=make_environment(), stdout=subprocess.PIPE
     )
@@ -374,35 +378,35 @@
 
 
 def read_address(child: Child) -> Child:
-    """Read where a stand-in listens."""
+    """Wait for a stand-in's first line, which has the address that it listens on."""
     stdout = child.process.stdout
     ready, _, _ = select.select([stdout], [], [], START_SECONDS)
     line = stdout.readline() if ready else b""
-    assert line, f"stand-in {child.name} did not start"
+    assert line, f"stand-in {child.name} printed no address"
     return child._replace(address=json.loads(line)["address"])
 
 
 def make_environment() -> dict[str, str]:
-    """Give the environment of the fleet's processes."""
+    """Return the environment variables for the fleet's processes."""
     return {**os.environ, "PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
 
 
 def find_port(ip: str) -> int:
-    """Let the system choose a port; the address is this fleet's alone."""
-    with socket.socket() as probe:
-        probe.bind((ip, 0))
-        return probe.getsockname()[1]
+    """Return a free port of an address that only this fleet uses."""
+    with socket.socket() as sock:
+        sock.bind((ip, 0))
+        return sock.getsockname()[1]
 
 
 def read_sample(name: str) -> dict[str, str]:
-    """Read the files of one of the samples."""
+    """Return the configuration files of a sample by name."""
     read = read_folder(ROOT / "samples" / name)
     assert read.is_ok(), str(read)
     return read.ok
 
 
 def is_up(url: str) -> bool:
-    """Tell whether an entry answers."""
+    """Return whether an entry answers its health check."""
     try:
         get_json(f"{url}/healthz")
     except (urllib.error.URLError, OSError):
@@ -411,14 +415,14 @@
 
 
 def get_json(url: str, key: str = "") -> Any:
-    """Read a JSON answer."""
+    """Send a GET request and return the decoded JSON body."""
     request = urllib.request.Request(url, headers=make_headers(key))
     with urllib.request.urlopen(request, timeout=START_SECONDS) as reply:
         return json.load(reply)
 
 
 def post_json(url: str, body: Any, key: str = "", **headers: str) -> Any:
-    """Send a JSON body and read the JSON answer."""
+    """Send a JSON body with POST and return the decoded JSON answer."""
     data = json.dumps(body).encode()
     request = urllib.request.Request(
         url, data, headers={**make_headers(key), **headers}, method="POST"
@@ -428,7 +432,7 @@
 
 
 def make_headers(key: str) -> dict[str, str]:
-    """Give the headers that carry a key."""
+    """Return the headers for a JSON request, with the key as a bearer token."""
     headers = {"Content-Type": "application/json"}
     if key:
         headers["Authorization"] = f"Bearer {key}"
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Send a trace's calls at their times, whatever becomes of earlier ones."""
+"""Send a trace's calls at their scheduled times (open loop) and record the answers."""
 
 import asyncio
 import itertools
@@ -16,39 +16,39 @@
 from bench.checks import hash_question
 from bench.traces import Call, make_prompt
 
-EXTRA_SECONDS: Final = 5.0
-"""Time after its deadline that a call is still listened to."""
-AWAY_SECONDS: Final = 1.0
-"""Time that an entry that can't be connected to is left out, as a balancer does."""
-DATA: Final = b"data: "
+GRACE_SECONDS: Final = 5.0
+"""Time after its deadline at which a call without an answer is abandoned."""
+EXCLUSION_SECONDS: Final = 1.0
+"""Time for which an entry is excluded after a failed connect, as a balancer does."""
+DATA_PREFIX: Final = b"data: "
 
 
 class Plan(msgspec.Struct):
-    """Tell a load process what to do."""
+    """Describe the calls that a load process sends, and where it sends them."""
 
     entries: list[str]
     calls: list[Call]
     retries: bool
-    """Whether a refused call is sent once more after Retry-After."""
+    """Whether a refused call is retried once after its Retry-After."""
     output: str
-    """File for the records."""
+    """Path of the file that the records are written to."""
 
 
 class Record(msgspec.Struct):
-    """Hold what became of one call."""
+    """Record the outcome of one call."""
 
     name: str
     at: float
     """Seconds from the start of the trace."""
     sent: float
-    """Seconds from the start of the trace; late if the load process is busy."""
+    """Seconds from the start of the trace; later than `at` on a busy load process."""
     deadline: float
     first: float | None = None
     """Seconds from sending to the first token."""
     took: float = 0.0
     """Seconds from sending to the end."""
     gaps: list[float] = msgspec.field(default_factory=list)
-    """Seconds between the parts of the answer."""
+    """Seconds between consecutive parts of a streamed answer."""
     status: int = 0
     """0: no answer."""
     code: str = ""
@@ -61,40 +61,40 @@
 
     @property
     def good(self) -> bool:
-        """Tell whether the answer was whole, its caller's own and in time."""
+        """Return whether the answer was complete, for this prompt and in time."""
         return self.whole and self.own and self.took <= self.deadline
 
 
 class AnswerText(NamedTuple):
-    """Hold the text of an answer and whether its end was seen."""
+    """Hold the text of an answer and whether the answer ended properly."""
 
     text: str
     ended: bool
 
 
 class Balancer:
-    """Spread calls over the entries that can be connected to."""
+    """Distribute calls round robin over the entries that accept connections."""
 
     def __init__(self, entries: list[str]) -> None:
         self._entries = itertools.cycle(entries)
-        self._number = len(entries)
-        self._away: dict[str, float] = {}
+        self._entry_count = len(entries)
+        self._excluded_until: dict[str, float] = {}
 
     def choose(self, now: float) -> str:
-        """Choose the next entry."""
-        for _ in range(self._number):
+        """Return the next entry that is not excluded, or any if all are."""
+        for _ in range(self._entry_count):
             entry = next(self._entries)
-            if self._away.get(entry, 0.0) <= now:
+            if self._excluded_until.get(entry, 0.0) <= now:
                 return entry
         return next(self._entries)
 
-    def leave_out(self, entry: str, now: float) -> None:
-        """Leave out an entry for a while."""
-        self._away[entry] = now + AWAY_SECONDS
+    def exclude(self, entry: str, now: float) -> None:
+        """Exclude an entry for `EXCLUSION_SECONDS`."""
+        self._excluded_until[entry] = now + EXCLUSION_SECONDS
 
 
 class Load:
-    """Send calls and record what becomes of them."""
+    """Send the calls of a plan and record their outcomes."""
 
     def __init__(self, plan: Plan, session: aiohttp.ClientSession) -> None:
         self._plan = plan
@@ -104,43 +104,48 @@
         self._starts_at = 0.0
 
     async def run(self, starts_at: float) -> list[Record]:
-        """Send all calls, from a time of the monotonic clock on, and wait."""
+        """Send all calls and wait for them.
+
+        `starts_at` is the monotonic time of the start of the trace.
+        """
         self._starts_at = starts_at
         tasks = []
         for call, prompt in zip(self._plan.calls, self._prompts, strict=True):
             delay = self._starts_at + call.at - time.monotonic()
             if delay > 0:
                 await asyncio.sleep(delay)
-            tasks.append(asyncio.create_task(self._follow(call, prompt)))
+            tasks.append(asyncio.create_task(self._run_call(call, prompt)))
         return list(await asyncio.gather(*tasks))
 
-    async def _follow(self, call: Call, prompt: str) -> Record:
+    async def _run_call(self, call: Call, prompt: str) -> Record:
         begin = time.monotonic()
         sent = begin - self._starts_at
         record = Record(call.name, call.at, sent, call.deadline)
-        await self._try(call, prompt, record, begin)
-        left = call.deadline - record.took
-        if self._plan.retries and may_retry(record, left):
+        await self._attempt(call, prompt, record, begin)
+        remaining = call.deadline - record.took
+        if self._plan.retries and may_retry(record, remaining):
             await asyncio.sleep(record.retry_after or 0.0)
             record.tries = 2
-            await self._try(call, prompt, record, begin)
+            await self._attempt(call, prompt, record, begin)
         return record
 
-    async def _try(self, call: Call, prompt: str, record: Record, begin: float) -> None:
-        left = call.deadline - (time.monotonic() - begin)
+    async def _attempt(
+        self, call: Call, prompt: str, record: Record, begin: float
+    ) -> None:
+        remaining = call.deadline - (time.monotonic() - begin)
         try:
-            async with asyncio.timeout(left + EXTRA_SECONDS):
-                await self._send(call, prompt, record, begin, left)
+            async with asyncio.timeout(remaining + GRACE_SECONDS):
+                await self._send(call, prompt, record, begin, remaining)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             record.error = repr(error)[:200]
         record.took = time.monotonic() - begin
 
     async def _send(
-        self, call: Call, prompt: str, record: Record, begin: float, left: float
+        self, call: Call, prompt: str, record: Record, begin: float, remaining: float
     ) -> None:
         headers = {
             "Authorization": f"Bearer {call.team}",
-            "X-Request-Timeout": f"{left:.3f}",
+            "X-Request-Timeout": f"{remaining:.3f}",
         }
         if call.key:
             headers["Idempotency-Key"] = call.key
@@ -160,7 +165,7 @@
     async def _connect(
         self, call: Call, headers: dict[str, str], body: bytes
     ) -> aiohttp.ClientResponse:
-        """Send to an entry; one that can't be connected to was not sent anything."""
+        """Post to an entry; try another if the connect fails, as nothing was sent."""
         for _ in self._plan.entries:
             entry = self._balancer.choose(time.monotonic())
             try:
@@ -168,19 +173,19 @@
                     entry + call.path, data=body, headers=headers
                 )
             except aiohttp.ClientConnectorError:
-                self._balancer.leave_out(entry, time.monotonic())
+                self._balancer.exclude(entry, time.monotonic())
         raise OSError("no entry can be connected to")
 
 
-def may_retry(record: Record, left: float) -> bool:
-    """Tell whether a call was refused, did not run and may still be met."""
+def may_retry(record: Record, remaining: float) -> bool:
+    """Return whether a refused call did not run and can be retried in its deadline."""
     if record.ran != "no" or record.retry_after is None:
         return False
-    return record.retry_after < left
+    return record.retry_after < remaining
 
 
 def make_body(call: Call, prompt: str) -> bytes:
-    """Make the body of a call."""
+    """Build the JSON body of a call."""
     if not call.model:
         return msgspec.json.encode({"seed": call.seed})
     return msgspec.json.encode(
@@ -196,7 +201,7 @@
 def record_refusal(
     record: Record, response: aiohttp.ClientResponse, body: bytes
 ) -> None:
-    """Note what a refusal says."""
+    """Record the Retry-After, the X-Ran header and the error code of a refusal."""
     retry_after = response.headers.get("Retry-After")
     record.retry_after = float(retry_after) if retry_after else None
     record.ran = response.headers.get("X-Ran", "")
@@ -204,7 +209,7 @@
 
 
 def record_error_code(record: Record, body: Any) -> None:
-    """Note the code of a refusal."""
+    """Record the code of an error body and, if not known yet, whether the call ran."""
     error = body.get("error")
     record.code = str(error.get("code", "")) if isinstance(error, dict) else "unknown"
     if not record.ran and isinstance(error, dict):
@@ -214,13 +219,13 @@
 async def read_stream(
     response: aiohttp.ClientResponse, record: Record, begin: float
 ) -> AnswerText:
-    """Read server-sent events until the end, however it comes."""
+    """Read server-sent events until `[DONE]`, an error event or the end of the body."""
     texts: list[str] = []
     last = begin
     async for line in response.content:
-        if not line.startswith(DATA):
+        if not line.startswith(DATA_PREFIX):
             continue
-        data = line[len(DATA) :].strip()
+        data = line[len(DATA_PREFIX) :].strip()
         if data == b"[DONE]":
             return AnswerText("".join(texts), True)
         event = msgspec.json.decode(data)
@@ -241,7 +246,7 @@
 
 
 def read_unstreamed(call: Call, body: bytes) -> AnswerText:
-    """Read an answer that is not streamed."""
+    """Decode an answer that is not streamed."""
     if not call.model:
         return AnswerText("", True)
     return AnswerText(
@@ -250,26 +255,26 @@
 
 
 def check_answer(call: Call, prompt: str, answered: AnswerText, record: Record) -> None:
-    """Check an answer: ended in good order, own, and nothing missing or doubled."""
+    """Check that an answer is complete, for its prompt and has each token once."""
     if not call.model:
         record.whole = record.own = True
         return
     words = answered.text.split()
     record.own = words[:1] == [hash_question(prompt)]
     numbers = [word.partition("-")[0] for word in words[1:]]
-    wanted = [f"w{index}" for index in range(1, call.output)]
-    record.whole = answered.ended and numbers == wanted
+    expected = [f"w{index}" for index in range(1, call.output)]
+    record.whole = answered.ended and numbers == expected
 
 
 def read_records(path: Path) -> Iterator[Record]:
-    """Read the records of a load process."""
+    """Yield the records that a load process has written."""
     decoder = msgspec.json.Decoder(Record)
     for line in path.read_bytes().splitlines():
         yield decoder.decode(line)
 
 
 async def run(plan: Plan) -> None:
-    """Send a plan's calls and write the records."""
+    """Report readiness, read the start time, send the calls and write the records."""
     connector = aiohttp.TCPConnector(limit=0)
     timeout = aiohttp.ClientTimeout(total=None)
     async with aiohttp.ClientSession(
@@ -283,7 +288,7 @@
 
 
 def main() -> None:
-    """Read the plan, say when it is prepared, and wait for the time to begin."""
+    """Run the plan whose path is the first command-line argument."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Plan)
     uvloop.run(run(plan))
 
