--- a/bench/actions.py
+++ b/bench/actions.py
@@ -1,4 +1,4 @@
-"""What a run does to its fleet: kills, pauses, drains, outages."""
+"""Faults and operations applied to a fleet: kills, pauses, drains, outages."""
 
 import contextlib
 import os
@@ -15,47 +15,47 @@
 TAKEOVER_SECONDS: Final = 60.0
 TAKEOVER_POLL_SECONDS: Final = 0.1
 RESTART_SECONDS: Final = 1.0
-"""Time after which the platform starts a killed process again."""
+"""Delay after which a killed daemon is restarted, as the platform does."""
 
 
 def carry_out(action: Action, fleet: Fleet) -> None:
-    """Do something to the fleet, and undo it later if it ends."""
+    """Apply an action to the fleet and schedule its end if it has one."""
     ACTIONS[action.kind](action, fleet)
 
 
-def later(seconds: float, undo: Callable[[], object]) -> None:
-    """Do something after a while."""
-    timer = threading.Timer(seconds, undo)
+def run_after(seconds: float, callback: Callable[[], object]) -> None:
+    """Call a function after a delay, on a timer thread."""
+    timer = threading.Timer(seconds, callback)
     timer.daemon = True
     timer.start()
 
 
 def kill_engine(action: Action, fleet: Fleet) -> None:
-    """Kill an engine for good."""
+    """Kill an engine without a restart."""
     os.kill(fleet.upstreams[action.target].pid, signal.SIGKILL)
 
 
 def kill_agent(action: Action, fleet: Fleet) -> None:
-    """Kill an agent; the platform starts it again."""
+    """Kill an agent and restart it after `RESTART_SECONDS`."""
     os.kill(fleet.agents[action.target].pid, signal.SIGKILL)
-    later(RESTART_SECONDS, lambda: fleet.start_daemon(action.target))
+    run_after(RESTART_SECONDS, lambda: fleet.start_daemon(action.target))
 
 
 def kill_entry(action: Action, fleet: Fleet) -> None:
-    """Kill an entry; the platform starts it again."""
+    """Kill an entry and restart it after `RESTART_SECONDS`."""
     os.kill(fleet.entries[action.target].pid, signal.SIGKILL)
-    later(RESTART_SECONDS, lambda: fleet.start_daemon(action.target))
+    run_after(RESTART_SECONDS, lambda: fleet.start_daemon(action.target))
 
 
 def kill_planner(action: Action, fleet: Fleet) -> None:
-    """Kill the entry that plans for the place of the action, if one does."""
+    """Kill the entry that holds the planner lease of the action's place."""
     holder = find_planner(action.target, fleet)
-    assert holder is not None, f"no entry plans for {action.target}"
+    assert holder is not None, f"no entry holds the planner lease of {action.target}"
     kill_entry(action._replace(target=holder), fleet)
 
 
 def find_planner(place: str, fleet: Fleet) -> str | None:
-    """Find the entry that holds a place's planner lease."""
+    """Return the entry that holds a place's planner lease, if any."""
     for entry in list(fleet.entries):
         with contextlib.suppress(urllib.error.URLError, OSError, ValueError):
             planner = fleet.status(entry)["planner"]
@@ -65,7 +65,7 @@
 
 
 class TakeoverTimer(threading.Thread):
-    """Time until an entry plans for a place again."""
+    """Measure the time until an entry holds a place's planner lease again."""
 
     def __init__(self, place: str, fleet: Fleet) -> None:
         super().__init__(daemon=True)
@@ -74,7 +74,7 @@
         self.seconds: float | None = None
 
     def run(self) -> None:
-        """Look until there is one."""
+        """Poll until an entry holds the lease or `TAKEOVER_SECONDS` have passed."""
         begin = time.monotonic()
         while time.monotonic() - begin < TAKEOVER_SECONDS:
             if find_planner(self._place, self._fleet) is not None:
@@ -84,23 +84,23 @@
 
 
 def pause_agents(action: Action, fleet: Fleet) -> None:
-    """Pause the agents of a pool, or one of them, for some seconds."""
+    """Suspend the agents of a pool, or one of them, for the action's duration."""
     pids = [fleet.agents[host].pid for host in list_pool(action, fleet)]
     for pid in pids:
         os.kill(pid, signal.SIGSTOP)
-    later(
+    run_after(
         action.seconds, lambda: [os.kill(pid, signal.SIGCONT) for pid in pids] and None
     )
 
 
 def stall_engines(action: Action, fleet: Fleet) -> None:
-    """Let engines of a pool stand still for some seconds."""
+    """Stall the engines of a pool, or one of them, for the action's duration."""
     for host in list_pool(action, fleet):
         post_json(f"{fleet.upstreams[host].url}/_fault", {"stall": action.seconds})
 
 
 def list_pool(action: Action, fleet: Fleet) -> list[str]:
-    """List the hosts that an action is meant for."""
+    """List the hosts that an action applies to: its target or the whole pool."""
     if action.target:
         return [action.target]
     pools = fleet.configuration.upstreams
@@ -109,17 +109,17 @@
 
 
 def drain(action: Action, fleet: Fleet) -> None:
-    """Drain a host as an operator does."""
+    """Drain a host through the operators' API."""
     url = f"{next(iter(fleet.entries.values())).url}/operators/v1"
     body = {"drained": True, "cause": "measurement"}
     post_json(f"{url}/hosts/{action.target}/drain", body, fleet.operator_key)
 
 
-def take_table_down(action: Action, fleet: Fleet) -> None:
-    """Let the table service be away for some seconds."""
+def disable_table(action: Action, fleet: Fleet) -> None:
+    """Make the table service unavailable for the action's duration."""
     url = f"{fleet.standins['table'].url}/_fault"
     post_json(url, {"mode": "down"})
-    later(action.seconds, lambda: post_json(url, {"mode": "up"}))
+    run_after(action.seconds, lambda: post_json(url, {"mode": "up"}))
 
 
 ACTIONS: Final[dict[str, Callable[[Action, Fleet], None]]] = {
@@ -130,5 +130,5 @@
     "pause_agents": pause_agents,
     "stall_engines": stall_engines,
     "drain": drain,
-    "table_down": take_table_down,
+    "table_down": disable_table,
 }
--- a/bench/calibration.py
+++ b/bench/calibration.py
@@ -1,4 +1,4 @@
-"""Check the worked-out rate of an engine against a stand-in that is kept full."""
+"""Compare the computed rate of an engine with a stand-in under constant full load."""
 
 import asyncio
 import itertools
@@ -14,15 +14,15 @@
 from bench.load import make_body
 from bench.traces import Call, make_call, make_prompt
 
-CONCURRENT: Final = 24
-"""Requests at the engine at any time: more than its batch takes."""
-WARM_SECONDS: Final = 10.0
-SECONDS: Final = 20.0
+CONCURRENCY: Final = 24
+"""Requests in flight at an engine: more than its batch holds."""
+WARM_UP_SECONDS: Final = 10.0
+MEASURED_SECONDS: Final = 20.0
 KINDS: Final = (SHEET, TAG, DART, HISTORY)
 
 
 def calibrate(speed: float = 1.0) -> Iterator[dict[str, Any]]:
-    """Measure each kind on an engine of its own, all at the same time."""
+    """Measure each kind on a separate engine, all concurrently."""
     fleet = Fleet({})
     try:
         engines = {
@@ -51,7 +51,7 @@
 
 
 async def measure_all(urls: dict[Kind, str]) -> dict[Kind, float]:
-    """Measure all kinds side by side."""
+    """Measure all kinds concurrently and return the rates by kind."""
     timeout = aiohttp.ClientTimeout(total=None)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
@@ -62,25 +62,25 @@
 
 
 async def measure_kind(session: aiohttp.ClientSession, url: str, kind: Kind) -> float:
-    """Keep an engine full and count the answers a second once it is warm."""
-    source = random.Random(kind.name)
-    begin = time.monotonic() + WARM_SECONDS
-    end = begin + SECONDS
+    """Saturate an engine and return the answers per second after the warm-up."""
+    rng = random.Random(kind.name)
+    begin = time.monotonic() + WARM_UP_SECONDS
+    end = begin + MEASURED_SECONDS
     done = itertools.count()
 
-    async def ask_on() -> None:
+    async def ask_repeatedly() -> None:
         while time.monotonic() < end:
-            call = make_call(source, kind, 0.0, 1.0)._replace(streamed=False)
+            call = make_call(rng, kind, 0.0, 1.0)._replace(streamed=False)
             await ask(session, url, call)
             if begin <= time.monotonic() < end:
                 next(done)
 
-    await asyncio.gather(*(ask_on() for _ in range(CONCURRENT)))
-    return next(done) / SECONDS
+    await asyncio.gather(*(ask_repeatedly() for _ in range(CONCURRENCY)))
+    return next(done) / MEASURED_SECONDS
 
 
 async def ask(session: aiohttp.ClientSession, url: str, call: Call) -> None:
-    """Ask for one answer and read it."""
+    """Send one request and read the answer."""
     body = make_body(call, make_prompt(call))
     async with session.post(url + call.path, data=body) as response:
         response.raise_for_status()
--- a/bench/checks.py
+++ b/bench/checks.py
@@ -1,8 +1,8 @@
-"""Check answers as a caller can."""
+"""Check answers with what a caller knows."""
 
 import hashlib
 
 
 def hash_question(text: str) -> str:
-    """Give the SHA-256 hex that a stand-in engine's answer begins with."""
+    """Return the SHA-256 in hex that a stand-in engine's answer begins with."""
     return hashlib.sha256(text.encode()).hexdigest()
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run from the records of its calls."""
+"""Compute the figures of a run from the records of its calls."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -8,20 +8,20 @@
 
 from bench.load import Record
 
-LOWEST_US: Final = 1
-HIGHEST_US: Final = 600_000_000
-DIGITS: Final = 3
+MIN_US: Final = 1
+MAX_US: Final = 600_000_000
+SIGNIFICANT_DIGITS: Final = 3
 PERCENTS: Final = (50, 95, 99)
-REFUSED: Final = (429, 503)
+REFUSAL_STATUSES: Final = (429, 503)
 
 
 def find_percentiles(
     seconds: Iterable[float], percents: Sequence[int] = PERCENTS
 ) -> dict[str, float | None]:
-    """Find percentiles in milliseconds."""
-    histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Compute percentiles in milliseconds; None without values."""
+    histogram = HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
     for value in seconds:
-        histogram.record_value(max(LOWEST_US, int(value * 1e6)))
+        histogram.record_value(max(MIN_US, int(value * 1e6)))
     if not histogram.get_total_count():
         return {f"p{percent}": None for percent in percents}
     return {
@@ -31,12 +31,12 @@
 
 
 def is_refused(record: Record) -> bool:
-    """Tell whether a call was refused with the word that it did not run."""
-    return record.status in REFUSED and record.ran == "no"
+    """Return whether a call was refused and the answer says that it did not run."""
+    return record.status in REFUSAL_STATUSES and record.ran == "no"
 
 
 def describe_class(records: Sequence[Record], seconds: float) -> dict[str, Any]:
-    """Describe what became of the calls of one class."""
+    """Compute the figures of one class of calls."""
     good = sum(record.good for record in records)
     refused = [record for record in records if is_refused(record)]
     answered = [record for record in records if record.status == 200]
@@ -62,7 +62,7 @@
 
 
 def name_outcome(record: Record) -> str:
-    """Name what became of a call."""
+    """Return the name of a call's outcome."""
     if record.good:
         return "good"
     if not record.status:
@@ -78,7 +78,7 @@
 def describe_classes(
     records: Sequence[Record], seconds: float
 ) -> dict[str, dict[str, Any]]:
-    """Describe each class of calls, and all of them together."""
+    """Compute the figures of each class of calls and of all calls."""
     names = sorted({record.name for record in records})
     by_name = {name: [r for r in records if r.name == name] for name in names}
     described = {name: describe_class(part, seconds) for name, part in by_name.items()}
@@ -88,14 +88,14 @@
 def find_series(
     records: Iterable[Record], seconds: float, width: float = 1.0
 ) -> list[tuple[int, int]]:
-    """Count the calls sent and the good ones among them, by the time of sending."""
+    """Count the calls and the good ones among them per interval of scheduled time."""
     sent: Counter[int] = Counter()
     good: Counter[int] = Counter()
     for record in records:
-        place = int(record.at / width)
-        sent[place] += 1
-        good[place] += record.good
-    return [(sent[place], good[place]) for place in range(int(seconds / width))]
+        bucket = int(record.at / width)
+        sent[bucket] += 1
+        good[bucket] += record.good
+    return [(sent[bucket], good[bucket]) for bucket in range(int(seconds / width))]
 
 
 def find_recovery(
@@ -106,10 +106,10 @@
     span: float = 2.0,
     step: float = 0.25,
 ) -> float | None:
-    """Find the seconds from a fault to full goodput that lasts for a while.
+    """Compute the seconds from a fault until full goodput that lasts to the end.
 
-    Full is the share of the calls sent in each later span that turned out good; none
-    if that was not reached before the end.
+    Goodput is full if at least `share` of the calls sent in a window of `span` seconds
+    are good; the window moves by `step`. Return None if goodput is not full at the end.
     """
     begin = fault_at
     found = None
--- a/bench/kinds.py
+++ b/bench/kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of work that callers of the two deployments bring."""
+"""Kinds of requests that callers of the two deployments send."""
 
 from typing import Final, Literal, NamedTuple
 
@@ -6,25 +6,25 @@
 
 
 class Kind(NamedTuple):
-    """Describe one kind of work at the engines' real speed."""
+    """Describe one kind of request, with its deadline at the engines' real speed."""
 
     name: str
     model: str
     team: str
     words: tuple[int, int]
-    """Least and most tokens of the prompt; a word is a token."""
+    """Minimum and maximum number of prompt tokens; a word is a token."""
     output: tuple[int, int]
     deadline: float
     """Seconds."""
     streamed: bool = True
     families: int = 0
-    """Prompts that begin alike share one of so many beginnings; 0: all differ."""
+    """Number of distinct shared prompt prefixes; 0: prompts share none."""
     shared: float = 0.0
-    """Share of the prompt that a beginning takes."""
+    """Share of the prompt that the shared prefix makes up."""
 
 
 class ServiceCall(NamedTuple):
-    """Describe calls of a plain service that may not run twice."""
+    """Describe non-idempotent calls of a plain service."""
 
     name: str
     path: str
@@ -80,10 +80,10 @@
 
 
 def find_engine_rate(kind: Kind, speed: float, role: str = "mixed") -> float:
-    """Work out the requests a second of a kind that one engine can do.
+    """Compute the requests per second of a kind that one engine can serve.
 
-    Each step has a base time, computes at most its budget of prompt tokens and gives
-    one token to each sequence of the batch.
+    Each step takes a base time, prefills at most its budget of prompt tokens and
+    decodes one token for each sequence in the batch.
     """
     profile = PROFILES[role]
     prompt = sum(kind.words) / 2 * (1.0 - kind.shared)
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,4 +1,4 @@
-"""Measure the decisions on real processes with stand-in engines."""
+"""Measure routing, admission and planning on real processes with stand-in engines."""
 
 import json
 import time
@@ -31,7 +31,7 @@
 
 
 class Measure:
-    """Measure scenarios; each prints JSON lines and keeps a report under reports/.
+    """Measure scenarios; each prints JSON lines and writes a report under reports/.
 
     Commands: quick, calibrate, overload, routing, shift, planning, faults, recovery
     and all. For the flags of one: script/measure COMMAND --help.
@@ -39,9 +39,9 @@
     Parameters
     ----------
     seeds : int
-        Repeats, each with a trace of its own.
+        Number of runs of each scenario and variant, each with another seed.
     patience : float
-        Seconds to wait before each run for the machine to be quiet.
+        Longest wait in seconds before each run for a low load average.
     """
 
     def __init__(self, seeds: int = 2, patience: float = 60.0) -> None:
@@ -51,36 +51,36 @@
         self._folder = REPORTS / time.strftime("%Y%m%d-%H%M%S")
 
     def quick(self) -> None:
-        """Run the routing at three times the load once, about a minute."""
+        """Run one routing variant once at three times the capacity, about a minute."""
         self._measure([make_overload(3.0)], ROUTING[:1], [1])
         self._write("quick")
 
     def calibrate(self, speed: float = 1.0) -> None:
-        """Check the worked-out capacity against one engine that is kept full."""
+        """Compare the computed capacity with one engine under constant full load."""
         for line in calibrate(speed):
             print(json.dumps(line), flush=True)
 
     def routing(self) -> None:
-        """Compare the routing with its baselines."""
+        """Compare rendezvous routing with round robin and least reported load."""
         scenarios = [make_revisions(), make_hot(), make_overload(1.5)]
         self._measure(scenarios, ROUTING, self._seeds)
         self._write("routing")
 
     def overload(self) -> None:
-        """Offer 0.8, 1, 1.5 and 3 times what the pool can do."""
+        """Offer 0.8, 1, 1.5 and 3 times the pool's capacity."""
         scenarios = [make_overload(times) for times in (0.8, 1.0, 1.5, 3.0)]
         scenarios.append(make_overload(3.0, retries=True))
         self._measure(scenarios, [DEFAULT], self._seeds)
         self._write("overload")
 
     def shift(self) -> None:
-        """Turn the mix of both deployments."""
+        """Shift the mix of requests in both deployments."""
         scenarios = [make_lagna_shift(), make_brolga_shift()]
         self._measure(scenarios, [DEFAULT], self._seeds)
         self._write("shift")
 
     def planning(self, load: float = 1.3, deployment: str = "") -> None:
-        """Compare the planning policies while the mix turns."""
+        """Compare the planning policies while the mix of requests shifts."""
         makers = {"lagna": make_lagna_shift, "brolga": make_brolga_shift}
         chosen = [deployment] if deployment else list(makers)
         for name in chosen:
@@ -90,7 +90,7 @@
         self._write("planning")
 
     def faults(self) -> None:
-        """Lose, drain and stall engines under load; flood; heat one prefix."""
+        """Kill, drain and stall engines under load; flood; overuse one prefix."""
         scenarios = [
             make_steady("engine-lost", Action(12.0, "kill_engine", "gown-5")),
             make_steady("engine-drained", Action(12.0, "drain", "gown-5")),
@@ -103,7 +103,7 @@
         self._write("faults")
 
     def recovery(self) -> None:
-        """Time the way back to full goodput after deaths and an outage."""
+        """Measure the time to full goodput after killed processes and an outage."""
         scenarios = [
             make_steady("entry-killed", Action(12.0, "kill_entry", "entry-2")),
             make_steady("agent-killed", Action(12.0, "kill_agent", "gown-5")),
@@ -115,8 +115,15 @@
 
     def all(self) -> None:
         """Run everything, about half an hour."""
-        for part in ("overload", "routing", "shift", "planning", "faults", "recovery"):
-            getattr(self, part)()
+        for command in (
+            "overload",
+            "routing",
+            "shift",
+            "planning",
+            "faults",
+            "recovery",
+        ):
+            getattr(self, command)()
 
     def _measure(
         self,
@@ -127,7 +134,8 @@
         self._folder.mkdir(parents=True, exist_ok=True)
         for scenario in scenarios:
             for seed in seeds:
-                # Variants go by turns, so that a busier machine later on meets all.
+                # Alternate the variants, so that a change in the machine's load during
+                # the measurement affects all of them.
                 for variant in variants:
                     outcome = run_scenario(
                         scenario, variant, seed, self._folder, self._patience
@@ -149,7 +157,7 @@
 
 
 def main() -> None:
-    """Run the part of the measurement that is named."""
+    """Run the measurement command that is named on the command line."""
     stop_by_signal()
     fire.Fire(Measure, name="script/measure")
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Report of a measurement: plots and one page."""
+"""Write the report of a measurement: JSON lines, plots and an HTML page."""
 
 import html
 import json
@@ -36,7 +36,7 @@
 
 
 def write_report(name: str, outcomes: Sequence[Outcome], folder: Path) -> Path:
-    """Write the lines, the plots and the page of a measurement."""
+    """Write the JSON lines, the plots and the HTML page; return the page's path."""
     write_lines(outcomes, folder / f"{name}.jsonl")
     groups = group_runs(outcomes)
     rows = [summarise(runs) for runs in groups.values()]
@@ -66,7 +66,7 @@
 
 
 def summarise(runs: Sequence[Outcome]) -> dict[str, Any]:
-    """Sum up the runs of one scenario and variant."""
+    """Aggregate the runs of one scenario and variant into a table row."""
     whole = [run.classes["all"] for run in runs]
     rates = [item["good_per_second"] for item in whole]
     figures = [run.figures for run in runs]
@@ -97,12 +97,12 @@
 
 
 def is_recovery(figures: dict[str, Any]) -> bool:
-    """Tell whether a run had something to recover from."""
+    """Return whether a run has a recovery time, because it had a fault."""
     return "recovery_seconds" in figures
 
 
 def average(values: Any) -> float | None:
-    """Average what there is."""
+    """Return the average of the values that are not None, or None."""
     known = [value for value in values if value is not None]
     return round(mean(known), 1) if known else None
 
@@ -110,7 +110,7 @@
 def plot_scenario(
     scenario: str, groups: dict[tuple[str, str], list[Outcome]], folder: Path
 ) -> str:
-    """Plot the goodput of a scenario's variants over time."""
+    """Plot the goodput of a scenario's variants over time; return the file name."""
     figure, axes = pyplot.subplots(figsize=(9, 3.5))
     sent: list[int] = []
     for (name, variant), runs in groups.items():
@@ -138,29 +138,29 @@
     images: Sequence[str],
     outcomes: Sequence[Outcome],
 ) -> str:
-    """Make the page."""
+    """Build the HTML page."""
     head = "".join(f"<th>{html.escape(column)}</th>" for column in COLUMNS)
     body = "".join(map(make_row, rows))
     plots = "".join(f'<img src="{html.escape(image)}">' for image in images)
-    left_out = [o.figures for o in outcomes if not o.figures["counts"]]
-    notes = "".join(
-        f"<li>{html.escape(json.dumps(describe_left_out(figures)))}</li>"
-        for figures in left_out
+    excluded = [o.figures for o in outcomes if not o.figures["counts"]]
+    items = "".join(
+        f"<li>{html.escape(json.dumps(describe_excluded(figures)))}</li>"
+        for figures in excluded
     )
     return (
         f"<!doctype html><meta charset=utf-8><title>{name}</title>"
         f"<h1>{name}</h1><table border=1><tr>{head}</tr>{body}</table>{plots}"
-        f"<h2>Runs that do not count</h2><ul>{notes}</ul>\n"
+        f"<h2>Runs that do not count</h2><ul>{items}</ul>\n"
     )
 
 
 def make_row(row: dict[str, Any]) -> str:
-    """Make a row of the table."""
+    """Build a row of the HTML table."""
     cells = (row[column] for column in COLUMNS)
     texts = ("" if cell is None else html.escape(str(cell)) for cell in cells)
     return "<tr>" + "".join(f"<td>{text}</td>" for text in texts) + "</tr>"
 
 
-def describe_left_out(figures: dict[str, Any]) -> dict[str, Any]:
-    """Say which run does not count, and why."""
+def describe_excluded(figures: dict[str, Any]) -> dict[str, Any]:
+    """Identify a run that does not count, with the reasons."""
     return {key: figures[key] for key in ("scenario", "variant", "seed", "why_not")}
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,4 +1,4 @@
-"""Run a scenario on a fleet of real processes and give its figures."""
+"""Run a scenario on a fleet of real processes and compute its figures."""
 
 import contextlib
 import json
@@ -30,53 +30,53 @@
     wait_until_quiet,
 )
 
-LOADS: Final = 2
+LOAD_PROCESS_COUNT: Final = 2
 ROLE_CHANGE_SECONDS: Final = 3.0
 SETTLE_SECONDS: Final = 2.0
 SAMPLE_SECONDS: Final = 0.5
-MACHINE_LIMIT: Final = 0.85
-"""Share of the machine that may be busy for a run to count."""
-LOAD_LIMIT: Final = 0.8
-"""Share of a processor that a load process or a stand-in may use."""
-LATE_LIMIT_MS: Final = 50.0
-"""How late a load process may send."""
+MAX_MACHINE_BUSY_SHARE: Final = 0.85
+"""Largest busy share of the machine at which a run still counts."""
+MAX_PROCESS_SHARE: Final = 0.8
+"""Largest share of a core for a load process or stand-in at which a run counts."""
+MAX_SEND_DELAY_MS: Final = 50.0
+"""Largest 99th percentile of the send delay at which a run still counts."""
 
 
 class Outcome(NamedTuple):
-    """Hold what a run gave."""
+    """Hold the figures of a run."""
 
     figures: dict[str, Any]
     """Figures of the run as a whole."""
     classes: dict[str, dict[str, Any]]
     """Figures by class of calls."""
     series: list[tuple[int, int]]
-    """Calls sent and good ones among them, each second."""
+    """For each second, the calls sent and the good ones among them."""
 
 
 class Sampler(threading.Thread):
-    """Watch the engines' roles and drains during a run."""
+    """Sample the number of draining hosts during a run."""
 
     def __init__(self, fleet: Fleet) -> None:
         super().__init__(daemon=True)
         self._fleet = fleet
-        self._ended = threading.Event()
-        self.away_seconds = 0.0
-        """Engine-seconds in which an engine took no work by order."""
+        self._stop_event = threading.Event()
+        self.draining_seconds = 0.0
+        """Engine-seconds spent draining."""
 
     def run(self) -> None:
-        """Look until told to end."""
+        """Sample until stopped."""
         last = time.monotonic()
-        while not self._ended.wait(SAMPLE_SECONDS):
+        while not self._stop_event.wait(SAMPLE_SECONDS):
             now = time.monotonic()
-            self.away_seconds += self._count_away() * (now - last)
+            self.draining_seconds += self._count_draining() * (now - last)
             last = now
 
-    def end(self) -> None:
-        """Stop looking."""
-        self._ended.set()
+    def stop(self) -> None:
+        """Stop sampling and wait for the thread."""
+        self._stop_event.set()
         self.join()
 
-    def _count_away(self) -> int:
+    def _count_draining(self) -> int:
         for entry in list(self._fleet.entries):
             with contextlib.suppress(urllib.error.URLError, OSError, ValueError):
                 hosts = self._fleet.status(entry)["hosts"]
@@ -85,7 +85,7 @@
 
 
 def make_files(scenario: Scenario, variant: Variant) -> dict[str, str]:
-    """Give the sample's folder with the variant's own file at its end."""
+    """Return the sample's files and, merged last, one with the variant's settings."""
     files = read_sample(scenario.deployment)
     upstreams: dict[str, Any] = {}
     if variant.roles:
@@ -97,7 +97,7 @@
 
 
 def make_fleet(scenario: Scenario, variant: Variant) -> Fleet:
-    """Describe a scenario's fleet."""
+    """Make the fleet for a scenario and variant, not started yet."""
     seconds = ROLE_CHANGE_SECONDS / scenario.speed
     return Fleet(
         make_files(scenario, variant),
@@ -110,27 +110,31 @@
 
 
 def run_scenario(
-    scenario: Scenario, variant: Variant, seed: int, folder: Path, patience: float
+    scenario: Scenario,
+    variant: Variant,
+    seed: int,
+    folder: Path,
+    max_wait_seconds: float,
 ) -> Outcome:
-    """Run a scenario once on a fleet of its own."""
+    """Run a scenario once on a new fleet."""
     engines = ENGINES[scenario.deployment]
     calls = make_trace(scenario.phases, engines, scenario.speed, seed)
-    load_before = wait_until_quiet(patience)
+    load_before = wait_until_quiet(max_wait_seconds)
     with make_fleet(scenario, variant) as fleet:
         time.sleep(SETTLE_SECONDS)
         name = f"{scenario.name}-{variant.name}-{seed}"
         with start_loads(fleet, scenario, calls, folder / name) as loads:
-            return follow(fleet, scenario, variant, seed, loads, load_before)
+            return run_loads(fleet, scenario, variant, seed, loads, load_before)
 
 
-class Loads(NamedTuple):
-    """Hold the load processes."""
+class LoadProcesses(NamedTuple):
+    """Hold the load processes and the paths of their records."""
 
     processes: list[subprocess.Popen[bytes]]
     outputs: list[Path]
 
     def begin(self, starts_at: float) -> None:
-        """Tell the load processes when to begin."""
+        """Send the start time to the load processes."""
         for process in self.processes:
             process.stdin.write(f"{starts_at}\n".encode())
             process.stdin.flush()
@@ -139,23 +143,23 @@
         """Wait for the load processes and read their records."""
         for process in self.processes:
             code = process.wait(timeout)
-            assert code == 0, f"a load process ended with {code}"
+            assert code == 0, f"a load process exited with code {code}"
         return [record for path in self.outputs for record in read_records(path)]
 
 
 @contextlib.contextmanager
 def start_loads(
     fleet: Fleet, scenario: Scenario, calls: list[Call], path: Path
-) -> Iterator[Loads]:
-    """Start load processes, each with its part of the calls, and end them."""
-    loads = Loads([], [])
+) -> Iterator[LoadProcesses]:
+    """Start load processes, each with a part of the calls, and kill them on exit."""
+    loads = LoadProcesses([], [])
     entries = [entry.url for entry in fleet.entries.values()]
     try:
-        for number in range(LOADS):
-            part = calls[number::LOADS]
-            turned = entries[number:] + entries[:number]
+        for number in range(LOAD_PROCESS_COUNT):
+            part = calls[number::LOAD_PROCESS_COUNT]
+            rotated_entries = entries[number:] + entries[:number]
             output = path.with_name(f"{path.name}.{number}.records")
-            plan = Plan(turned, part, scenario.retries, str(output))
+            plan = Plan(rotated_entries, part, scenario.retries, str(output))
             plan_path = path.with_name(f"{path.name}.{number}.plan")
             plan_path.write_bytes(msgspec.json.encode(plan))
             loads.outputs.append(output)
@@ -182,15 +186,15 @@
     )
 
 
-def follow(
+def run_loads(
     fleet: Fleet,
     scenario: Scenario,
     variant: Variant,
     seed: int,
-    loads: Loads,
+    loads: LoadProcesses,
     load_before: float,
 ) -> Outcome:
-    """Let the loads run, do the scenario's actions and work out the figures."""
+    """Run the loads, apply the scenario's actions on time and compute the figures."""
     pids, kinds = list_pids(fleet, loads)
     sampler = Sampler(fleet)
     starts_at = time.monotonic() + 0.5
@@ -207,8 +211,8 @@
     time.sleep(max(0.0, starts_at + scenario.seconds - time.monotonic()))
     after = read_usage(pids)
     records = loads.collect(timeout=120.0)
-    sampler.end()
-    used = compute_delta(before, after, kinds)
+    sampler.stop()
+    usage = compute_delta(before, after, kinds)
     figures = {
         "scenario": scenario.name,
         "variant": variant.name,
@@ -216,9 +220,9 @@
         "seconds": scenario.seconds,
         "speed": scenario.speed,
         "loadavg_before": round(load_before, 2),
-        **describe_machine(used, records, load_before),
+        **describe_machine(usage, records, load_before),
         **describe_engines(fleet),
-        "engine_seconds_away": round(sampler.away_seconds, 1),
+        "engine_seconds_away": round(sampler.draining_seconds, 1),
         "takeover_seconds": [takeover.seconds for takeover in timers],
         "useful_share": find_useful_share(scenario, records),
         **describe_recovery(scenario, records),
@@ -230,8 +234,10 @@
     )
 
 
-def list_pids(fleet: Fleet, loads: Loads) -> tuple[dict[str, int], dict[str, str]]:
-    """List the processes of a run by name, and their kinds."""
+def list_pids(
+    fleet: Fleet, loads: LoadProcesses
+) -> tuple[dict[str, int], dict[str, str]]:
+    """Return the process ids and the kinds of a run's processes by name."""
     groups = {
         "entry": fleet.entries,
         "agent": fleet.agents,
@@ -249,34 +255,40 @@
 
 
 def describe_machine(
-    used: UsageDelta, records: list[Record], load_before: float
+    usage: UsageDelta, records: list[Record], load_before: float
 ) -> dict[str, Any]:
-    """Describe the machine's use, and whether the run counts."""
-    late = sorted(1000 * (record.sent - record.at) for record in records)
-    late_ms = late[int(0.99 * (len(late) - 1))] if late else 0.0
-    driver = used.busiest.split(" ")[0] in ("load", "upstream", "standin")
+    """Describe the processor usage and whether the run counts.
+
+    A run does not count if the machine, a load process or a stand-in was saturated or
+    calls were sent late: its figures would describe the test set-up.
+    """
+    send_delays = sorted(1000 * (record.sent - record.at) for record in records)
+    send_delay_ms = (
+        send_delays[int(0.99 * (len(send_delays) - 1))] if send_delays else 0.0
+    )
+    is_harness = usage.busiest.split(" ")[0] in ("load", "upstream", "standin")
     reasons = []
-    if used.machine > MACHINE_LIMIT:
+    if usage.machine > MAX_MACHINE_BUSY_SHARE:
         reasons.append("machine saturated")
-    if driver and used.busiest_share > LOAD_LIMIT:
-        reasons.append(f"{used.busiest} saturated")
-    if late_ms > LATE_LIMIT_MS:
+    if is_harness and usage.busiest_share > MAX_PROCESS_SHARE:
+        reasons.append(f"{usage.busiest} saturated")
+    if send_delay_ms > MAX_SEND_DELAY_MS:
         reasons.append("load sent late")
     return {
         "counts": not reasons,
         "why_not": reasons,
         "was_quiet": load_before < QUIET_LOAD,
-        "machine_busy": round(used.machine, 3),
-        "processor_seconds": used.seconds,
-        "busiest": used.busiest,
-        "busiest_share": round(used.busiest_share, 3),
-        "load_sent_late_p99_ms": round(late_ms, 1),
+        "machine_busy": round(usage.machine, 3),
+        "processor_seconds": usage.seconds,
+        "busiest": usage.busiest,
+        "busiest_share": round(usage.busiest_share, 3),
+        "load_sent_late_p99_ms": round(send_delay_ms, 1),
         "cores": os.cpu_count(),
     }
 
 
 def describe_engines(fleet: Fleet) -> dict[str, Any]:
-    """Add up what the engines that still live have counted."""
+    """Sum the counters of the upstreams that still run."""
     totals = {"role_changes": 0, "wasted_tokens": 0, "completed": 0, "cut": 0}
     double_runs = 0
     by_host = {}
@@ -295,7 +307,7 @@
 
 
 def find_useful_share(scenario: Scenario, records: list[Record]) -> float:
-    """Find the share of the engines' time that good answers account for."""
+    """Compute the share of the engines' time that good answers account for."""
     seconds = sum(
         1.0 / find_engine_rate(KINDS[record.name], scenario.speed)
         for record in records
@@ -305,7 +317,7 @@
 
 
 def describe_recovery(scenario: Scenario, records: list[Record]) -> dict[str, Any]:
-    """Tell how long the fleet took to full goodput after the first action."""
+    """Return the time from the first action to full goodput, if there are actions."""
     if not scenario.actions:
         return {}
     fault_at = min(action.at for action in scenario.actions)
@@ -314,5 +326,5 @@
 
 
 def stop_by_signal() -> None:
-    """Let a signal end the fleet in good order too."""
+    """Turn SIGTERM into SystemExit, so that the fleet is stopped."""
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios: what is sent to which fleet, and what goes wrong meanwhile."""
+"""Scenarios: the load that a fleet gets and the faults injected during the run."""
 
 from typing import Any, Final, Literal, NamedTuple
 
@@ -19,7 +19,7 @@
         "one-decode": ("mixed", "decode"),
     },
 }
-"""Roles of the engines of each place."""
+"""Roles of the engines of each place by split; the engines get them in turn."""
 
 ActionKind = Literal[
     "kill_engine",
@@ -34,34 +34,34 @@
 
 
 class Action(NamedTuple):
-    """Do something to the fleet in the middle of a run."""
+    """Describe a fault or an operation to apply to the fleet during a run."""
 
     at: float
     """Seconds from the start of the trace."""
     kind: ActionKind
     target: str = ""
-    """Host; all of the pool where it is empty."""
+    """Host, or place for `kill_planner`; empty: all hosts of the pool."""
     seconds: float = 0.0
-    """How long it lasts; 0: for good."""
+    """Duration; 0: permanent."""
 
 
 class Variant(NamedTuple):
-    """Name the decisions that a run is made with."""
+    """Describe the policy and the engine roles that a run uses."""
 
     name: str
     policy: dict[str, Any] = {}
-    """Differs from the sample's policy in these."""
+    """Policy settings that override those of the sample."""
     roles: dict[str, str] = {}
-    """Configured roles by host."""
+    """Configured engine roles by host; they override those of the sample."""
 
 
 class Scenario(NamedTuple):
-    """Describe a run but for its decisions and its seed."""
+    """Describe the load and the faults of a run, without its variant and seed."""
 
     name: str
     deployment: Deployment
     speed: float
-    """How many times faster than the real engines the stand-ins are."""
+    """Speed of the stand-in engines as a multiple of the real engines' speed."""
     phases: tuple[Phase, ...]
     actions: tuple[Action, ...] = ()
     retries: bool = False
@@ -69,21 +69,21 @@
 
     @property
     def seconds(self) -> float:
-        """Give the length of the trace."""
+        """Return the length of the trace."""
         return sum(phase.seconds for phase in self.phases)
 
 
 def make_lagna_shift(
     load: float = 0.8, speed: float = 1.5, burst_seconds: float = 30.0
 ) -> Scenario:
-    """Turn a morning of long sheets into a burst of short work."""
+    """Shift the mix from long sheets to a burst of short requests."""
     reminders = ((REMINDER, REMINDERS_PER_SECOND),)
     morning = {"sheet": 0.95 * load, "tag": 0.02 * load, "dart": 0.03 * load}
-    turn = {"sheet": 0.5 * load, "tag": 0.2 * load, "dart": 0.3 * load}
+    transition = {"sheet": 0.5 * load, "tag": 0.2 * load, "dart": 0.3 * load}
     burst = {"sheet": 0.1 * load, "tag": 0.3 * load, "dart": 0.6 * load}
     phases = (
         Phase(20.0, morning, reminders),
-        Phase(5.0, turn, reminders),
+        Phase(5.0, transition, reminders),
         Phase(burst_seconds, burst, reminders),
     )
     return Scenario(f"lagna-shift-{load:g}", "lagna", speed, phases)
@@ -92,42 +92,42 @@
 def make_brolga_shift(
     load: float = 0.8, speed: float = 1.5, burst_seconds: float = 30.0
 ) -> Scenario:
-    """Turn line histories into a burst of classifications."""
+    """Shift the mix from line histories to a burst of classifications."""
     morning = {"history": 0.95 * load, "classification": 0.05 * load}
     burst = {"history": 0.4 * load, "classification": 0.6 * load}
     phases = (Phase(25.0, morning), Phase(burst_seconds, burst))
     return Scenario(f"brolga-shift-{load:g}", "brolga", speed, phases)
 
 
-def make_overload(times: float, retries: bool = False) -> Scenario:
-    """Ask for a multiple of what the pool can do, in a mix of all kinds."""
-    shares = {"sheet": 0.5 * times, "tag": 0.1 * times, "dart": 0.4 * times}
-    name = f"overload-{times:g}" + ("-retried" if retries else "")
+def make_overload(multiple: float, retries: bool = False) -> Scenario:
+    """Offer a multiple of the pool's capacity, in a mix of all kinds."""
+    shares = {"sheet": 0.5 * multiple, "tag": 0.1 * multiple, "dart": 0.4 * multiple}
+    name = f"overload-{multiple:g}" + ("-retried" if retries else "")
     phases = (Phase(30.0, shares, ((REMINDER, REMINDERS_PER_SECOND),)),)
     return Scenario(name, "lagna", 1.0, phases, retries=retries)
 
 
 def make_steady(name: str, *actions: Action, load: float = 0.6) -> Scenario:
-    """Let something go wrong in the middle of an even load."""
+    """Apply faults or operations in the middle of a constant load."""
     shares = {"sheet": 0.5 * load, "tag": 0.1 * load, "dart": 0.4 * load}
     phases = (Phase(35.0, shares, ((REMINDER, REMINDERS_PER_SECOND),)),)
     return Scenario(name, "lagna", 1.0, phases, actions)
 
 
 def make_hot() -> Scenario:
-    """Let half of the work share one long beginning."""
+    """Offer half of the pool's capacity as sheets that share one long prefix."""
     phases = (Phase(30.0, {"hot": 0.5, "dart": 0.3, "tag": 0.05}),)
     return Scenario("hot-prefix", "lagna", 1.0, phases)
 
 
 def make_revisions() -> Scenario:
-    """Let sheets be revised: a hundred long beginnings, more than one cache holds."""
+    """Offer sheets with a hundred long prefixes, more than one KV cache holds."""
     phases = (Phase(30.0, {"revision": 0.6, "dart": 0.2, "tag": 0.05}),)
     return Scenario("revisions", "lagna", 1.0, phases)
 
 
 def make_flood() -> Scenario:
-    """Let one team send three times the pool's capacity beside a modest one."""
+    """Let one team flood the pool with twice its capacity beside a modest team."""
     phases = (
         Phase(8.0, {"peer": 0.2, "flood": 0.2}),
         Phase(17.0, {"peer": 0.2, "flood": 2.0}),
@@ -144,7 +144,7 @@
 
 
 def make_planning(deployment: Deployment) -> tuple[Variant, ...]:
-    """Make the variants of planning; those that change roles may do so quickly."""
+    """Make the planning variants; short dwell and drain times suit the short runs."""
     quick = {"min_dwell_seconds": 5, "drain_seconds": 3}
     return (
         Variant("off", {"planning": "off"}),
@@ -162,7 +162,7 @@
 
 
 def assign_roles(deployment: Deployment, roles: tuple[str, ...]) -> dict[str, str]:
-    """Give the engines of each place these roles."""
+    """Assign the roles to the deployment's engines in turn."""
     name = HOSTS[deployment]
     number = ENGINES[deployment]
     return {f"{name}-{n + 1}": roles[n % len(roles)] for n in range(number)}
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,4 +1,4 @@
-"""Seeded traces of what callers send, and when."""
+"""Generate seeded traces of the calls that callers send and their times."""
 
 import random
 from collections.abc import Sequence
@@ -41,7 +41,7 @@
 
 
 class Call(NamedTuple):
-    """Describe one call; its prompt follows from the seed."""
+    """Describe one call; its prompt is generated from the seeds."""
 
     at: float
     """Seconds from the start of the trace."""
@@ -56,26 +56,30 @@
     output: int = 0
     streamed: bool = False
     family: int = 0
-    """Seed of the prompt's shared beginning; 0: none."""
+    """Seed of the prompt's shared prefix; 0: none."""
     shared_words: int = 0
     key: str = ""
     """Idempotency key."""
 
 
 class Phase(NamedTuple):
-    """Describe the load over some time."""
+    """Describe the load during a part of a trace."""
 
     seconds: float
     shares: dict[str, float]
-    """Share of the pool's capacity that each kind asks for."""
+    """Offered load of each kind as a share of the pool's capacity."""
     calls: tuple[tuple[ServiceCall, float], ...] = ()
-    """Calls of plain services, and their number a second."""
+    """Calls of plain services and their rates per second."""
 
 
 def make_trace(
     phases: Sequence[Phase], engines: int, speed: float, seed: int
 ) -> list[Call]:
-    """Make the calls of all phases in the order of their times."""
+    """Generate the calls of all phases, sorted by time.
+
+    Each phase and kind has a random generator of its own, so that adding a kind does
+    not change the calls of the others.
+    """
     calls: list[Call] = []
     begin = 0.0
     for number, phase in enumerate(phases):
@@ -83,52 +87,52 @@
         for name, share in phase.shares.items():
             kind = KINDS[name]
             rate = share * engines * find_engine_rate(kind, speed)
-            source = random.Random(f"{seed}/{number}/{name}")
-            times = draw_times(source, rate, begin, end)
-            calls += [make_call(source, kind, at, speed) for at in times]
+            rng = random.Random(f"{seed}/{number}/{name}")
+            times = draw_times(rng, rate, begin, end)
+            calls += [make_call(rng, kind, at, speed) for at in times]
         for service, rate in phase.calls:
-            source = random.Random(f"{seed}/{number}/{service.name}")
-            times = draw_times(source, rate, begin, end)
-            calls += [make_service_call(source, service, at) for at in times]
+            rng = random.Random(f"{seed}/{number}/{service.name}")
+            times = draw_times(rng, rate, begin, end)
+            calls += [make_service_call(rng, service, at) for at in times]
         begin = end
     return sorted(calls)
 
 
 def draw_times(
-    source: random.Random, rate: float, begin: float, end: float
+    rng: random.Random, rate: float, begin: float, end: float
 ) -> list[float]:
-    """Draw arrivals that don't depend on each other."""
+    """Draw the arrival times of a Poisson process."""
     times = []
     at = begin
     while rate > 0:
-        at += source.expovariate(rate)
+        at += rng.expovariate(rate)
         if at >= end:
             break
         times.append(at)
     return times
 
 
-def make_call(source: random.Random, kind: Kind, at: float, speed: float) -> Call:
-    """Draw one request for generated text."""
-    words = source.randint(*kind.words)
+def make_call(rng: random.Random, kind: Kind, at: float, speed: float) -> Call:
+    """Draw one text generation request."""
+    words = rng.randint(*kind.words)
     return Call(
         at=at,
         name=kind.name,
         team=kind.team,
         deadline=kind.deadline / speed,
-        seed=source.getrandbits(53),
+        seed=rng.getrandbits(53),
         model=kind.model,
         words=words,
-        output=source.randint(*kind.output),
+        output=rng.randint(*kind.output),
         streamed=kind.streamed,
-        family=source.randint(1, kind.families) if kind.families else 0,
+        family=rng.randint(1, kind.families) if kind.families else 0,
         shared_words=int(kind.shared * words),
     )
 
 
-def make_service_call(source: random.Random, service: ServiceCall, at: float) -> Call:
-    """Draw one call that may not run twice."""
-    seed = source.getrandbits(53)
+def make_service_call(rng: random.Random, service: ServiceCall, at: float) -> Call:
+    """Draw one non-idempotent service call, with an idempotency key."""
+    seed = rng.getrandbits(53)
     return Call(
         at,
         service.name,
@@ -141,11 +145,11 @@
 
 
 def make_prompt(call: Call) -> str:
-    """Make the words of a call's prompt."""
+    """Generate the prompt of a call: a prefix shared by its family, then own words."""
     shared = random.Random(f"family {call.family}")
     words = shared.choices(VOCABULARY, k=call.shared_words)
     own = random.Random(call.seed)
-    # No two prompts are the same, so that an answer tells whose it is.
+    # Make every prompt unique, so that an answer can be matched to its call.
     words.append(f"case-{call.seed}")
     words += own.choices(VOCABULARY, k=max(0, call.words - call.shared_words - 1))
     return " ".join(words)
--- a/tests/bench/__init__.py
+++ b/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the measurement."""
+"""Tests of the measurement tools."""
--- a/tests/bench/test_capacity.py
+++ b/tests/bench/test_capacity.py
@@ -1,4 +1,4 @@
-"""Test the tool that measures capacity."""
+"""Tests of the capacity measurements."""
 
 import json
 
@@ -11,11 +11,11 @@
 
 
 @pytest.mark.parametrize("name", MEASURES)
-def test_every_measure_can_be_found(name):
+def test_every_measurement_can_be_imported(name):
     assert callable(find_measure(name))
 
 
-def test_a_figure_is_a_line_with_its_command_and_the_load(capsys):
+def test_figure_is_printed_with_command_and_load_average(capsys):
     print_figure("links", Figure("message, send", 33.791, "us", {"data_bytes": 40}))
     line = json.loads(capsys.readouterr().out)
     assert line["command"] == "script/capacity links"
@@ -23,7 +23,7 @@
     assert line["quiet"] == (line["load_average"] < 4.0) or line["load_average"] == 4.0
 
 
-def test_the_letters_folder_has_its_size():
+def test_full_size_folder_has_the_expected_counts():
     files = make_full_size_folder()
     merged = Merger().merge(files)
     assert merged.is_ok()
--- a/tests/bench/test_figures.py
+++ b/tests/bench/test_figures.py
@@ -1,4 +1,4 @@
-"""Tests of the figures of a run."""
+"""Tests of the figures computed from the records of a run."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 from standins.completions import build_token, digest_seed
 
 
-def make_record(at: float = 0.0, **more) -> Record:
+def make_record(at: float = 0.0, **overrides) -> Record:
     defaults = {
         "name": "dart",
         "at": at,
@@ -25,14 +25,14 @@
         "whole": True,
         "own": True,
     }
-    return Record(**{**defaults, **more})
+    return Record(**{**defaults, **overrides})
 
 
 REFUSAL = {"status": 429, "code": "overloaded", "ran": "no", "whole": False}
 
 
 @pytest.mark.parametrize(
-    ("more", "outcome"),
+    ("overrides", "outcome"),
     [
         ({}, "good"),
         ({"took": 2.1}, "late"),
@@ -42,14 +42,14 @@
         ({"status": 0, "whole": False}, "no answer"),
     ],
 )
-def test_names_what_became_of_a_call(more, outcome):
-    described = describe_class([make_record(**more)], 10.0)
+def test_outcome_of_a_call(overrides, outcome):
+    described = describe_class([make_record(**overrides)], 10.0)
     assert described["outcomes"] == {outcome: 1}
     assert described["good"] == (outcome == "good")
     assert described["refused"] == (outcome.endswith("ran no"))
 
 
-def test_an_answer_of_another_is_not_good():
+def test_answer_to_another_prompt_is_wrong():
     described = describe_class([make_record(own=False)], 10.0)
     assert (described["good"], described["wrong"]) == (0, 1)
 
@@ -60,12 +60,12 @@
     assert find_percentiles([]) == {"p50": None, "p95": None, "p99": None}
 
 
-def test_the_series_goes_by_the_time_of_sending():
+def test_series_counts_by_scheduled_time():
     records = [make_record(0.1), make_record(1.9, whole=False), make_record(1.2)]
     assert find_series(records, 3.0) == [(1, 1), (2, 1), (0, 0)]
 
 
-def test_recovery_is_the_last_return_to_full_goodput():
+def test_recovery_ends_at_the_last_return_to_full_goodput():
     def is_good(at: float) -> bool:
         return at < 5 or 6 <= at < 8 or at >= 9
 
@@ -91,7 +91,7 @@
         ("other", 5, True, True, False),
     ],
 )
-def test_checks_answers_as_the_stand_in_makes_them(prompt, tokens, ended, whole, own):
+def test_check_of_stand_in_answers(prompt, tokens, ended, whole, own):
     call = Call(0.0, "dart", "team", 2.0, 7, model="gown-llm", words=9, output=5)
     prompts = {"own": make_prompt(call), "other": "other"}
     text = make_answer(prompts[prompt], tokens)
@@ -100,7 +100,7 @@
     assert (record.whole, record.own) == (whole, own)
 
 
-def test_a_doubled_part_is_not_whole():
+def test_answer_with_a_repeated_token_is_not_whole():
     call = Call(0.0, "dart", "team", 2.0, 7, model="gown-llm", words=9, output=3)
     text = make_answer(make_prompt(call), 2)
     doubled = f"{text} {text.split()[-1]}"
@@ -109,7 +109,7 @@
     assert not record.whole
 
 
-def test_sums_up_runs():
+def test_summary_row_of_several_runs():
     class Run:
         def __init__(self, rate):
             self.classes = {
