--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -276,7 +276,7 @@
             return
         if isinstance(message, Load) and host in self.core.hosts:
             known = self.core.hosts[host]
-            self.planning.record_load(known.upstream, known.place, message)
+            self.planning.record_load(known.upstream, known.data_centre, message)
         self.handle(events.Received(host, message))
 
     def _is_busy(self, host: str) -> bool:
--- a/radishtally/serving/hosts.py
+++ b/radishtally/serving/hosts.py
@@ -12,7 +12,7 @@
     """Track the state of one host."""
 
     host: str
-    place: str
+    data_centre: str
     upstream: str
     live: bool = False
     """Whether the membership lists the host as live."""
@@ -56,7 +56,7 @@
         """Return the host as a routing candidate."""
         return Candidate(
             self.host,
-            self.place,
+            self.data_centre,
             self.load,
             now - self.load_at if self.load else 0.0,
             self.in_flight,
--- a/radishtally/serving/state.py
+++ b/radishtally/serving/state.py
@@ -97,7 +97,7 @@
         known = self.hosts.get(host)
         if known is None or known.upstream != upstream:
             known = self._replace_host(known, KnownHost(host, place, upstream))
-        known.place = place
+        known.data_centre = place
         known.live = live
         known.gone = False
 
--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -92,7 +92,7 @@
     def make_gateway(self, number: int) -> EnginePlacement:
         placement = EnginePlacement(lambda: self.now, Random(number))
         for host, role in self.roles.items():
-            place = self.hosts[host].place
+            place = self.hosts[host].data_centre
             placement.set_instance(
                 Instance(host, "llm", f"{host}:1", place, False, SLOTS, role)
             )
