--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -209,7 +209,7 @@
         usable = _limit_to_one_host(usable, core, now)
         if not usable:
             return Declined(None, "hosts terminated under it and too few are left")
-    return core.placement.place(request, usable, core.place, now)
+    return core.placement.place(request, usable, core.data_centre, now)
 
 
 def _limit_to_one_host(
--- a/radishtally/serving/state.py
+++ b/radishtally/serving/state.py
@@ -21,7 +21,7 @@
     """Hold the dispatch state of one entry or gateway."""
 
     host: str
-    place: str
+    data_centre: str
     random: random.Random
     placement: Placement = field(default_factory=RankedPlacement)
     budgets: RetryBudgets = field(default_factory=lambda: RetryBudgets(0.1))
@@ -92,12 +92,12 @@
         """Extend a pause by a random share of its length."""
         return seconds * (1.0 + self.random.uniform(0.0, PAUSE_JITTER))
 
-    def set_host(self, host: str, place: str, upstream: str, live: bool) -> None:
+    def set_host(self, host: str, data_centre: str, upstream: str, live: bool) -> None:
         """Update a host from the membership."""
         known = self.hosts.get(host)
         if known is None or known.upstream != upstream:
-            known = self._replace_host(known, KnownHost(host, place, upstream))
-        known.data_centre = place
+            known = self._replace_host(known, KnownHost(host, data_centre, upstream))
+        known.data_centre = data_centre
         known.live = live
         known.gone = False
 
