--- a/radishtally/engines/choice.py
+++ b/radishtally/engines/choice.py
@@ -52,8 +52,7 @@
 class PlacementContext(NamedTuple):
     """Describe where an entry is and how many engines it compares."""
 
-    place: str
-    """Data centre of the entry."""
+    data_centre: str
     sample_size: int
     """Engines to compare at a time: all of them if the load reports are fresh."""
     random: Random
@@ -171,7 +170,7 @@
             prediction.seconds
             + max(0, most_cached - cached[host]) * RECOMPUTE_TOKEN_SECONDS
         )
-        if engine.data_centre != context.place:
+        if engine.data_centre != context.data_centre:
             cost += remote_penalty
         yield ScoredEngine(
             prediction.seconds > on_time_seconds, cost, number, host, prediction
@@ -192,7 +191,7 @@
             engine, prediction
         ):
             continue
-        is_remote = engine.data_centre != context.place
+        is_remote = engine.data_centre != context.data_centre
         cost = prediction.seconds + is_remote * REMOTE_PENALTY_SECONDS
         candidates.append(
             ScoredEngine(False, cost, len(candidates), engine.host, prediction)
@@ -213,7 +212,7 @@
 
 
 def choose_decode(
-    engines: Sequence[EngineState], kv_place: str, context: PlacementContext
+    engines: Sequence[EngineState], kv_data_centre: str, context: PlacementContext
 ) -> EngineState:
     """Choose a decode engine with few answers, preferably near gateway and KV cache.
 
@@ -221,7 +220,9 @@
     """
 
     def count_remote(engine: EngineState) -> int:
-        return (engine.data_centre != kv_place) + (engine.data_centre != context.place)
+        return (engine.data_centre != kv_data_centre) + (
+            engine.data_centre != context.data_centre
+        )
 
     def score(engine: EngineState) -> float:
         return engine.fill + count_remote(engine) * REMOTE_FILL_PENALTY
@@ -236,7 +237,7 @@
 
 
 def place_call(
-    hosts: Sequence[KnownHost], place: str, random: Random
+    hosts: Sequence[KnownHost], data_centre: str, random: Random
 ) -> Placed | Declined:
     """Choose the host with the fewest open calls."""
     if not hosts:
@@ -244,7 +245,7 @@
 
     def score(host: KnownHost) -> float:
         return host.in_flight + (
-            0.0 if host.data_centre == place else REMOTE_CALL_PENALTY
+            0.0 if host.data_centre == data_centre else REMOTE_CALL_PENALTY
         )
 
     # Each entry knows only its own calls, and most have none open: without shuffling,
--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -203,12 +203,16 @@
         return INITIAL_PREFILL_RATE if engine is None else engine.rate
 
     def place(
-        self, request: OpenRequest, hosts: Sequence[KnownHost], place: str, now: float
+        self,
+        request: OpenRequest,
+        hosts: Sequence[KnownHost],
+        data_centre: str,
+        now: float,
     ) -> Placed | Declined:
         """Choose a host and a stage for a request."""
         untried = [host for host in hosts if host.host not in request.tried]
         if request.work.kind == CALL:
-            return place_call(untried, place, self._random)
+            return place_call(untried, data_centre, self._random)
         engines = [
             self._engines[host.host] for host in untried if host.host in self._engines
         ]
@@ -222,17 +226,17 @@
         if needs_answer:
             stage = DECODE if request.next_stage == DECODE else WHOLE
             source = self._engines.get(request.kv.host) if request.kv else None
-            kv_place = source.data_centre if source is not None else place
-            context = self._make_context(place, decode, now)
-            return Placed(stage, choose_decode(decode, kv_place, context).host)
-        context = self._make_context(place, prefill, now)
+            kv_data_centre = source.data_centre if source is not None else data_centre
+            context = self._make_context(data_centre, decode, now)
+            return Placed(stage, choose_decode(decode, kv_data_centre, context).host)
+        context = self._make_context(data_centre, prefill, now)
         return place_prompt(request, prefill, decode, context, outage, now)
 
     def _make_context(
-        self, place: str, engines: Sequence[EngineState], now: float
+        self, data_centre: str, engines: Sequence[EngineState], now: float
     ) -> PlacementContext:
         sample_size = self.unseen_requests.count_candidates(len(engines), now)
-        return PlacementContext(place, sample_size, self._random)
+        return PlacementContext(data_centre, sample_size, self._random)
 
     def _estimate_outage(self, upstream: str, has_decode: bool, now: float) -> float:
         """Return the seconds until a decode engine is expected; 0 if there is one."""
--- a/radishtally/serving/placement.py
+++ b/radishtally/serving/placement.py
@@ -31,9 +31,13 @@
     """Choose hosts and track the work offered to them."""
 
     def place(
-        self, request: OpenRequest, hosts: Sequence[KnownHost], place: str, now: float
+        self,
+        request: OpenRequest,
+        hosts: Sequence[KnownHost],
+        data_centre: str,
+        now: float,
     ) -> Placed | Declined:
-        """Choose among usable hosts, for a dispatcher in the given place."""
+        """Choose among usable hosts, for a dispatcher in this data centre."""
 
     def find_role(self, host: str) -> str:
         """Return a host's role; only hosts of the same role can replace it."""
@@ -59,20 +63,24 @@
 class RankedPlacement:
     """Choose by the load that agents report."""
 
-    def __init__(self, choice: RoutingPolicy = POLICIES["rendezvous"]) -> None:
-        self.choice = choice
+    def __init__(self, policy: RoutingPolicy = POLICIES["rendezvous"]) -> None:
+        self.policy = policy
 
     def place(
-        self, request: OpenRequest, hosts: Sequence[KnownHost], place: str, now: float
+        self,
+        request: OpenRequest,
+        hosts: Sequence[KnownHost],
+        data_centre: str,
+        now: float,
     ) -> Placed | Declined:
-        """Choose among usable hosts, for a dispatcher in the given place."""
-        wanted = _to_wanted(request, place, now)
+        """Choose among usable hosts, for a dispatcher in this data centre."""
+        spec = _to_work_spec(request, data_centre, now)
         stage = request.next_stage
         candidates = [host.to_candidate(now) for host in hosts]
         if stage == WHOLE and request.work.kind != CALL and not request.received:
-            stage = PREFILL if needs_split(candidates, wanted) else WHOLE
-        wanted = wanted._replace(stage=stage)
-        host = self.choice(wanted, candidates, request.tried)
+            stage = PREFILL if needs_split(candidates, spec) else WHOLE
+        spec = spec._replace(stage=stage)
+        host = self.policy(spec, candidates, request.tried)
         return Declined(None) if host is None else Placed(stage, host)
 
     def find_role(self, host: str) -> str:
@@ -98,7 +106,7 @@
         """Do nothing: KnownHost counts the work in flight."""
 
 
-def _to_wanted(request: OpenRequest, place: str, now: float) -> WorkSpec:
+def _to_work_spec(request: OpenRequest, data_centre: str, now: float) -> WorkSpec:
     work = request.work
     return WorkSpec(
         request.next_stage,
@@ -108,5 +116,5 @@
         work.prompt_tokens,
         work.max_tokens,
         request.deadline - now,
-        place,
+        data_centre,
     )
