--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -310,7 +310,7 @@
             engine.upstream, answers, request.tokens - events, now - at
         )
 
-    def finish(self, request: OpenRequest, host: KnownHost) -> None:
+    def record_completion(self, request: OpenRequest, host: KnownHost) -> None:
         """Record that the request's answer is complete."""
         if host.host not in self._engines:
             return
@@ -323,7 +323,7 @@
             self._clock(),
         )
 
-    def end(self, request: OpenRequest, host: KnownHost) -> None:
+    def end_attempt(self, request: OpenRequest, host: KnownHost) -> None:
         """Record that the request's current attempt at a host has ended."""
         engine = self._engines.get(host.host)
         if engine is None:
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -184,7 +184,7 @@
         core.suspects.clear(request.terms.content)
     if host in core.hosts:
         core.hosts[host].breaker.record_success()
-        core.placement.finish(request, core.hosts[host])
+        core.placement.record_completion(request, core.hosts[host])
     core.detach_host(request)
     core.requests.pop(message.request)
     yield from conclude(request, message, body)
--- a/radishtally/serving/placement.py
+++ b/radishtally/serving/placement.py
@@ -53,10 +53,10 @@
     ) -> None:
         """Record that a part of the answer has arrived from a host."""
 
-    def finish(self, request: OpenRequest, host: KnownHost) -> None:
+    def record_completion(self, request: OpenRequest, host: KnownHost) -> None:
         """Record that the request's answer is complete."""
 
-    def end(self, request: OpenRequest, host: KnownHost) -> None:
+    def end_attempt(self, request: OpenRequest, host: KnownHost) -> None:
         """Record that the request's current attempt at a host is over."""
 
 
@@ -99,10 +99,10 @@
     ) -> None:
         """Do nothing: progress does not affect the ranking."""
 
-    def finish(self, request: OpenRequest, host: KnownHost) -> None:
+    def record_completion(self, request: OpenRequest, host: KnownHost) -> None:
         """Do nothing: a complete answer does not affect the ranking."""
 
-    def end(self, request: OpenRequest, host: KnownHost) -> None:
+    def end_attempt(self, request: OpenRequest, host: KnownHost) -> None:
         """Do nothing: KnownHost counts the work in flight."""
 
 
--- a/radishtally/serving/state.py
+++ b/radishtally/serving/state.py
@@ -141,7 +141,7 @@
         if known is None:
             return
         known.in_flight -= 1
-        self.placement.end(request, known)
+        self.placement.end_attempt(request, known)
         if known.gone and not known.in_flight:
             self._remove_host(known)
 
--- a/tests/engines/test_placement.py
+++ b/tests/engines/test_placement.py
@@ -261,7 +261,7 @@
     assert (engine.count_pending_tokens(), engine.count_answers()) == (600, 1)
     world.placement.record_progress(request, known, 0.1)
     assert (engine.count_pending_tokens(), engine.count_answers()) == (0, 1)
-    world.placement.end(request, known)
+    world.placement.end_attempt(request, known)
     assert (engine.count_pending_tokens(), engine.count_answers()) == (0, 0)
 
 
@@ -308,5 +308,5 @@
     desk = KnownHost("desk-1", "howrah", "desk", live=True)
     engine = next(host for host in world.hosts if host.host == "d0")
     for host in (desk, engine):
-        world.placement.finish(request, host)
+        world.placement.record_completion(request, host)
     assert recorder.answered == ["llm"]
