--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -202,13 +202,13 @@
         self.replies.put(command)
 
     @_execute.register
-    def _(self, command: events.Finish) -> None:
+    def _(self, command: events.SendFullAnswer) -> None:
         self.steps.record(command.request, "answered whole")
         self.process.metrics.incr("answered")
         self.replies.put(command)
 
     @_execute.register
-    def _(self, command: events.End) -> None:
+    def _(self, command: events.EndStream) -> None:
         self.steps.record(command.request, "answered whole")
         self.process.metrics.incr("answered")
         self.replies.put(command)
--- a/radishtally/entry/http.py
+++ b/radishtally/entry/http.py
@@ -35,7 +35,13 @@
 )
 from radishtally.links.messages import CHAT, COMPLETION, Finished, Work
 from radishtally.outcome import Error, Ran, Refusal, Result
-from radishtally.serving.events import AbortAnswer, Deliver, Finish, FullReply, Refuse
+from radishtally.serving.events import (
+    AbortAnswer,
+    Deliver,
+    FullReply,
+    Refuse,
+    SendFullAnswer,
+)
 from radishtally.serving.replies import Reply
 
 MAX_REQUEST_BYTES: Final = 16 * 1024 * 1024
@@ -332,7 +338,7 @@
     part = await parts.get()
     if isinstance(part, Refuse):
         return respond_refusal(part.refusal)
-    if isinstance(part, Finish) and part.end.status != 200:
+    if isinstance(part, SendFullAnswer) and part.end.status != 200:
         return respond_engine_refusal(part.end)
     headers = {"Cache-Control": "no-cache", "X-Request-Id": answer.request}
     response = await request.respond(
--- a/radishtally/gateway/commands.py
+++ b/radishtally/gateway/commands.py
@@ -67,14 +67,14 @@
 
 
 @execute_command.register
-def _(command: events.Finish, targets: CommandTargets) -> None:
+def _(command: events.SendFullAnswer, targets: CommandTargets) -> None:
     is_good = command.end.status < MIN_FAILURE_STATUS
     targets.metrics.record_outcome(command.request, ANSWERED if is_good else FAILED)
     targets.replies.put(command)
 
 
 @execute_command.register
-def _(command: events.End, targets: CommandTargets) -> None:
+def _(command: events.EndStream, targets: CommandTargets) -> None:
     targets.metrics.record_outcome(command.request, ANSWERED)
     targets.replies.put(command)
 
--- a/radishtally/gateway/http_frontend.py
+++ b/radishtally/gateway/http_frontend.py
@@ -29,7 +29,7 @@
 from radishtally.gateway.requests import RoutedRequest
 from radishtally.outcome import Error, Ok, Ran, Refusal, Result
 from radishtally.routes.config import CallerLimits
-from radishtally.serving.events import Begin, Deliver, End, Finish, Refuse
+from radishtally.serving.events import Begin, Deliver, EndStream, Refuse, SendFullAnswer
 from radishtally.serving.replies import Reply
 
 LIBRARY_KEEPALIVE_SECONDS: Final = 86_400.0
@@ -195,7 +195,7 @@
             response = self._respond_refusal(part.refusal)
             delivery.ending, delivery.status = Ending.REFUSED, response.status
             return response
-        if isinstance(part, Finish):
+        if isinstance(part, SendFullAnswer):
             delivery.ending, delivery.status = Ending.WHOLE, part.end.status
             delivery.sent = len(part.body)
             return self._respond_whole(part)
@@ -223,7 +223,7 @@
                 delivery.sent += len(part.data)
                 delivery.last_event = part.tokens
                 continue
-            if isinstance(part, End):
+            if isinstance(part, EndStream):
                 await response.write_eof()
                 delivery.ending = Ending.STREAM_END
                 return response
@@ -234,7 +234,7 @@
                 request.transport.abort()
             return response
 
-    def _respond_whole(self, part: Finish) -> web.Response:
+    def _respond_whole(self, part: SendFullAnswer) -> web.Response:
         response = web.Response(status=part.end.status, body=part.body)
         _copy_headers(part.end.headers, response)
         self._end_keep_alive(response)
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -36,9 +36,9 @@
     Command,
     Deliver,
     DropKv,
-    Finish,
     RecordStep,
     Send,
+    SendFullAnswer,
     Settle,
 )
 from radishtally.serving.hosts import KnownHost
@@ -176,7 +176,7 @@
         return
     body = bytes(request.received)
     if message.status >= const.MIN_FAILURE_STATUS and request.work.idempotent:
-        request.failure = Finish(message.request, message, body)
+        request.failure = SendFullAnswer(message.request, message, body)
         reason = f"status {message.status}"
         yield from handle_loss(request, Ran.UNKNOWN, reason, core, now)
         return
--- a/radishtally/serving/conclusions.py
+++ b/radishtally/serving/conclusions.py
@@ -4,7 +4,13 @@
 
 from radishtally.links.messages import Finished
 from radishtally.outcome import Refusal
-from radishtally.serving.events import AbortAnswer, Command, End, Finish, Refuse
+from radishtally.serving.events import (
+    AbortAnswer,
+    Command,
+    EndStream,
+    Refuse,
+    SendFullAnswer,
+)
 from radishtally.serving.requests import OpenRequest
 
 
@@ -13,9 +19,9 @@
     if request.answered:
         return
     if request.has_part:
-        yield End(request.work.request, end)
+        yield EndStream(request.work.request, end)
     else:
-        yield Finish(request.work.request, end, body)
+        yield SendFullAnswer(request.work.request, end, body)
 
 
 def give_up(request: OpenRequest, refusal: Refusal) -> Iterator[Command]:
--- a/radishtally/serving/events.py
+++ b/radishtally/serving/events.py
@@ -136,7 +136,7 @@
     """Tokens of the answer so far; for an event stream the id of the last event."""
 
 
-class End(NamedTuple):
+class EndStream(NamedTuple):
     """Command: finish a streamed answer, which is complete."""
 
     request: str
@@ -150,7 +150,7 @@
     refusal: Refusal
 
 
-class Finish(NamedTuple):
+class SendFullAnswer(NamedTuple):
     """Command: send the complete answer to a caller that has received nothing yet."""
 
     request: str
@@ -172,10 +172,10 @@
     text: str
 
 
-StreamReply = Begin | Deliver | End | AbortAnswer
+StreamReply = Begin | Deliver | EndStream | AbortAnswer
 """Replies that make up a streamed answer."""
 
-FullReply = Finish | Refuse
+FullReply = SendFullAnswer | Refuse
 """Replies that are the only one to their caller."""
 
 Command = (
--- a/radishtally/serving/requests.py
+++ b/radishtally/serving/requests.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from radishtally.links.messages import CALL, WHOLE, Begun, KvRef, Offer, Work
-from radishtally.serving.events import Finish
+from radishtally.serving.events import SendFullAnswer
 from radishtally.serving.terms import DEFAULT_TERMS, Terms
 
 CLAIMING: Final = "claiming"
@@ -70,7 +70,7 @@
     """Head of the current attempt's answer, if the answer is streamed."""
     has_part: bool = False
     """Whether the caller has received a part of the answer."""
-    failure: Finish | None = None
+    failure: SendFullAnswer | None = None
     """Most recent answer in which an upstream reported a failure."""
     answered: bool = False
     """Whether the caller has its final answer or has disconnected; only the outcome is
--- a/tests/entry/common.py
+++ b/tests/entry/common.py
@@ -101,8 +101,8 @@
     def list_refusals(self) -> list[events.Refuse | events.AbortAnswer]:
         return self.list_commands((events.Refuse, events.AbortAnswer))
 
-    def list_ends(self) -> list[events.Finish | events.End]:
-        return self.list_commands((events.Finish, events.End))
+    def list_ends(self) -> list[events.SendFullAnswer | events.EndStream]:
+        return self.list_commands((events.SendFullAnswer, events.EndStream))
 
     @property
     def refusal(self) -> Refusal:
@@ -115,7 +115,7 @@
         """Give the one whole answer as its caller has it."""
         (end,) = self.list_ends()
         delivered = b"".join(part.data for part in self.list_commands(events.Deliver))
-        if isinstance(end, events.End):
+        if isinstance(end, events.EndStream):
             return delivered
         assert not delivered
         return end.body
--- a/tests/entry/http_backend.py
+++ b/tests/entry/http_backend.py
@@ -16,7 +16,13 @@
 from radishtally.entry.http import make_app
 from radishtally.links.messages import Finished, Work
 from radishtally.outcome import Refusal
-from radishtally.serving.events import AbortAnswer, Deliver, End, Finish, Refuse
+from radishtally.serving.events import (
+    AbortAnswer,
+    Deliver,
+    EndStream,
+    Refuse,
+    SendFullAnswer,
+)
 from radishtally.serving.replies import Reply
 from tests.common import START_SECONDS
 
@@ -65,10 +71,14 @@
             queue.put_nowait(self._finish(work.request, has_part))
         return queue
 
-    def _finish(self, request: str, has_part: bool) -> Finish | End:
+    def _finish(self, request: str, has_part: bool) -> SendFullAnswer | EndStream:
         length = len(self.whole)
         end = Finished(request, 1, length, 0, self.status, "stop", 3, 4)
-        return End(request, end) if has_part else Finish(request, end, self.whole)
+        return (
+            EndStream(request, end)
+            if has_part
+            else SendFullAnswer(request, end, self.whole)
+        )
 
     def close(self, request: str, done: bool) -> None:
         self.closed.append(done)
--- a/tests/entry/test_retries.py
+++ b/tests/entry/test_retries.py
@@ -17,7 +17,7 @@
 )
 from radishtally.outcome import Ran
 from radishtally.serving import const
-from radishtally.serving.events import Deliver, Finish, LinkDown
+from radishtally.serving.events import Deliver, LinkDown, SendFullAnswer
 from tests.entry.common import (
     POOL,
     Driver,
@@ -197,7 +197,7 @@
     host, _ = driver.find_offer()
     end = Finished("r", 1, 0, 0xEF46DB3751D8E999, 400, "prompt too long", 0, 0)
     driver.receive(host, end)
-    (finish,) = driver.list_commands(Finish)
+    (finish,) = driver.list_commands(SendFullAnswer)
     assert (finish.end.status, finish.end.finish_reason) == (400, "prompt too long")
 
 
--- a/tests/entry/world.py
+++ b/tests/entry/world.py
@@ -25,28 +25,28 @@
     entry: str
     streamed: bool
     delivered: bytes = b""
-    end: entry_events.Finish | entry_events.End | Refusal | None = None
+    end: entry_events.SendFullAnswer | entry_events.EndStream | Refusal | None = None
     gone: bool = False
 
     @property
     def whole(self) -> bytes:
         """Give the whole answer; empty if there is none."""
-        if isinstance(self.end, entry_events.Finish):
+        if isinstance(self.end, entry_events.SendFullAnswer):
             return self.end.body
-        return self.delivered if isinstance(self.end, entry_events.End) else b""
+        return self.delivered if isinstance(self.end, entry_events.EndStream) else b""
 
     def deliver(self, data: bytes, ledger: Ledger) -> None:
         assert self.end is None and self.streamed
         self.delivered += data
         ledger.check_part(self.work, self.delivered)
 
-    def finish(self, end: entry_events.Finish, ledger: Ledger) -> None:
+    def finish(self, end: entry_events.SendFullAnswer, ledger: Ledger) -> None:
         assert self.end is None, "two final words"
         self.end = end
         ledger.check_whole(self.work, end.body)
         assert not self.streamed or self.delivered == end.body
 
-    def finish_stream(self, end: entry_events.End, ledger: Ledger) -> None:
+    def finish_stream(self, end: entry_events.EndStream, ledger: Ledger) -> None:
         assert self.end is None, "two final words"
         assert self.streamed and self.delivered
         self.end = end
@@ -193,9 +193,9 @@
                 self.claims.finish(work, body)
             case entry_events.Deliver(request, data, _):
                 self.callers[request].deliver(data, self.ledger)
-            case entry_events.Finish(request, _, _):
+            case entry_events.SendFullAnswer(request, _, _):
                 self.callers[request].finish(command, self.ledger)
-            case entry_events.End(request, _):
+            case entry_events.EndStream(request, _):
                 self.callers[request].finish_stream(command, self.ledger)
             case entry_events.AbortAnswer(request, refusal):
                 assert self.callers[request].delivered
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_endings.py
@@ -9,7 +9,7 @@
 from radishtally.gateway.endings import Delivery, Ending
 from radishtally.gateway.requests import NOT_READY
 from radishtally.links.messages import Finished
-from radishtally.serving.events import Finish, Refuse, Shutdown
+from radishtally.serving.events import Refuse, SendFullAnswer, Shutdown
 from standins.spoiling import RunFault
 from standins.staged import EVENTS, StagedEngine, make_event
 from tests.common import run
@@ -111,7 +111,7 @@
                     env.gateway.handle(Shutdown())
                 elif how == "finish":
                     end = Finished("r1", 1, 0, 0, 500, "", 0, 0)
-                    env.gateway.replies.put(Finish("r1", end, b""))
+                    env.gateway.replies.put(SendFullAnswer("r1", end, b""))
                 else:
                     env.gateway.replies.put(Refuse("r1", NOT_READY))
                 with pytest.raises(aiohttp.ClientPayloadError):
--- a/tests/serving/test_stream_delivery.py
+++ b/tests/serving/test_stream_delivery.py
@@ -26,9 +26,9 @@
 REPLIES = (
     events.Begin,
     events.Deliver,
-    events.End,
+    events.EndStream,
     events.AbortAnswer,
-    events.Finish,
+    events.SendFullAnswer,
     events.Refuse,
 )
 
@@ -149,7 +149,7 @@
         if not replies:
             return
         first, *rest = replies
-        if isinstance(first, events.Refuse | events.Finish):
+        if isinstance(first, events.Refuse | events.SendFullAnswer):
             assert not rest
             is_refused = isinstance(first, events.Refuse)
             assert is_refused or (first.end.status, first.body) in self.failures
@@ -160,13 +160,18 @@
         received = b"".join(part.data for part in rest if part not in ends)
         assert received and WHOLE.startswith(received)
         if ends:
-            is_whole = isinstance(ends[0], events.End)
+            is_whole = isinstance(ends[0], events.EndStream)
             assert is_whole or isinstance(ends[0], events.AbortAnswer)
             assert not is_whole or received == WHOLE
 
     @invariant()
     def request_is_closed_by_its_final_reply(self) -> None:
-        ends = (events.Refuse, events.Finish, events.AbortAnswer, events.End)
+        ends = (
+            events.Refuse,
+            events.SendFullAnswer,
+            events.AbortAnswer,
+            events.EndStream,
+        )
         assert (self.request is None) == bool(self.driver.list_commands(ends))
 
 
