--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -171,7 +171,7 @@
         self, number: int, request: OpenRequest, prefill_host: KnownHost
     ) -> None:
         request.kv = KvRef(prefill_host.host, "", "h", 1)
-        self.gateways[number].end(request, prefill_host)
+        self.gateways[number].end_attempt(request, prefill_host)
         request.next_stage = DECODE
         host = self.place(number, request)
         self.answers[host.host] += 1
@@ -180,7 +180,7 @@
 
     def finish(self, number: int, request: OpenRequest, host: KnownHost) -> None:
         self.answers[host.host] -= 1
-        self.gateways[number].end(request, host)
+        self.gateways[number].end_attempt(request, host)
 
     def send_reports(self) -> None:
         """Send each gateway the open work of the others, with a delay."""
