--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -43,10 +43,10 @@
 )
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.offers import (
-    fail,
     handle_loss,
     offer,
     refuse,
+    refuse_without_retry_after,
     set_phase_end,
 )
 from radishtally.serving.requests import (
@@ -371,7 +371,7 @@
     if message.checksum == request.checksum():
         return True
     text = "the answer's checksum does not match the upstream's"
-    yield from fail(request, 502, const.CODE_CORRUPT, text, core)
+    yield from refuse_without_retry_after(request, 502, const.CODE_CORRUPT, text, core)
     return False
 
 
@@ -385,7 +385,9 @@
         return
     # The request itself is at fault, so another host would answer the same.
     text = f"a host answered status {message.status} instead of resuming the answer"
-    yield from fail(request, 502, const.CODE_REST_REFUSED, text, core)
+    yield from refuse_without_retry_after(
+        request, 502, const.CODE_REST_REFUSED, text, core
+    )
 
 
 def _request_resend(request: OpenRequest, host: str) -> Iterator[Command]:
--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -22,9 +22,9 @@
 )
 from radishtally.serving.offers import (
     answer_unknown,
-    fail,
     handle_loss,
     offer,
+    refuse_without_retry_after,
     set_phase_end,
     withdraw,
 )
@@ -109,7 +109,7 @@
     if request.work.key and (request.host is not None or request.phase == CLAIMING):
         return
     yield from withdraw(request, core)
-    yield from fail(
+    yield from refuse_without_retry_after(
         request, 499, const.CODE_DEADLINE, "the caller has disconnected", core
     )
 
@@ -177,7 +177,9 @@
         if request.answered:
             continue
         yield from withdraw(request, core)
-        yield from fail(request, 503, const.CODE_STOPPING, text, core)
+        yield from refuse_without_retry_after(
+            request, 503, const.CODE_STOPPING, text, core
+        )
 
 
 def _handle_phase_timeout(
@@ -227,4 +229,4 @@
         yield from answer_unknown(request, 504, const.CODE_DEADLINE, text, core, now)
         return
     yield from withdraw(request, core)
-    yield from fail(request, 504, const.CODE_DEADLINE, text, core)
+    yield from refuse_without_retry_after(request, 504, const.CODE_DEADLINE, text, core)
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -35,7 +35,9 @@
     """Offer the request to the next host; if there is none, hold or refuse it."""
     if request.answered:
         # The caller no longer waits: do not start an attempt.
-        yield from fail(request, 499, const.CODE_DEADLINE, "no caller waits", core)
+        yield from refuse_without_retry_after(
+            request, 499, const.CODE_DEADLINE, "no caller waits", core
+        )
         return
     denied = core.suspects.find_denial_seconds(request.terms.content, now)
     if denied:
@@ -107,11 +109,13 @@
     request.lost_attempts += 1
     if not request.work.idempotent:
         text = "the call may have run; its outcome is not known"
-        yield from fail(request, 502, const.CODE_OUTCOME_UNKNOWN, text, core)
+        yield from refuse_without_retry_after(
+            request, 502, const.CODE_OUTCOME_UNKNOWN, text, core
+        )
         return
     if request.lost_attempts >= request.terms.max_attempts or _is_unresumable(request):
         text = f"the upstream failed ({reason})"
-        yield from fail(request, 502, const.CODE_LOST, text, core)
+        yield from refuse_without_retry_after(request, 502, const.CODE_LOST, text, core)
         return
     _prepare_retry(request)
     yield from offer(request, core, now)
@@ -166,7 +170,7 @@
     core.schedule(request)
 
 
-def fail(
+def refuse_without_retry_after(
     request: OpenRequest, status: int, code: str, text: str, core: DispatchCore
 ) -> Iterator[Command]:
     """Refuse the request because of a failure, without a specific retry delay."""
@@ -304,7 +308,9 @@
         yield from _hold(request, "the retry budget is exhausted", core, now)
         return
     text = "the upstream failed and the retry budget is exhausted"
-    yield from fail(request, 503, const.CODE_RETRY_BUDGET, text, core)
+    yield from refuse_without_retry_after(
+        request, 503, const.CODE_RETRY_BUDGET, text, core
+    )
 
 
 def _hold(
