--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -30,7 +30,7 @@
 )
 from radishtally.outcome import Ran
 from radishtally.serving import const
-from radishtally.serving.conclusions import conclude
+from radishtally.serving.conclusions import reply_with_answer
 from radishtally.serving.events import (
     Begin,
     Command,
@@ -187,7 +187,7 @@
         core.placement.record_completion(request, core.hosts[host])
     core.detach_host(request)
     core.requests.pop(message.request)
-    yield from conclude(request, message, body)
+    yield from reply_with_answer(request, message, body)
     if request.is_claimed:
         yield Settle(request.work, message.status, message.headers, body)
 
--- a/radishtally/serving/conclusions.py
+++ b/radishtally/serving/conclusions.py
@@ -14,7 +14,9 @@
 from radishtally.serving.requests import OpenRequest
 
 
-def conclude(request: OpenRequest, end: Finished, body: bytes) -> Iterator[Command]:
+def reply_with_answer(
+    request: OpenRequest, end: Finished, body: bytes
+) -> Iterator[Command]:
     """Reply with a complete answer."""
     if request.answered:
         return
@@ -24,7 +26,7 @@
         yield SendFullAnswer(request.work.request, end, body)
 
 
-def give_up(request: OpenRequest, refusal: Refusal) -> Iterator[Command]:
+def reply_with_refusal(request: OpenRequest, refusal: Refusal) -> Iterator[Command]:
     """Reply that the request has failed or was refused."""
     if request.answered:
         return
--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -13,7 +13,7 @@
 from radishtally.outcome import Ran
 from radishtally.serving import const, events
 from radishtally.serving.attempts import receive
-from radishtally.serving.conclusions import conclude, give_up
+from radishtally.serving.conclusions import reply_with_answer, reply_with_refusal
 from radishtally.serving.events import (
     Command,
     Event,
@@ -88,14 +88,14 @@
     end = Finished(
         event.request, 0, len(event.body), 0, event.status, "", 0, 0, event.headers
     )
-    yield from conclude(request, end, event.body)
+    yield from reply_with_answer(request, end, event.body)
 
 
 @_handle.register
 def _(event: events.Denied, core: DispatchCore, now: float) -> Iterator[Command]:
     request = core.requests.pop(event.request, None)
     if request is not None:
-        yield from give_up(request, event.refusal)
+        yield from reply_with_refusal(request, event.refusal)
 
 
 @_handle.register
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -16,7 +16,7 @@
 )
 from radishtally.outcome import Ran, Refusal
 from radishtally.serving import const
-from radishtally.serving.conclusions import give_up
+from radishtally.serving.conclusions import reply_with_refusal
 from radishtally.serving.events import Command, DropKv, RecordStep, Release, Send
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.placement import Declined, Placed
@@ -164,7 +164,7 @@
     A call that is not idempotent is not cancelled. Its outcome is stored for repeats of
     the key when it arrives, or the claim is released if the call did not run.
     """
-    yield from give_up(request, Refusal(status, code, text, Ran.UNKNOWN))
+    yield from reply_with_refusal(request, Refusal(status, code, text, Ran.UNKNOWN))
     request.answered = True
     request.deadline = now + const.OUTCOME_WAIT_SECONDS
     core.schedule(request)
@@ -198,7 +198,9 @@
     ran = Ran.UNKNOWN if request.maybe_ran else Ran.NO
     if status in (429, 503):
         retry_after = _clamp_retry_after(retry_after)
-    yield from give_up(request, Refusal(status, code, text, ran, retry_after))
+    yield from reply_with_refusal(
+        request, Refusal(status, code, text, ran, retry_after)
+    )
     # A claim that is still pending is released when it is granted.
     if request.is_claimed and ran == Ran.NO and request.phase != CLAIMING:
         yield Release(request.work)
