--- a/radishtally/engines/choice.py
+++ b/radishtally/engines/choice.py
@@ -23,7 +23,8 @@
 RECOMPUTE_TOKEN_SECONDS: Final = 40e-6
 """Penalty for each token of a shared part that is prefilled again, in addition to the
 time it takes: the work is done twice, and the part then occupies two engines' caches.
-Applied to late prompts too, it saved a quarter of the repeated prefill."""
+The penalty also counts for prompts that are already late; without it there, a quarter
+more tokens are prefilled again."""
 ON_TIME_SHARE: Final = 0.7
 """Share of the latency objective within which a prediction counts as safely on time, so
 that cached parts decide and not the earliest start."""
@@ -37,10 +38,10 @@
 batch, an answer waits or another one is preempted."""
 MAX_WHOLE_FILL: Final = 3 / 8
 """Share of a batch up to which a decode engine may also prefill a prompt that no
-prefill engine can start in time: with more answers, decode already slows down."""
+prefill engine can serve in time: with more answers, decode already slows down."""
 MAX_WHOLE_PROMPT_TOKENS: Final = 4_000
-"""Prompt tokens that such a decode engine may have to prefill at most: each chunk
-delays all of its answers, whose events must not pause for long."""
+"""Maximum tokens that may await prefill at such a decode engine, including the new
+prompt: each chunk delays all of its answers, whose events must not pause for long."""
 REMOTE_CALL_PENALTY: Final = 0.5
 """Penalty, in open calls, of a service host in another data centre: it breaks ties."""
 CALLER_TIMEOUT_FACTOR: Final = 4.0
@@ -76,10 +77,13 @@
     prefill: Sequence[EngineState],
     decode: Sequence[EngineState],
     context: PlacementContext,
-    outage: float,
+    seconds_to_decode: float,
     now: float,
 ) -> Placed | Declined:
-    """Choose an engine for a prompt; outage is the time until an engine can decode."""
+    """Choose an engine for a prompt.
+
+    If no engine can decode at present, seconds_to_decode is the time until one can.
+    """
     terms = request.terms
     objective = request.arrived + terms.objective - now
     on_time_seconds = objective * ON_TIME_SHARE
@@ -94,7 +98,9 @@
     if prediction.seconds > on_time_seconds:
         # A decode engine prefills at half the speed, but without a KV cache transfer.
         # It serves short prompts on time while long ones occupy the prefill engines.
-        whole = _choose_whole(request, decode, context, on_time_seconds)
+        whole = _choose_for_prefill_and_decode(
+            request, decode, context, on_time_seconds
+        )
         if whole is not None:
             return whole
     if prediction.seconds > objective and terms.priority < LATE_PRIORITY_OFFSET:
@@ -103,8 +109,10 @@
         request.terms = terms._replace(priority=terms.priority + LATE_PRIORITY_OFFSET)
         host, prediction = choose()
     why = prediction.describe(request.terms.priority)
-    if outage > caller_timeout:
-        return Declined(outage, f"no decode engine for {outage:.1f} s")
+    if seconds_to_decode > caller_timeout:
+        return Declined(
+            seconds_to_decode, f"no decode engine for {seconds_to_decode:.1f} s"
+        )
     if prediction.seconds > caller_timeout:
         wait = max(0.0, prediction.seconds - terms.objective)
         return Declined(wait, f"too late even at {host}: {why}")
@@ -177,13 +185,16 @@
         )
 
 
-def _choose_whole(
+def _choose_for_prefill_and_decode(
     request: OpenRequest,
     engines: Sequence[EngineState],
     context: PlacementContext,
     on_time_seconds: float,
 ) -> Placed | None:
-    """Choose a decode engine to also prefill the prompt, if one has room."""
+    """Choose a decode engine to also prefill the prompt, if one has room.
+
+    The stage WHOLE means prefill and decode at the same engine.
+    """
     candidates = []
     for engine in context.random.sample(engines, len(engines)):
         prediction = predict_whole(engine, request)
--- a/radishtally/engines/pace.py
+++ b/radishtally/engines/pace.py
@@ -2,21 +2,22 @@
 
 from typing import Final, NamedTuple
 
-MEMORY_EVENTS: Final = 2_000.0
-"""Answer events over which the estimate decays: some seconds of one gateway's traffic
-at a moderate load, long enough for the number of answers at an engine to vary."""
+DECAY_EVENTS: Final = 2_000.0
+"""Number of answer events over which the weight of older ones decays: some seconds of
+one gateway's traffic at a moderate load, long enough for the batch sizes to vary."""
 FULL_BATCH_SLOWDOWN: Final = 3.0
 """Ratio of the event interval in a full batch to that of a single answer, assumed until
 several batch sizes have been observed. Two models showed ratios of 2.1 and 4.2; if the
 ratio is too low, engines are moved away from decode before its real need is known."""
-PRIOR_WEIGHT: Final = 5_000.0
-"""Weight of that assumption: as much as 200 events at batch sizes that differ by 5."""
+PRIOR_SQUARED_DEVIATION: Final = 5_000.0
+"""Weight of the assumed slowdown in the fit, as a sum of squared deviations of the batch
+size: that of 200 events whose batch sizes are 5 away from the mean (200 * 5 ** 2)."""
 MIN_EVENTS: Final = 50.0
 """Events needed before the fit is used."""
 MAX_INTERVAL_SECONDS: Final = 2.0
 """Longer pauses are stalls, of an engine or of this process, and are ignored."""
-MEMORY_ANSWERS: Final = 200.0
-"""Complete answers over which the required speed decays."""
+DECAY_ANSWERS: Final = 200.0
+"""Number of complete answers over which the weight of older ones decays."""
 MIN_ANSWERS: Final = 20.0
 """Complete answers needed before the required speed is used: their lengths differ by a
 factor of 100."""
@@ -64,7 +65,7 @@
         if events < 1 or seconds >= MAX_INTERVAL_SECONDS:
             return
         interval = seconds / events
-        decay = 1.0 - min(1.0, events / MEMORY_EVENTS)
+        decay = 1.0 - min(1.0, events / DECAY_EVENTS)
         self._count = self._count * decay + events
         self._squares *= decay
         self._codeviation *= decay
@@ -81,8 +82,8 @@
         # The slope that the assumed slowdown implies for the observed mean.
         slope = (FULL_BATCH_SLOWDOWN - 1.0) / slots
         assumed = self._seconds * slope / (1.0 + slope * self._answers)
-        weighted = self._codeviation + PRIOR_WEIGHT * assumed
-        per_answer = max(0.0, weighted / (self._squares + PRIOR_WEIGHT))
+        weighted = self._codeviation + PRIOR_SQUARED_DEVIATION * assumed
+        per_answer = max(0.0, weighted / (self._squares + PRIOR_SQUARED_DEVIATION))
         # The constant part is at least one slot's share of the observed mean.
         base = max(self._seconds - per_answer * self._answers, self._seconds / slots)
         return Pace(base, per_answer)
@@ -101,7 +102,7 @@
         """Record a complete answer's events and the time available for them."""
         if events < 1:
             return
-        decay = 1.0 - 1.0 / MEMORY_ANSWERS
+        decay = 1.0 - 1.0 / DECAY_ANSWERS
         self._events = self._events * decay + events
         speed = events / max(seconds, MIN_ANSWER_SECONDS)
         self._speeds = self._speeds * decay + events * speed
--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -43,7 +43,7 @@
 """Engine terms assumed until the configuration specifies them."""
 ROLE_ORDER_SECONDS: Final = 1.0
 """Time until an engine is ordered to decode if none does: two controller ticks."""
-MIN_OUTAGE_SECONDS: Final = 0.5
+MIN_SECONDS_TO_DECODE: Final = 0.5
 """Retry delay if a decode engine should already be available again."""
 
 
@@ -61,12 +61,13 @@
         self.unseen_requests = UnseenRequests()
         self._engines: dict[str, EngineState] = {}
         self._changed: set[str] = set()
-        self._unmatched_shares: dict[str, dict[str, EngineShare]] = {}
-        """Shares of other entries, by engine and entry, for engine starts that are not
-        known here; they are kept because each is reported only once."""
-        self._parts_read: list[PartsRead] = []
+        self._shares_of_unknown_starts: dict[str, dict[str, EngineShare]] = {}
+        """Shares that other entries reported for an engine start that is not known
+        here, by engine and entry. Kept until the start is known, as each share is
+        reported only once."""
+        self._sent_parts: list[PartsRead] = []
         """Parts newly sent to an engine by this entry, to be reported to peers."""
-        self._outage_since: dict[str, float] = {}
+        self._no_decode_since: dict[str, float] = {}
         """Time since when an upstream has had no decode engine."""
         self._queue_orders: dict[str, QueueOrderEstimator] = {}
         """Queue order of each upstream's engines."""
@@ -103,7 +104,9 @@
             self._queue_orders.setdefault(instance.upstream, QueueOrderEstimator()),
             self._estimate_initial_rate(instance.upstream),
         )
-        for peer, share in self._unmatched_shares.pop(instance.host, {}).items():
+        for peer, share in self._shares_of_unknown_starts.pop(
+            instance.host, {}
+        ).items():
             self._record_share(peer, share, self._clock())
 
     def reset_engine(self, host: str) -> None:
@@ -113,13 +116,13 @@
     def forget(self, host: str) -> None:
         """Drop a host that was removed."""
         self._engines.pop(host, None)
-        self._unmatched_shares.pop(host, None)
+        self._shares_of_unknown_starts.pop(host, None)
 
     def forget_peer(self, peer: str) -> None:
         """Drop the open work of an entry that is unreachable."""
         for engine in self._engines.values():
             engine.drop_peer(peer)
-        for shares in self._unmatched_shares.values():
+        for shares in self._shares_of_unknown_starts.values():
             shares.pop(peer, None)
 
     def record_backlog(self, peer: str, backlog: Backlog, now: float) -> None:
@@ -131,15 +134,15 @@
         engine = self._engines.get(share.host)
         if engine is None:
             return
-        unmatched = self._unmatched_shares.setdefault(share.host, {})
+        unknown_starts = self._shares_of_unknown_starts.setdefault(share.host, {})
         if is_same_start(share.start, engine.start_mark):
-            unmatched.pop(peer, None)
+            unknown_starts.pop(peer, None)
             engine.record_peer_share(peer, PeerShare(share.waiting, share.answers), now)
             return
         # One of the two entries does not know yet that the engine has restarted. Work
         # open at its earlier start is lost and must not count as prefilled.
         engine.drop_peer(peer)
-        unmatched[peer] = share
+        unknown_starts[peer] = share
 
     def build_backlog(
         self,
@@ -161,13 +164,13 @@
         ]
         return Backlog(tuple(shares))
 
-    def record_parts(self, read: PartsRead) -> None:
+    def record_parts(self, sent: PartsRead) -> None:
         """Record the parts that another entry has sent to an engine."""
-        engine = self._engines.get(read.host)
-        if engine is None or not is_same_start(read.start, engine.start_mark):
+        engine = self._engines.get(sent.host)
+        if engine is None or not is_same_start(sent.start, engine.start_mark):
             # A missed part is reported once more when it is prefilled again.
             return
-        engine.cache.record_parts(read.parts)
+        engine.cache.record_parts(sent.parts)
 
     def record_cached_parts(self, host: str, cached: Iterable[CachedPart]) -> int:
         """Record the parts that an engine reports as cached; return their number."""
@@ -176,13 +179,13 @@
             return 0
         parts = tuple(map(hash_cached_part, cached))
         engine.cache.record_parts(parts)
-        self._parts_read.append(PartsRead(host, engine.start_mark, parts))
+        self._sent_parts.append(PartsRead(host, engine.start_mark, parts))
         return len(parts)
 
     def pop_parts_read(self) -> list[PartsRead]:
         """Return and clear the parts sent to engines since the last call."""
-        read, self._parts_read = self._parts_read, []
-        return read
+        sent, self._sent_parts = self._sent_parts, []
+        return sent
 
     def list_parts(self) -> list[PartsRead]:
         """List the shared parts that each engine is assumed to have cached."""
@@ -218,19 +221,23 @@
         ]
         prefill = [engine for engine in engines if engine.role == PREFILL]
         decode = [engine for engine in engines if engine.role != PREFILL]
-        outage = self._estimate_outage(request.work.upstream, bool(decode), now)
-        needs_answer = request.next_stage == DECODE or request.kv_lost or not prefill
-        if not decode and needs_answer:
+        seconds_to_decode = self._estimate_seconds_to_decode(
+            request.work.upstream, bool(decode), now
+        )
+        needs_decode_engine = (
+            request.next_stage == DECODE or request.kv_lost or not prefill
+        )
+        if not decode and needs_decode_engine:
             why = f"no decode engine: {len(hosts)} hosts known, {len(untried)} untried"
-            return Declined(outage, why)
-        if needs_answer:
+            return Declined(seconds_to_decode, why)
+        if needs_decode_engine:
             stage = DECODE if request.next_stage == DECODE else WHOLE
             source = self._engines.get(request.kv.host) if request.kv else None
             kv_data_centre = source.data_centre if source is not None else data_centre
             context = self._make_context(data_centre, decode, now)
             return Placed(stage, choose_decode(decode, kv_data_centre, context).host)
         context = self._make_context(data_centre, prefill, now)
-        return place_prompt(request, prefill, decode, context, outage, now)
+        return place_prompt(request, prefill, decode, context, seconds_to_decode, now)
 
     def _make_context(
         self, data_centre: str, engines: Sequence[EngineState], now: float
@@ -238,15 +245,17 @@
         sample_size = self.unseen_requests.count_candidates(len(engines), now)
         return PlacementContext(data_centre, sample_size, self._random)
 
-    def _estimate_outage(self, upstream: str, has_decode: bool, now: float) -> float:
+    def _estimate_seconds_to_decode(
+        self, upstream: str, has_decode: bool, now: float
+    ) -> float:
         """Return the seconds until a decode engine is expected; 0 if there is one."""
         if has_decode:
-            self._outage_since.pop(upstream, None)
+            self._no_decode_since.pop(upstream, None)
             return 0.0
-        since = self._outage_since.setdefault(upstream, now)
+        since = self._no_decode_since.setdefault(upstream, now)
         terms = self._engine_terms.get(upstream, DEFAULT_ENGINE_TERMS)
         available_at = since + ROLE_ORDER_SECONDS + terms.role_seconds
-        return max(available_at - now, MIN_OUTAGE_SECONDS)
+        return max(available_at - now, MIN_SECONDS_TO_DECODE)
 
     def find_role(self, host: str) -> str:
         """Return a host's role; only hosts of the same role can replace it."""
@@ -270,7 +279,7 @@
         tokens = count_uncached(engine, request)
         new = engine.cache.record_prompt(work.model, request.terms.parts)
         if new:
-            self._parts_read.append(
+            self._sent_parts.append(
                 PartsRead(engine.host, engine.start_mark, tuple(new))
             )
         if request.kv is not None:
--- a/radishtally/engines/queue_order.py
+++ b/radishtally/engines/queue_order.py
@@ -2,8 +2,9 @@
 
 from typing import Final, NamedTuple
 
-MEMORY_PROMPTS: Final = 60.0
-"""Prompts, of those whose wait depends on the order, over which the estimate decays."""
+DECAY_PROMPTS: Final = 60.0
+"""Number of prompts over which the weight of older ones decays; only prompts whose wait
+depends on the queue order count."""
 FIFO_PRIOR_WEIGHT: Final = 0.25
 """Weight, in squared seconds, of the initial assumption that engines work in order of
 arrival: that of four prompts with half a second of less urgent work ahead of each."""
@@ -50,6 +51,6 @@
         if fifo_delay <= 0.0:
             return
         delay = min(max(observed - wait.by_priority, 0.0), 2.0 * fifo_delay)
-        decay = 1.0 - 1.0 / MEMORY_PROMPTS
+        decay = 1.0 - 1.0 / DECAY_PROMPTS
         self._delay_products = self._delay_products * decay + delay * fifo_delay
         self._fifo_squares = self._fifo_squares * decay + fifo_delay * fifo_delay
--- a/radishtally/engines/state.py
+++ b/radishtally/engines/state.py
@@ -42,6 +42,7 @@
 
 
 MARK_MASK: Final = 0xFFFF
+"""Low 16 bits of a start time in milliseconds, which make up its start mark."""
 
 
 class PeerShare(NamedTuple):
@@ -80,7 +81,7 @@
     return (started_ms & MARK_MASK) or MARK_MASK
 
 
-def _add_up(shares: Iterable[PeerShare]) -> PeerShare:
+def _sum_shares(shares: Iterable[PeerShare]) -> PeerShare:
     waiting = Counter[int]()
     answers = 0
     for share in shares:
@@ -154,13 +155,17 @@
         self._start_work(now)
         self.prefills[request] = PendingPrefill(tokens, priority, now, wait)
 
-    def end_prefill(self, request: str, now: float, was_read: bool) -> None:
-        """Record that a prompt was prefilled or abandoned."""
+    def end_prefill(self, request: str, now: float, is_timed: bool) -> None:
+        """Record that a prompt was prefilled or abandoned.
+
+        With is_timed, count it in the estimates of prefill rate and queue order. This
+        requires that the engine has handed over the prompt's KV cache.
+        """
         prefill = self.prefills.pop(request, None)
         if prefill is None:
             return
         self.last_progress_at = now
-        if was_read:
+        if is_timed:
             self.finished_tokens += prefill.tokens
             self._update_queue_order(prefill, now)
         self._update_rate(now)
@@ -189,7 +194,7 @@
     def sum_peers(self) -> PeerShare:
         """Return the open work of all other entries."""
         if self.peer_total is None:
-            self.peer_total = _add_up(self.peer_shares.values())
+            self.peer_total = _sum_shares(self.peer_shares.values())
         return self.peer_total
 
     def build_share(self, excluded: Collection[str] | None = None) -> PeerShare:
@@ -198,11 +203,11 @@
         if excluded is None:
             return own
         others = self.sum_peers()
-        total = _add_up((own, others)) if own.waiting else others
+        total = _sum_shares((own, others)) if own.waiting else others
         total = total._replace(answers=others.answers + own.answers)
         shares = (self.peer_shares.get(name) for name in excluded)
         busy = [share for share in shares if share and (share.waiting or share.answers)]
-        return _subtract(total, _add_up(busy)) if busy else total
+        return _subtract(total, _sum_shares(busy)) if busy else total
 
     def _make_own_share(self) -> PeerShare:
         waiting = Counter[int]()
