--- a/radishtally/engines/pace.py
+++ b/radishtally/engines/pace.py
@@ -10,8 +10,8 @@
 several batch sizes have been observed. Two models showed ratios of 2.1 and 4.2; if the
 ratio is too low, engines are moved away from decode before its real need is known."""
 PRIOR_SQUARED_DEVIATION: Final = 5_000.0
-"""Weight of the assumed slowdown in the fit, as a sum of squared deviations of the batch
-size: that of 200 events whose batch sizes are 5 away from the mean (200 * 5 ** 2)."""
+"""Weight of the assumed slowdown in the fit, as a sum of squared deviations of batch
+sizes: that of 200 events whose batch sizes are 5 away from the mean (200 * 5 ** 2)."""
 MIN_EVENTS: Final = 50.0
 """Events needed before the fit is used."""
 MAX_INTERVAL_SECONDS: Final = 2.0
