--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -182,7 +182,7 @@
         self._sent_parts.append(PartsRead(host, engine.start_mark, parts))
         return len(parts)
 
-    def pop_parts_read(self) -> list[PartsRead]:
+    def pop_sent_parts(self) -> list[PartsRead]:
         """Return and clear the parts sent to engines since the last call."""
         sent, self._sent_parts = self._sent_parts, []
         return sent
--- a/radishtally/gateway/loads.py
+++ b/radishtally/gateway/loads.py
@@ -263,7 +263,7 @@
     def _send_parts(self) -> None:
         """Send the parts that engines were newly given, not those they still hold."""
         outgoing = [
-            (self._own_name, parts) for parts in self._placement.pop_parts_read()
+            (self._own_name, parts) for parts in self._placement.pop_sent_parts()
         ]
         outgoing += self._parts_to_relay
         self._parts_to_relay = []
--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -184,7 +184,7 @@
 
     def send_reports(self) -> None:
         """Send each gateway the open work of the others, with a delay."""
-        read = [gateway.pop_parts_read() for gateway in self.gateways]
+        read = [gateway.pop_sent_parts() for gateway in self.gateways]
         for number, backlog in enumerate(self.list_backlogs()):
             parts = [items for n, items in enumerate(read) if n != number]
             parts = [item for items in parts for item in items]
--- a/tests/gateway/test_cache_discovery.py
+++ b/tests/gateway/test_cache_discovery.py
@@ -58,7 +58,7 @@
         placement = make_placement(instances)
         discovery = CacheDiscovery(name, engines, placement, lambda: instances)
         run(discovery.run(NAMES))
-        parts_read = placement.pop_parts_read()
+        parts_read = placement.pop_sent_parts()
         assert {parts.host for parts in parts_read} <= set(engines.queried)
         # Both the querying gateway and its peers know the parts then.
         other = make_placement(instances)
@@ -76,7 +76,7 @@
     engines.silent = {"e-0"}
     placement = make_placement(instances)
     run(CacheDiscovery("g-0", engines, placement, lambda: instances).run(["g-0"]))
-    assert placement.pop_parts_read() == []
+    assert placement.pop_sent_parts() == []
 
 
 def test_engines_are_queried_only_by_a_gateway_whose_row_existed() -> None:
