--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -170,7 +170,7 @@
         return
     if request.has_part and message.status != const.OK:
         yield _ack(message, host)
-        yield from _handle_rest_refused(message, request, core, now)
+        yield from _handle_failed_continuation(message, request, core, now)
         return
     if not (yield from _confirm_end(message, request, host, core)):
         return
@@ -276,7 +276,7 @@
 def _record_host_end(
     request: OpenRequest, host: str, core: DispatchCore, now: float
 ) -> Iterator[Command]:
-    """Record that a host terminated under a request that it may have started."""
+    """Record that a host terminated with a request open that may have started."""
     known = core.hosts.get(host)
     # A draining host is expected to terminate. Computing only the prompt is no run.
     if known is None or not known.live or request.stage == PREFILL:
@@ -287,7 +287,7 @@
     known.ended_at = now
     known.ended_contents.add(request.terms.content)
     yield RecordStep(
-        request.work.request, f"{host} terminated under it, {ends} hosts in a row"
+        request.work.request, f"{host} terminated with it open, {ends} hosts in a row"
     )
 
 
@@ -326,10 +326,11 @@
 
 
 def _is_of_other_answer(request: OpenRequest) -> bool:
-    """Return whether the data does not continue the answer that the caller has in part.
+    """Return whether new data must not be appended to the caller's partial answer.
 
-    Only an attempt that has begun a stream of its own sends more of it. Otherwise the
-    body of a failure answer would be appended to the events of the previous attempt.
+    A stream is continued only by an attempt that has itself begun a stream. Data of
+    any other attempt is the body of a failure answer, which does not belong after the
+    events of the previous attempt.
     """
     is_continuation = request.work.kind != STREAM or request.head is not None
     return request.has_part and not is_continuation
@@ -375,10 +376,10 @@
     return False
 
 
-def _handle_rest_refused(
+def _handle_failed_continuation(
     message: Finished, request: OpenRequest, core: DispatchCore, now: float
 ) -> Iterator[Command]:
-    """Handle an answer that does not continue the one that the caller has in part."""
+    """Handle a final answer that does not continue the caller's partial answer."""
     if message.status >= const.MIN_FAILURE_STATUS:
         reason = f"status {message.status}"
         yield from handle_loss(request, Ran.UNKNOWN, reason, core, now)
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -41,7 +41,7 @@
         return
     denied = core.suspects.find_denial_seconds(request.terms.content, now)
     if denied:
-        text = "several hosts in a row have terminated under this request"
+        text = "several hosts in a row have terminated with this request open"
         yield from refuse(request, 503, const.CODE_ENDS_HOSTS, text, denied, core)
         return
     pause = _find_common_pause(request, core, now)
@@ -214,17 +214,18 @@
     if core.suspects.count_ends(request.terms.content, now) >= ENDS_TO_ISOLATE:
         usable = _limit_to_one_host(usable, core, now)
         if not usable:
-            return Declined(None, "hosts terminated under it and too few are left")
+            return Declined(None, "hosts terminated with it open and too few are left")
     return core.placement.place(request, usable, core.data_centre, now)
 
 
 def _limit_to_one_host(
     usable: list[KnownHost], core: DispatchCore, now: float
 ) -> list[KnownHost]:
-    """Leave only one host to run a request that may terminate it, never the last one.
+    """Restrict a suspected request to one host, since it may make its host terminate.
 
-    Prefer a host that has no other suspected request, so that each suspect is tried
-    alone, then the host with the least work to lose.
+    Return no host that runs requests if that would risk the last one. Prefer a host
+    without another suspected request, so that each suspect is tried alone, then the
+    host with the fewest open answers. Prefill engines are not restricted.
     """
     find_role = core.placement.find_role
     run_hosts = [known for known in usable if find_role(known.host) != PREFILL]
--- a/radishtally/serving/suspects.py
+++ b/radishtally/serving/suspects.py
@@ -1,4 +1,4 @@
-"""Track requests under which one host after another has terminated."""
+"""Track requests that were open at one host after another when it terminated."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -8,9 +8,11 @@
 from radishtally.links.messages import Suspicion
 
 ENDS_TO_DENY: Final = 3
-"""Consecutive hosts that terminate under a request until it is denied to all hosts."""
+"""Number of hosts in a row that must terminate with a request open before it is denied
+to all hosts."""
 ENDS_TO_ISOLATE: Final = 2
-"""The same until the request is kept away from the last host and from busy hosts."""
+"""Number of such hosts from which on the request is tried at one host only, with few
+open answers, and never at the last host that could run it."""
 SUSPICION_SECONDS: Final = 300.0
 """How long a request is suspected after its last end; also the shortest denial."""
 MAX_DENY_SECONDS: Final = 3_600.0
@@ -32,7 +34,7 @@
     """Describe the termination of a host while a request was open there."""
 
     known_ends: int
-    """Consecutive ends that were known when the request was offered to the host."""
+    """Number of terminated hosts in a row, as known when the request was offered."""
     seconds: float
     """Time for which the host had been answering the request."""
 
@@ -41,18 +43,19 @@
 class _Suspect:
     ends: int
     seconds: float
-    """Longest run that a host's end cut off."""
+    """Length of the longest run that the termination of its host cut off."""
     until: float
 
 
 class Suspects:
-    """Count the consecutive host ends under each request.
-
-    A terminating host takes all its open requests with it, so a single end says little
-    about any of them. Only consecutive ends count: an end adds to the count only if the
-    run started when the previous end was already known. Many hosts that terminate at
-    the same time therefore count as one end for each request. A complete answer clears
-    a request, and a run much longer than those cut off before resets its count.
+    """Count, for each request, the hosts in a row that terminated with it open.
+
+    Such a termination is called a host end of the request. A terminating host takes all
+    its open requests with it, so a single end says little about any of them. Only
+    consecutive ends count: an end adds to the count only if the run started when the
+    previous end was already known. Many hosts that terminate at the same time therefore
+    count as one end for each request. A complete answer clears a request, and a run
+    much longer than those cut off before resets its count.
     """
 
     def __init__(self) -> None:
@@ -61,7 +64,7 @@
         """Content digests whose state must be sent to the peers."""
 
     def count_ends(self, content: str, now: float) -> int:
-        """Return the number of consecutive host ends under a request."""
+        """Return the number of consecutive host ends of a request."""
         suspect = self._find(content, now)
         return 0 if suspect is None else suspect.ends
 
@@ -92,7 +95,7 @@
         return suspect.ends
 
     def record_host_end(self, content: str, end: HostEnd, now: float) -> int:
-        """Record a host's end under a request; return its consecutive ends."""
+        """Record a host end of a request and return its number of consecutive ends."""
         if not content:
             return 0
         suspect = self._find(content, now) or _Suspect(0, 0.0, 0.0)
--- a/tests/serving/test_suspects.py
+++ b/tests/serving/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of tracking requests under which hosts terminate."""
+"""Tests of tracking requests that are open at hosts when these terminate."""
 
 import pytest
 from hypothesis import given
