--- a/radishtally/engines/placement.py
+++ b/radishtally/engines/placement.py
@@ -286,8 +286,9 @@
             return
         self.unseen_requests.record_request(now)
         engine.begin_prefill(name, tokens, request.terms.priority, now)
-        # The expected answer counts on arrival. Counted at their end, answers that
-        # overloaded engines never finish would be missed and cost decode more engines.
+        # The expected answer counts when the request arrives. If answers counted only
+        # when complete, those that overloaded engines never finish would be missed, and
+        # more engines would be moved away from decode.
         expected = request.terms.output_tokens
         self.observer.record_request(work.upstream, tokens, expected, now)
 
--- a/radishtally/gateway/bounds.py
+++ b/radishtally/gateway/bounds.py
@@ -25,8 +25,8 @@
 
 def find_min_retry_rate(bounds: Bounds, gateways: int) -> float:
     """Return the retries per second that one of these gateways may always make."""
-    every_second = bounds.retry_slack / bounds.retry_window_seconds
-    return every_second * RETRY_SHARE / gateways
+    retries_per_second = bounds.retry_slack / bounds.retry_window_seconds
+    return retries_per_second * RETRY_SHARE / gateways
 
 
 def find_gather_seconds(bounds: Bounds, gateways: int | None) -> float:
@@ -35,13 +35,13 @@
     A host whose entry is removed must get no request after its drain time, and may be
     kept as missing for MISSING_GRACE_SECONDS of that time.
     """
-    longest = max(
+    max_seconds = max(
         0.0, bounds.drain_ms / 1000 - MISSING_GRACE_SECONDS - GATHER_MARGIN_SECONDS
     )
     return (
-        longest
+        max_seconds
         if gateways is None
-        else min(longest, gateways * GATHER_SECONDS_PER_GATEWAY)
+        else min(max_seconds, gateways * GATHER_SECONDS_PER_GATEWAY)
     )
 
 
--- a/radishtally/gateway/cache_discovery.py
+++ b/radishtally/gateway/cache_discovery.py
@@ -29,7 +29,7 @@
 
 
 class CacheDiscovery:
-    """Learn when a gateway starts which prompt parts the engines hold.
+    """Find out at startup which prompt parts the engines hold in their caches.
 
     If all gateways stop at once, this knowledge is lost, and each part would be
     prefilled again at another engine. Without these queries, a fleet of six prefilled
--- a/radishtally/gateway/http_frontend.py
+++ b/radishtally/gateway/http_frontend.py
@@ -69,8 +69,8 @@
 class HttpFrontend:
     """Serve callers, the balancer's readiness check and the metrics over HTTP."""
 
-    def __init__(self, gate: FrontendBackend, dialect: CallerDialect) -> None:
-        self._backend = gate
+    def __init__(self, backend: FrontendBackend, dialect: CallerDialect) -> None:
+        self._backend = backend
         self._dialect = dialect
         self._sites: list[web.TCPSite] = []
         """Listening sockets for callers."""
--- a/radishtally/gateway/members.py
+++ b/radishtally/gateway/members.py
@@ -290,14 +290,14 @@
             if instance is not None and instance.host not in self._missing
         ]
         self._record_removals(removed, now)
-        emptied = self._find_emptied()
+        mass_removals = self._find_mass_removals()
         changes: list[HostChange] = []
         for instance in removed:
             if after_outage:
                 changes.append(
                     self._mark_missing(instance.host, now, MissReason.OUTAGE)
                 )
-            elif instance.upstream in emptied:
+            elif instance.upstream in mass_removals:
                 changes.append(
                     self._mark_missing(instance.host, now, MissReason.MANY_AT_ONCE)
                 )
@@ -318,8 +318,8 @@
             if not instance.is_draining:
                 self._removals.append(_Removal(now, instance))
 
-    def _find_emptied(self) -> frozenset[str]:
-        """Return the upstreams that lose more hosts at once than planned work does."""
+    def _find_mass_removals(self) -> frozenset[str]:
+        """Return the upstreams that lose more hosts at once than maintenance removes."""
         lost = {removal.instance.host: removal.instance for removal in self._removals}
         in_service = {
             host: instance
--- a/radishtally/gateway/topology.py
+++ b/radishtally/gateway/topology.py
@@ -60,14 +60,14 @@
 
 
 def _select_reachable(order: Iterable[str], unresponsive: Collection[str]) -> list[str]:
-    """Take gateways in order until enough of them are responsive."""
+    """Select gateways in order until enough of them are responsive."""
     chosen = []
-    answering = 0
+    responsive_count = 0
     for name in order:
-        if answering == COLLECTOR_CANDIDATES:
+        if responsive_count == COLLECTOR_CANDIDATES:
             break
         chosen.append(name)
-        answering += name not in unresponsive
+        responsive_count += name not in unresponsive
     return chosen
 
 
--- a/radishtally/serving/requests.py
+++ b/radishtally/serving/requests.py
@@ -44,8 +44,8 @@
     accepted_at: float | None = None
     """Time at which the host accepted the current attempt, or began to answer it."""
     known_ends: int = 0
-    """Number of hosts in a row that had terminated with this request open, as known when
-    it was offered."""
+    """Number of hosts in a row that had terminated with this request open, as known
+    when it was offered."""
     stage: str = WHOLE
     next_stage: str = WHOLE
     kv: KvRef | None = None
--- a/radishtally/serving/state.py
+++ b/radishtally/serving/state.py
@@ -147,7 +147,7 @@
 
     def _replace_host(self, old: KnownHost | None, new: KnownHost) -> KnownHost:
         if old is not None:
-            # Work in flight at the old entry still counts.
+            # Work in flight under the replaced record still counts.
             new.in_flight = old.in_flight
             self._remove_host(old)
         self.hosts[new.host] = new
--- a/radishtally/stages/const.py
+++ b/radishtally/stages/const.py
@@ -15,12 +15,13 @@
 """Time that a changed number of engines must persist before roles change: an engine
 that restarts is back before another one could have changed its role."""
 DEMAND_SHIFT_SECONDS: Final = 5.0
-"""Time that demand must favour other roles. With 2.5 s and a smaller margin, roles
-follow each burst and are wrong for the next one."""
+"""Time that demand must favour other roles before they change. With 2.5 s and
+a smaller margin, roles follow each burst and are wrong for the next one."""
 COOLDOWN_SECONDS: Final = 12.0
 """Minimum time between two changes caused by demand."""
 PENDING_SECONDS: Final = 4.0
-"""Time that a role order counts as carried out, if the engine has or may have it."""
+"""Time for which an engine counts with the ordered role, if it has or may have accepted
+the order."""
 RETRY_SECONDS: Final = 1.0
 """Time that an engine is skipped after it could not be ordered."""
 TICK_SECONDS: Final = 0.5
--- a/radishtally/stages/demand.py
+++ b/radishtally/stages/demand.py
@@ -80,7 +80,7 @@
         own = DemandSums(*(decaying.read(now) for decaying in self._own))
         if excluded is None:
             return own
-        return _add_up([own, *self._list_peer_sums(now, excluded)])
+        return _sum_demands([own, *self._list_peer_sums(now, excluded)])
 
     def measure(self, rate: float, slots: int, now: float) -> Needs | None:
         """Return the engines that the demand needs; None if there is too little data.
@@ -88,7 +88,7 @@
         The rate is the prefill rate of an engine in tokens per second; slots are the
         answers that it can decode at a time.
         """
-        total = _add_up([self.collect(now), *self._list_peer_sums(now)])
+        total = _sum_demands([self.collect(now), *self._list_peer_sums(now)])
         if not self._has_enough_data(total, now):
             return None
         elapsed = now - self._started_at
@@ -96,10 +96,11 @@
         seconds = const.DEMAND_WINDOW_SECONDS * (
             1.0 - exp(-elapsed / const.DEMAND_WINDOW_SECONDS)
         )
-        # Callers expect tokens, and engines put several into an event. A single
-        # expectation is often far off, but the ratio of the sums is not. Expected
-        # tokens count on arrival. Counted at their end, answers that overloaded engines
-        # never finish would be missed and cost decode more engines.
+        # Callers state expected tokens, and engines put several tokens into an event.
+        # The expectation for one answer is often far off, but the ratio of the sums is
+        # not. Expected tokens count when a request arrives. If they counted only when
+        # its answer is complete, answers that overloaded engines never finish would be
+        # missed, and more engines would be moved away from decode.
         ratio = total.ended_events / total.ended_tokens
         max_rate = find_max_event_rate(
             self.pace.fit(slots), slots, self.required_speed.max_interval
@@ -145,5 +146,5 @@
         ]
 
 
-def _add_up(sums: Sequence[DemandSums]) -> DemandSums:
+def _sum_demands(sums: Sequence[DemandSums]) -> DemandSums:
     return DemandSums(*map(sum, zip(*sums, strict=True))) if sums else NO_DEMAND
--- a/radishtally/stages/split.py
+++ b/radishtally/stages/split.py
@@ -12,10 +12,10 @@
 DECODE_TARGET: Final = 0.7
 """Target share of the decode engines' maximum event rate. Answers share an engine, so
 none waits until the batch is full. At 0.7, a batch of 40 is full less than 1 % of the
-time and one of 64 less than 0.1 %; at 0.85, 9 to 16 % and 2 to 6 %. This is for
-processor sharing with random arrivals, where events in a full batch take two to four
-times as long as those of a single answer. The reserve absorbs a burst of 1.4 times the
-load."""
+time and one of 64 less than 0.1 %; at 0.85, 9 to 16 % and 2 to 6 %. These
+values assume processor sharing with random arrivals, where events in a full batch take
+two to four times as long as those of a single answer. The reserve absorbs a burst of
+1.4 times the load."""
 MIN_BATCH_SHARE: Final = 0.5
 """Lower bound for the share of a batch that engines are assumed to fill."""
 
