--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -202,13 +202,13 @@
         self.replies.put(command)
 
     @_execute.register
-    def _(self, command: events.Finish) -> None:
+    def _(self, command: events.SendFullAnswer) -> None:
         self.steps.record(command.request, "answered whole")
         self.process.metrics.incr("answered")
         self.replies.put(command)
 
     @_execute.register
-    def _(self, command: events.End) -> None:
+    def _(self, command: events.EndStream) -> None:
         self.steps.record(command.request, "answered whole")
         self.process.metrics.incr("answered")
         self.replies.put(command)
@@ -276,7 +276,7 @@
             return
         if isinstance(message, Load) and host in self.core.hosts:
             known = self.core.hosts[host]
-            self.planners.record_load(known.upstream, known.place, message)
+            self.planners.record_load(known.upstream, known.data_centre, message)
         self.handle(events.Received(host, message))
 
     def _is_busy(self, host: str) -> bool:
--- a/radishtally/serving/attempts.py
+++ b/radishtally/serving/attempts.py
@@ -30,23 +30,23 @@
 )
 from radishtally.outcome import Ran
 from radishtally.serving import const
-from radishtally.serving.conclusions import conclude
+from radishtally.serving.conclusions import reply_with_answer
 from radishtally.serving.events import (
     Begin,
     Command,
     Deliver,
     DropKv,
-    Finish,
     RecordStep,
     Send,
+    SendFullAnswer,
     Settle,
 )
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.offers import (
-    fail,
     handle_loss,
     offer,
     refuse,
+    refuse_without_retry_after,
     set_phase_end,
 )
 from radishtally.serving.requests import (
@@ -170,13 +170,13 @@
         return
     if request.has_part and message.status != const.OK:
         yield _ack(message, host)
-        yield from _handle_rest_refused(message, request, core, now)
+        yield from _handle_failed_continuation(message, request, core, now)
         return
     if not (yield from _confirm_end(message, request, host, core)):
         return
     body = bytes(request.received)
     if message.status >= const.MIN_FAILURE_STATUS and request.work.idempotent:
-        request.failure = Finish(message.request, message, body)
+        request.failure = SendFullAnswer(message.request, message, body)
         reason = f"status {message.status}"
         yield from handle_loss(request, Ran.UNKNOWN, reason, core, now)
         return
@@ -184,10 +184,10 @@
         core.suspects.clear(request.terms.content)
     if host in core.hosts:
         core.hosts[host].breaker.record_success()
-        core.placement.finish(request, core.hosts[host])
+        core.placement.record_completion(request, core.hosts[host])
     core.detach_host(request)
     core.requests.pop(message.request)
-    yield from conclude(request, message, body)
+    yield from reply_with_answer(request, message, body)
     if request.is_claimed:
         yield Settle(request.work, message.status, message.headers, body)
 
@@ -276,7 +276,7 @@
 def _record_host_end(
     request: OpenRequest, host: str, core: DispatchCore, now: float
 ) -> Iterator[Command]:
-    """Record that a host terminated under a request that it may have started."""
+    """Record that a host terminated with a request open that may have started."""
     known = core.hosts.get(host)
     # A draining host is expected to terminate. Computing only the prompt is no run.
     if known is None or not known.live or request.stage == PREFILL:
@@ -287,7 +287,7 @@
     known.ended_at = now
     known.ended_contents.add(request.terms.content)
     yield RecordStep(
-        request.work.request, f"{host} terminated under it, {ends} hosts in a row"
+        request.work.request, f"{host} terminated with it open, {ends} hosts in a row"
     )
 
 
@@ -326,10 +326,11 @@
 
 
 def _is_of_other_answer(request: OpenRequest) -> bool:
-    """Return whether the data does not continue the answer that the caller has in part.
+    """Return whether new data must not be appended to the caller's partial answer.
 
-    Only an attempt that has begun a stream of its own sends more of it. Otherwise the
-    body of a failure answer would be appended to the events of the previous attempt.
+    A stream is continued only by an attempt that has itself begun a stream. Data of
+    any other attempt is the body of a failure answer, which does not belong after the
+    events of the previous attempt.
     """
     is_continuation = request.work.kind != STREAM or request.head is not None
     return request.has_part and not is_continuation
@@ -371,21 +372,23 @@
     if message.checksum == request.checksum():
         return True
     text = "the answer's checksum does not match the upstream's"
-    yield from fail(request, 502, const.CODE_CORRUPT, text, core)
+    yield from refuse_without_retry_after(request, 502, const.CODE_CORRUPT, text, core)
     return False
 
 
-def _handle_rest_refused(
+def _handle_failed_continuation(
     message: Finished, request: OpenRequest, core: DispatchCore, now: float
 ) -> Iterator[Command]:
-    """Handle an answer that does not continue the one that the caller has in part."""
+    """Handle a final answer that does not continue the caller's partial answer."""
     if message.status >= const.MIN_FAILURE_STATUS:
         reason = f"status {message.status}"
         yield from handle_loss(request, Ran.UNKNOWN, reason, core, now)
         return
     # The request itself is at fault, so another host would answer the same.
     text = f"a host answered status {message.status} instead of resuming the answer"
-    yield from fail(request, 502, const.CODE_REST_REFUSED, text, core)
+    yield from refuse_without_retry_after(
+        request, 502, const.CODE_REST_REFUSED, text, core
+    )
 
 
 def _request_resend(request: OpenRequest, host: str) -> Iterator[Command]:
--- a/radishtally/serving/conclusions.py
+++ b/radishtally/serving/conclusions.py
@@ -4,21 +4,29 @@
 
 from radishtally.links.messages import Finished
 from radishtally.outcome import Refusal
-from radishtally.serving.events import AbortAnswer, Command, End, Finish, Refuse
+from radishtally.serving.events import (
+    AbortAnswer,
+    Command,
+    EndStream,
+    Refuse,
+    SendFullAnswer,
+)
 from radishtally.serving.requests import OpenRequest
 
 
-def conclude(request: OpenRequest, end: Finished, body: bytes) -> Iterator[Command]:
+def reply_with_answer(
+    request: OpenRequest, end: Finished, body: bytes
+) -> Iterator[Command]:
     """Reply with a complete answer."""
     if request.answered:
         return
     if request.has_part:
-        yield End(request.work.request, end)
+        yield EndStream(request.work.request, end)
     else:
-        yield Finish(request.work.request, end, body)
+        yield SendFullAnswer(request.work.request, end, body)
 
 
-def give_up(request: OpenRequest, refusal: Refusal) -> Iterator[Command]:
+def reply_with_refusal(request: OpenRequest, refusal: Refusal) -> Iterator[Command]:
     """Reply that the request has failed or was refused."""
     if request.answered:
         return
--- a/radishtally/serving/core.py
+++ b/radishtally/serving/core.py
@@ -13,7 +13,7 @@
 from radishtally.outcome import Ran
 from radishtally.serving import const, events
 from radishtally.serving.attempts import receive
-from radishtally.serving.conclusions import conclude, give_up
+from radishtally.serving.conclusions import reply_with_answer, reply_with_refusal
 from radishtally.serving.events import (
     Command,
     Event,
@@ -22,9 +22,9 @@
 )
 from radishtally.serving.offers import (
     answer_unknown,
-    fail,
     handle_loss,
     offer,
+    refuse_without_retry_after,
     set_phase_end,
     withdraw,
 )
@@ -88,14 +88,14 @@
     end = Finished(
         event.request, 0, len(event.body), 0, event.status, "", 0, 0, event.headers
     )
-    yield from conclude(request, end, event.body)
+    yield from reply_with_answer(request, end, event.body)
 
 
 @_handle.register
 def _(event: events.Denied, core: DispatchCore, now: float) -> Iterator[Command]:
     request = core.requests.pop(event.request, None)
     if request is not None:
-        yield from give_up(request, event.refusal)
+        yield from reply_with_refusal(request, event.refusal)
 
 
 @_handle.register
@@ -109,7 +109,7 @@
     if request.work.key and (request.host is not None or request.phase == CLAIMING):
         return
     yield from withdraw(request, core)
-    yield from fail(
+    yield from refuse_without_retry_after(
         request, 499, const.CODE_DEADLINE, "the caller has disconnected", core
     )
 
@@ -177,7 +177,9 @@
         if request.answered:
             continue
         yield from withdraw(request, core)
-        yield from fail(request, 503, const.CODE_STOPPING, text, core)
+        yield from refuse_without_retry_after(
+            request, 503, const.CODE_STOPPING, text, core
+        )
 
 
 def _handle_phase_timeout(
@@ -227,4 +229,4 @@
         yield from answer_unknown(request, 504, const.CODE_DEADLINE, text, core, now)
         return
     yield from withdraw(request, core)
-    yield from fail(request, 504, const.CODE_DEADLINE, text, core)
+    yield from refuse_without_retry_after(request, 504, const.CODE_DEADLINE, text, core)
--- a/radishtally/serving/offers.py
+++ b/radishtally/serving/offers.py
@@ -16,7 +16,7 @@
 )
 from radishtally.outcome import Ran, Refusal
 from radishtally.serving import const
-from radishtally.serving.conclusions import give_up
+from radishtally.serving.conclusions import reply_with_refusal
 from radishtally.serving.events import Command, DropKv, RecordStep, Release, Send
 from radishtally.serving.hosts import KnownHost
 from radishtally.serving.placement import Declined, Placed
@@ -35,11 +35,13 @@
     """Offer the request to the next host; if there is none, hold or refuse it."""
     if request.answered:
         # The caller no longer waits: do not start an attempt.
-        yield from fail(request, 499, const.CODE_DEADLINE, "no caller waits", core)
+        yield from refuse_without_retry_after(
+            request, 499, const.CODE_DEADLINE, "no caller waits", core
+        )
         return
     denied = core.suspects.find_denial_seconds(request.terms.content, now)
     if denied:
-        text = "several hosts in a row have terminated under this request"
+        text = "several hosts in a row have terminated with this request open"
         yield from refuse(request, 503, const.CODE_ENDS_HOSTS, text, denied, core)
         return
     pause = _find_common_pause(request, core, now)
@@ -107,11 +109,13 @@
     request.lost_attempts += 1
     if not request.work.idempotent:
         text = "the call may have run; its outcome is not known"
-        yield from fail(request, 502, const.CODE_OUTCOME_UNKNOWN, text, core)
+        yield from refuse_without_retry_after(
+            request, 502, const.CODE_OUTCOME_UNKNOWN, text, core
+        )
         return
     if request.lost_attempts >= request.terms.max_attempts or _is_unresumable(request):
         text = f"the upstream failed ({reason})"
-        yield from fail(request, 502, const.CODE_LOST, text, core)
+        yield from refuse_without_retry_after(request, 502, const.CODE_LOST, text, core)
         return
     _prepare_retry(request)
     yield from offer(request, core, now)
@@ -160,13 +164,13 @@
     A call that is not idempotent is not cancelled. Its outcome is stored for repeats of
     the key when it arrives, or the claim is released if the call did not run.
     """
-    yield from give_up(request, Refusal(status, code, text, Ran.UNKNOWN))
+    yield from reply_with_refusal(request, Refusal(status, code, text, Ran.UNKNOWN))
     request.answered = True
     request.deadline = now + const.OUTCOME_WAIT_SECONDS
     core.schedule(request)
 
 
-def fail(
+def refuse_without_retry_after(
     request: OpenRequest, status: int, code: str, text: str, core: DispatchCore
 ) -> Iterator[Command]:
     """Refuse the request because of a failure, without a specific retry delay."""
@@ -194,7 +198,9 @@
     ran = Ran.UNKNOWN if request.maybe_ran else Ran.NO
     if status in (429, 503):
         retry_after = _clamp_retry_after(retry_after)
-    yield from give_up(request, Refusal(status, code, text, ran, retry_after))
+    yield from reply_with_refusal(
+        request, Refusal(status, code, text, ran, retry_after)
+    )
     # A claim that is still pending is released when it is granted.
     if request.is_claimed and ran == Ran.NO and request.phase != CLAIMING:
         yield Release(request.work)
@@ -208,17 +214,18 @@
     if core.suspects.count_ends(request.terms.content, now) >= ENDS_TO_ISOLATE:
         usable = _limit_to_one_host(usable, core, now)
         if not usable:
-            return Declined(None, "hosts terminated under it and too few are left")
-    return core.placement.place(request, usable, core.place, now)
+            return Declined(None, "hosts terminated with it open and too few are left")
+    return core.placement.place(request, usable, core.data_centre, now)
 
 
 def _limit_to_one_host(
     usable: list[KnownHost], core: DispatchCore, now: float
 ) -> list[KnownHost]:
-    """Leave only one host to run a request that may terminate it, never the last one.
+    """Restrict a suspected request to one host, since it may make its host terminate.
 
-    Prefer a host that has no other suspected request, so that each suspect is tried
-    alone, then the host with the least work to lose.
+    Return no host that runs requests if that would risk the last one. Prefer a host
+    without another suspected request, so that each suspect is tried alone, then the
+    host with the fewest open answers. Prefill engines are not restricted.
     """
     find_role = core.placement.find_role
     run_hosts = [known for known in usable if find_role(known.host) != PREFILL]
@@ -304,7 +311,9 @@
         yield from _hold(request, "the retry budget is exhausted", core, now)
         return
     text = "the upstream failed and the retry budget is exhausted"
-    yield from fail(request, 503, const.CODE_RETRY_BUDGET, text, core)
+    yield from refuse_without_retry_after(
+        request, 503, const.CODE_RETRY_BUDGET, text, core
+    )
 
 
 def _hold(
--- a/radishtally/serving/placement.py
+++ b/radishtally/serving/placement.py
@@ -31,9 +31,13 @@
     """Choose hosts and track the work offered to them."""
 
     def place(
-        self, request: OpenRequest, hosts: Sequence[KnownHost], place: str, now: float
+        self,
+        request: OpenRequest,
+        hosts: Sequence[KnownHost],
+        data_centre: str,
+        now: float,
     ) -> Placed | Declined:
-        """Choose among usable hosts, for a dispatcher in the given place."""
+        """Choose among usable hosts, for a dispatcher in this data centre."""
 
     def find_role(self, host: str) -> str:
         """Return a host's role; only hosts of the same role can replace it."""
@@ -49,30 +53,34 @@
     ) -> None:
         """Record that a part of the answer has arrived from a host."""
 
-    def finish(self, request: OpenRequest, host: KnownHost) -> None:
+    def record_completion(self, request: OpenRequest, host: KnownHost) -> None:
         """Record that the request's answer is complete."""
 
-    def end(self, request: OpenRequest, host: KnownHost) -> None:
+    def end_attempt(self, request: OpenRequest, host: KnownHost) -> None:
         """Record that the request's current attempt at a host is over."""
 
 
 class RankedPlacement:
     """Choose by the load that agents report."""
 
-    def __init__(self, choice: RoutingPolicy = POLICIES["rendezvous"]) -> None:
-        self.choice = choice
+    def __init__(self, policy: RoutingPolicy = POLICIES["rendezvous"]) -> None:
+        self.policy = policy
 
     def place(
-        self, request: OpenRequest, hosts: Sequence[KnownHost], place: str, now: float
+        self,
+        request: OpenRequest,
+        hosts: Sequence[KnownHost],
+        data_centre: str,
+        now: float,
     ) -> Placed | Declined:
-        """Choose among usable hosts, for a dispatcher in the given place."""
-        wanted = _to_wanted(request, place, now)
+        """Choose among usable hosts, for a dispatcher in this data centre."""
+        spec = _to_work_spec(request, data_centre, now)
         stage = request.next_stage
         candidates = [host.to_candidate(now) for host in hosts]
         if stage == WHOLE and request.work.kind != CALL and not request.received:
-            stage = PREFILL if needs_split(candidates, wanted) else WHOLE
-        wanted = wanted._replace(stage=stage)
-        host = self.choice(wanted, candidates, request.tried)
+            stage = PREFILL if needs_split(candidates, spec) else WHOLE
+        spec = spec._replace(stage=stage)
+        host = self.policy(spec, candidates, request.tried)
         return Declined(None) if host is None else Placed(stage, host)
 
     def find_role(self, host: str) -> str:
@@ -91,14 +99,14 @@
     ) -> None:
         """Do nothing: progress does not affect the ranking."""
 
-    def finish(self, request: OpenRequest, host: KnownHost) -> None:
+    def record_completion(self, request: OpenRequest, host: KnownHost) -> None:
         """Do nothing: a complete answer does not affect the ranking."""
 
-    def end(self, request: OpenRequest, host: KnownHost) -> None:
+    def end_attempt(self, request: OpenRequest, host: KnownHost) -> None:
         """Do nothing: KnownHost counts the work in flight."""
 
 
-def _to_wanted(request: OpenRequest, place: str, now: float) -> WorkSpec:
+def _to_work_spec(request: OpenRequest, data_centre: str, now: float) -> WorkSpec:
     work = request.work
     return WorkSpec(
         request.next_stage,
@@ -108,5 +116,5 @@
         work.prompt_tokens,
         work.max_tokens,
         request.deadline - now,
-        place,
+        data_centre,
     )
--- a/tests/engines/model.py
+++ b/tests/engines/model.py
@@ -92,7 +92,7 @@
     def make_gateway(self, number: int) -> EnginePlacement:
         placement = EnginePlacement(lambda: self.now, Random(number))
         for host, role in self.roles.items():
-            place = self.hosts[host].place
+            place = self.hosts[host].data_centre
             placement.set_instance(
                 Instance(host, "llm", f"{host}:1", place, False, SLOTS, role)
             )
@@ -171,7 +171,7 @@
         self, number: int, request: OpenRequest, prefill_host: KnownHost
     ) -> None:
         request.kv = KvRef(prefill_host.host, "", "h", 1)
-        self.gateways[number].end(request, prefill_host)
+        self.gateways[number].end_attempt(request, prefill_host)
         request.next_stage = DECODE
         host = self.place(number, request)
         self.answers[host.host] += 1
@@ -180,11 +180,11 @@
 
     def finish(self, number: int, request: OpenRequest, host: KnownHost) -> None:
         self.answers[host.host] -= 1
-        self.gateways[number].end(request, host)
+        self.gateways[number].end_attempt(request, host)
 
     def send_reports(self) -> None:
         """Send each gateway the open work of the others, with a delay."""
-        read = [gateway.pop_parts_read() for gateway in self.gateways]
+        read = [gateway.pop_sent_parts() for gateway in self.gateways]
         for number, backlog in enumerate(self.list_backlogs()):
             parts = [items for n, items in enumerate(read) if n != number]
             parts = [item for items in parts for item in items]
