--- a/radishtally/distribution/core.py
+++ b/radishtally/distribution/core.py
@@ -76,7 +76,7 @@
             self._pending_request = None
 
     def build_reply(self, request: ConfigurationRequest) -> ConfigurationFiles | None:
-        """Build the reply with the files that a peer lacks; None if it lacks none."""
+        """Build the reply with the files that a peer lacks; None if not behind."""
         if self.current is None or request.revision >= self.revision:
             return None
         known = request.hashes
