--- a/tests/entry/common.py
+++ b/tests/entry/common.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of the entry's core."""
+"""Helpers for the tests of the dispatch core."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class Driver:
-    """Drive one entry's core and keep what it commands."""
+    """Pass events to one dispatch core and record its commands."""
 
     def __init__(self, hosts: int = 2) -> None:
         self.core = DispatchCore("entry-0", "howrah", random.Random(1))
@@ -36,8 +36,8 @@
             self.core.set_host(host, "howrah", POOL, True)
             self.link_up(host)
 
-    def give(self, event: events.Event) -> list[events.Command]:
-        """Give an event; return the commands but the notes."""
+    def handle(self, event: events.Event) -> list[events.Command]:
+        """Pass an event to the core; return its commands without recorded steps."""
         commands = [
             c
             for c in handle_event(event, self.core, self.now)
@@ -47,32 +47,34 @@
         return commands
 
     def link_up(self, host: str, incarnation: str = "1") -> list[events.Command]:
-        return self.give(events.LinkUp(Hello(host, "howrah", "agent", incarnation, 0)))
+        return self.handle(
+            events.LinkUp(Hello(host, "howrah", "agent", incarnation, 0))
+        )
 
     def receive(self, host: str, message: Message) -> list[events.Command]:
-        return self.give(events.Received(host, message))
+        return self.handle(events.Received(host, message))
 
     def pass_time(self, seconds: float) -> list[events.Command]:
-        """Let time pass, with ticks where the core asks for them."""
+        """Advance the clock, with a tick at each time the core asks for."""
         until = self.now + seconds
         commands = []
         while self.core.next_wake() <= until:
             self.now = max(self.now, self.core.next_wake())
-            commands += self.give(events.Tick())
+            commands += self.handle(events.Tick())
         self.now = until
         return commands
 
     def open(
         self, work: Work, seconds: float = 30.0, streamed: bool = True
     ) -> list[events.Command]:
-        return self.give(events.Arrived(work, self.now + seconds, streamed))
+        return self.handle(events.Arrived(work, self.now + seconds, streamed))
 
     def wait_for_offer(self, seconds: float = 40.0) -> tuple[str, Offer]:
-        """Let time pass until there is one more offer."""
+        """Advance the clock until one more offer is sent."""
         before, until = len(self.list_offers()), self.now + seconds
         while len(self.list_offers()) == before:
             wake = self.core.next_wake()
-            assert wake <= until, "nothing more is offered"
+            assert wake <= until, "no further offer was sent in time"
             self.pass_time(max(0.0, wake - self.now))
         return self.find_offer()
 
@@ -81,7 +83,7 @@
         for command in reversed(self.log):
             if isinstance(command, events.Send) and isinstance(command.message, Offer):
                 return command.host, command.message
-        raise AssertionError("nothing was offered")
+        raise AssertionError("no offer was sent")
 
     def list_offers(self) -> list[str]:
         return [host for host, _ in self.list_sent(Offer)]
@@ -93,26 +95,26 @@
             if isinstance(c, events.Send) and isinstance(c.message, kind)
         ]
 
-    def list_of(self, kind: type | tuple[type, ...]) -> list[events.Command]:
+    def list_commands(self, kind: type | tuple[type, ...]) -> list[events.Command]:
         return [c for c in self.log if isinstance(c, kind)]
 
     def list_refusals(self) -> list[events.Refuse | events.AbortAnswer]:
-        return self.list_of((events.Refuse, events.AbortAnswer))
+        return self.list_commands((events.Refuse, events.AbortAnswer))
 
     def list_ends(self) -> list[events.Finish | events.End]:
-        return self.list_of((events.Finish, events.End))
+        return self.list_commands((events.Finish, events.End))
 
     @property
     def refusal(self) -> Refusal:
-        """Give the one refusal."""
+        """Return the only refusal."""
         (found,) = self.list_refusals()
         return found.refusal
 
     @property
     def answer(self) -> bytes:
-        """Give the one whole answer as its caller has it."""
+        """Return the only complete answer as its caller received it."""
         (end,) = self.list_ends()
-        delivered = b"".join(part.data for part in self.list_of(events.Deliver))
+        delivered = b"".join(part.data for part in self.list_commands(events.Deliver))
         if isinstance(end, events.End):
             return delivered
         assert not delivered
@@ -120,22 +122,22 @@
 
 
 def make_text(request: str = "r", **more: object) -> Work:
-    """Make a request for text."""
+    """Build work for generated text."""
     return Work(request, "team", POOL, CHAT, b"{}", "m", max_tokens=9, **more)
 
 
 def make_call(request: str = "r", **more: object) -> Work:
-    """Make a call that may not run twice."""
+    """Build a call that is not idempotent."""
     return Work(request, "team", POOL, CALL, b"body", idempotent=False, **more)
 
 
 def make_chunk(request: str, attempt: int, offset: int, data: bytes) -> Chunk:
-    """Make a part of an answer, with one token to each byte."""
+    """Build a part of an answer, with one token per byte."""
     return Chunk(request, attempt, offset, data, offset + len(data))
 
 
 def make_finished(request: str, attempt: int, data: bytes) -> Finished:
-    """Make the end of a whole answer."""
+    """Build the end of a complete answer."""
     checksum = xxhash.xxh64_intdigest(data)
     return Finished(request, attempt, len(data), checksum, 200, "stop", 5, len(data))
 
@@ -143,5 +145,5 @@
 def make_handover(
     request: str, attempt: int, data: bytes, kv: KvRef | None = None
 ) -> Handover:
-    """Make the end of an attempt that goes on elsewhere."""
+    """Build the end of an attempt that continues at another host."""
     return Handover(request, attempt, len(data), xxhash.xxh64_intdigest(data), kv)
--- a/tests/entry/test_leaving.py
+++ b/tests/entry/test_leaving.py
@@ -1,4 +1,4 @@
-"""What callers get whose requests are open when the process ends."""
+"""Tests of the refusals for requests that are open when the process ends."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 from tests.entry.common import Driver, make_call
 
 
-# A caller gets no word when its entry ends, and asks again what may have run, or does
-# not dare to ask again what surely has not.
+# Guards against callers that get no refusal when their entry ends. They would repeat a
+# request that may have run, or not dare to repeat one that has not.
 @pytest.mark.parametrize("is_taken", [True, False])
 def test_offered_request_may_have_run(is_taken: bool) -> None:
     driver = Driver()
@@ -17,7 +17,7 @@
     host, offer = driver.find_offer()
     if is_taken:
         driver.receive(host, Accepted("r", offer.attempt, 0.0))
-    driver.give(events.Shutdown())
+    driver.handle(events.Shutdown())
     assert (driver.refusal.status, driver.refusal.ran) == (503, Ran.UNKNOWN)
     assert driver.list_sent(Cancel) == [(host, Cancel("r", offer.attempt))]
     assert not driver.core.requests
@@ -29,14 +29,14 @@
     host, offer = driver.find_offer()
     driver.core.requests["r"].hold_until = driver.now + 10.0
     driver.receive(host, Refused("r", offer.attempt, "full", 1.0))
-    driver.give(events.Shutdown())
+    driver.handle(events.Shutdown())
     assert (driver.refusal.status, driver.refusal.ran) == (503, Ran.NO)
     assert not driver.list_sent(Cancel)
 
 
-def test_answered_request_gets_no_second_answer() -> None:
+def test_request_of_a_disconnected_caller_gets_no_refusal() -> None:
     driver = Driver()
     driver.open(make_call())
-    driver.give(events.CallerGone("r"))
-    driver.give(events.Shutdown())
+    driver.handle(events.CallerGone("r"))
+    driver.handle(events.Shutdown())
     assert not driver.list_refusals()
--- a/tests/entry/test_moves.py
+++ b/tests/entry/test_moves.py
@@ -1,4 +1,4 @@
-"""Tests of planned changes: they cut no request."""
+"""Tests that drains and handovers don't end open requests."""
 
 from radishtally.limits.retries import MAX_BACKOFF_SECONDS
 from radishtally.links.messages import (
@@ -23,17 +23,17 @@
 )
 
 
-def test_handed_over_answer_waits_for_a_host() -> None:
-    # The caller sees its answer pause and then go on. Its only host drains and hands
-    # the stream over; no other host is linked. A planned change must cut nobody, so
-    # the request waits for a host instead of being refused.
+def test_answer_after_a_handover_waits_for_a_host() -> None:
+    # The only host drains and hands its stream over while no other host is linked. A
+    # planned change must not end requests, so the answer pauses until a host is back
+    # and then continues, instead of being refused.
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", make_chunk("r", 1, 0, b"abc"))
-    driver.give(LinkDown("agent-0"))
+    driver.handle(LinkDown("agent-0"))
     driver.link_up("agent-0")
     driver.receive("agent-0", make_handover("r", 1, b"abc"))
-    driver.give(LinkDown("agent-0"))
+    driver.handle(LinkDown("agent-0"))
     driver.pass_time(8.0)
     assert not driver.list_refusals()
 
@@ -52,15 +52,15 @@
     driver = Driver(hosts=1)
     driver.open(make_text(), seconds=3.0)
     driver.receive("agent-0", make_handover("r", 1, b""))
-    driver.give(LinkDown("agent-0"))
+    driver.handle(LinkDown("agent-0"))
     driver.pass_time(10.0)
     assert (driver.refusal.status, driver.refusal.ran) == (504, Ran.UNKNOWN)
     assert not driver.core.requests
 
 
-def test_many_handovers_cut_nobody() -> None:
-    # The caller sees one answer without a gap while a rolling drain moves it twenty
-    # times. Planned moves are no failures: neither attempts nor offers run out.
+def test_many_handovers_end_no_request() -> None:
+    # A rolling drain hands one answer over twenty times, and the caller sees no gap.
+    # Handovers are not failures, so they don't count against attempts or offers.
     driver = Driver(hosts=2)
     driver.open(make_text())
     for number in range(20):
@@ -75,9 +75,9 @@
     assert driver.answer == b"x" * 20
 
 
-def test_moved_work_is_never_called_not_run() -> None:
-    # The caller is refused after its prompt was prefilled and handed over. An engine
-    # has begun it, so "not run" would be a lie.
+def test_prefilled_work_is_never_reported_as_not_run() -> None:
+    # The request is refused after its prompt was prefilled and handed over. An engine
+    # has begun it, so "not run" would be wrong.
     driver = Driver(hosts=1)
     driver.open(make_text(), seconds=1.0)
     driver.receive("agent-0", make_handover("r", 1, b"", KV))
@@ -85,15 +85,15 @@
     assert driver.refusal.ran == Ran.UNKNOWN
 
 
-def test_work_given_back_by_a_drain_waits_a_while() -> None:
-    # The caller was promised an answer: its request was accepted and queued. Its host
-    # drains and gives the queue back while no other host is there. The request waits
-    # some seconds for one, then it is refused as not run.
+def test_queued_work_refused_by_a_drain_waits_for_a_host() -> None:
+    # A request was accepted and queued when its host drains and refuses its queue
+    # while no other host is linked. The request waits some seconds for a host and is
+    # then refused as not run.
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", Accepted("r", 1, 0.0))
     driver.receive("agent-0", Refused("r", 1, LEAVING, 1.0))
-    driver.give(LinkDown("agent-0"))
+    driver.handle(LinkDown("agent-0"))
     driver.pass_time(const.REQUEUE_SECONDS - 1)
     assert not driver.list_refusals()
     driver.pass_time(MAX_BACKOFF_SECONDS)
@@ -101,7 +101,7 @@
     assert driver.refusal.retry_after is not None
 
 
-def test_new_work_that_nobody_takes_is_refused_at_once() -> None:
+def test_new_work_that_no_host_accepts_is_refused_at_once() -> None:
     driver = Driver(hosts=1)
     driver.open(make_text())
     driver.receive("agent-0", Refused("r", 1, LEAVING, 1.0))
@@ -109,14 +109,14 @@
     assert driver.refusal.retry_after == 1.0
 
 
-def test_handover_is_had_again_over_a_new_link() -> None:
-    # The caller sees no gap. The agent hands the stream over just as the link breaks;
-    # the entry asks over the new link and gets the rest and the handover.
+def test_handover_is_repeated_over_a_new_link() -> None:
+    # The agent hands the stream over just as the link breaks. The entry attaches over
+    # the new link and gets the rest and the handover, so the caller sees no gap.
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
     driver.receive(host, make_chunk("r", 1, 0, b"ab"))
-    driver.give(LinkDown(host))
+    driver.handle(LinkDown(host))
     driver.link_up(host)
     assert driver.list_sent(Attach) == [(host, Attach("r", 1, 2))]
     driver.receive(host, make_chunk("r", 1, 2, b"c"))
@@ -126,7 +126,7 @@
     assert (offer.done, offer.kv) == (b"abc", KV)
 
 
-def test_prefilled_work_goes_on_with_its_cache() -> None:
+def test_decode_continues_with_the_prefilled_cache() -> None:
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
@@ -139,7 +139,7 @@
     assert request.next_stage == "decode"
 
 
-def test_prefill_moved_without_its_cache_starts_over() -> None:
+def test_prefill_moved_without_its_cache_restarts() -> None:
     driver = Driver()
     driver.open(make_text())
     host, _ = driver.find_offer()
