--- a/tests/entry/world.py
+++ b/tests/entry/world.py
@@ -261,7 +261,7 @@
         self.to_agent(link.ends.agent, agent_events.LinkUp(link.ends.entry))
 
     def notice_break(self, link: ModelLink, end: str) -> None:
-        """Let one end of a link notice that it is broken."""
+        """Break a link and report that to one of its ends."""
         link.broken = True
         if not link.known_up[end]:
             return
--- a/tests/integration/test_calls.py
+++ b/tests/integration/test_calls.py
@@ -20,23 +20,23 @@
 
 
 def lose_service_replies(fleet: Fleet) -> None:
-    """Let both services run some calls and lose the replies."""
+    """Make both services run the next calls but lose the replies."""
     for host in SERVICES:
         set_fault(fleet.upstreams[host].url, mode="lose_reply", count=3)
 
 
 def lose_table_replies(fleet: Fleet) -> None:
-    """Let the table lose the replies to some reads and writes."""
+    """Make the table lose the replies to the next reads and writes."""
     set_fault(fleet.standins["table"].url, mode="lose_reply", count=6)
 
 
 def take_table_down(fleet: Fleet) -> None:
-    """Let the table refuse everything."""
+    """Make the table refuse all requests."""
     set_fault(fleet.standins["table"].url, mode="down")
 
 
 def slow_table(fleet: Fleet) -> None:
-    """Let the table answer more slowly than a claim may take."""
+    """Make the table answer more slowly than a claim may take."""
     set_fault(fleet.standins["table"].url, mode="slow", seconds=3)
 
 
@@ -66,7 +66,7 @@
 
 
 def silence_links(fleet: Fleet) -> None:
-    """Let all links to the services go silent permanently."""
+    """Silence all links to the services' agents permanently."""
     for host in SERVICES:
         fleet.network.go_silent(far=host)
 
@@ -88,12 +88,12 @@
 
 
 def silence_table(fleet: Fleet) -> None:
-    """Let the open connections to the table go silent permanently."""
+    """Silence the open connections to the table permanently."""
     fleet.network.go_silent(far="table")
 
 
 def silence_service(fleet: Fleet) -> None:
-    """Let the open connections of agents to services go silent permanently."""
+    """Silence the open connections between agents and services permanently."""
     fleet.network.go_silent("booking-1", "upstream")
     fleet.network.go_silent("booking-2", "upstream")
 
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -208,7 +208,7 @@
 
 
 def silence_links(fleet: Fleet) -> None:
-    """Let the open links between all processes go silent permanently."""
+    """Silence the open links between all processes permanently."""
     for host in (*fleet.agents, "entry-2"):
         fleet.network.go_silent(far=host)
 
@@ -244,7 +244,7 @@
 
 
 def take_store_down(fleet: Fleet) -> None:
-    """Let the table and the objects refuse all requests."""
+    """Make the table and the objects refuse all requests."""
     for kind in ("table", "objects"):
         set_fault(fleet.standins[kind].url, mode="down")
 
