--- a/tests/entry/test_calls.py
+++ b/tests/entry/test_calls.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from radishtally.agent.const import REMEMBER_SECONDS
+from radishtally.agent.const import ATTEMPT_RETENTION_SECONDS
 from radishtally.links.messages import (
     KEY_REUSED,
     NOT_KNOWN,
@@ -69,7 +69,7 @@
 
 
 def test_agents_remember_attempts_longer_than_entries_trust_them() -> None:
-    assert 2 * const.NOT_RUN_TRUST_SECONDS <= REMEMBER_SECONDS
+    assert 2 * const.NOT_RUN_TRUST_SECONDS <= ATTEMPT_RETENTION_SECONDS
 
 
 def test_unanswered_offer_is_repeated_after_its_cancellation(driver: Driver) -> None:
