--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measure what one more of anything costs: the slopes behind docs/CAPACITY.md."""
+"""Measure the marginal costs of requests, hosts, links, teams and files for sizing."""
--- a/bench/capacity/admission.py
+++ b/bench/capacity/admission.py
@@ -1,4 +1,4 @@
-"""Cost of an offer at the agent."""
+"""Measure the cost of an offer at the agent."""
 
 import itertools
 from collections.abc import Iterator
@@ -13,19 +13,19 @@
 from radishtally.links.messages import Ack, Cancel, Offer
 
 SLOTS: Final = 140
-"""195,000 open streams at the peak over 1,400 servers."""
+"""Streams per server: 195,000 open streams at the peak, spread over 1,400 servers."""
 DEPTHS: Final = (0, 16, 64)
 RATES: Final = Rates(8_000.0, 0.061, SLOTS)
 LONG_SECONDS: Final = 1e6
 
 
 def make_job(number: int, deadline: float = LONG_SECONDS) -> Job:
-    """Make a job of the usual size."""
+    """Make a job of typical size."""
     return Job(f"{number}", 1, f"team-{number % 7}", 0, 1.0, 900, 229, deadline, 0.0)
 
 
 def time_admission(depth: int, deadline: float) -> float:
-    """Give the microseconds of admitting a job to a queue, or refusing it."""
+    """Measure the microseconds to admit a job to a queue, or to refuse it."""
     queue = WorkQueue()
     running = [Running(make_job(-n - 1), 0.0, 0, 100) for n in range(SLOTS)]
     for number in range(depth):
@@ -41,7 +41,7 @@
 
 
 def make_core(open_count: int, slots: int) -> AgentCore:
-    """Make an agent's core with so many requests at its engine or queued."""
+    """Make an agent's core with this many requests running or queued."""
     core = AgentCore("host-1", "pool-0")
     state = events.UpstreamRead(
         True, slots, 8_000.0, 0.061, "mixed", "gown-llm", "1", ()
@@ -53,14 +53,14 @@
 
 
 def offer_work(core: AgentCore, request: str, budget: float = LONG_SECONDS) -> None:
-    """Offer work to an agent's core."""
+    """Send an offer to an agent's core."""
     offer = Offer(make_work(request, "pool-0"), 1, budget)
     handle_event(events.Received("entry-1", offer), core, 0.0)
     core.next_wake(0.0)
 
 
 def time_offer(open_count: int, slots: int, budget: float) -> float:
-    """Give the microseconds of an offer and its withdrawal, or of its refusal."""
+    """Measure the microseconds of an offer and its withdrawal, or of its refusal."""
     core = make_core(open_count, slots)
     numbers = itertools.count()
 
@@ -75,29 +75,29 @@
 
 
 def time_token(open_count: int) -> float:
-    """Give the microseconds of one token from the engine, its chunk included."""
+    """Measure the microseconds of one token from the engine, including its chunk."""
     core = make_core(open_count, SLOTS)
     names = itertools.cycle(list(core.running))
-    moments = itertools.count()
+    steps = itertools.count()
 
-    def take_token() -> None:
-        now = next(moments) / 2_300
+    def handle_token() -> None:
+        now = next(steps) / 2_300
         handle_event(events.Produced(*next(names), b"word ", 1), core, now)
         core.next_wake(now)
 
-    return time_calls(take_token)
+    return time_calls(handle_token)
 
 
 def time_ack(open_count: int) -> float:
-    """Give the microseconds of an event that changes nothing."""
+    """Measure the microseconds of an event without effect: an ack for no request."""
     core = make_core(open_count, SLOTS)
     ack = events.Received("entry-1", Ack("gone", 1, 0))
 
-    def take_ack() -> None:
+    def handle_ack() -> None:
         handle_event(ack, core, 0.0)
         core.next_wake(0.0)
 
-    return time_calls(take_ack)
+    return time_calls(handle_ack)
 
 
 def measure_admission() -> Iterator[Figure]:
--- a/bench/capacity/configurations.py
+++ b/bench/capacity/configurations.py
@@ -1,4 +1,4 @@
-"""Cost of a configuration of the letter's size, and of one change of it."""
+"""Measure the cost of a full-size configuration and of a change to it."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -17,58 +17,60 @@
 
 
 def time_once(call: Callable[[], object]) -> float:
-    """Give the milliseconds of processor time of one call."""
+    """Measure the processor time of one call in milliseconds."""
     begin = time.process_time()
     call()
     return (time.process_time() - begin) * 1e3
 
 
 def change_file(files: dict[str, str], number: int) -> dict[str, str]:
-    """Change one file of teams."""
+    """Return the files with the shares in one file of teams changed."""
     text = files[CHANGED].replace('"share": 1', f'"share": {number + 1}')
     return files | {CHANGED: text}
 
 
 def measure_configuration() -> Iterator[Figure]:
-    """Measure the first merge, one change, and what moves for it."""
+    """Measure the first merge, the memory, and a change with its messages."""
     files = make_full_size_folder()
     total = sum(map(len, files.values()))
     at = {"files": len(files), "teams": 27_000}
     yield Figure("configuration, all files", total, "bytes", at)
     resident = read_resident()
-    keeper = ConfigurationReplica()
-    given = ConfigurationFiles(1, hash_files(files), files)
-    cost = time_once(lambda: keeper.adopt(given))
+    replica = ConfigurationReplica()
+    update = ConfigurationFiles(1, hash_files(files), files)
+    cost = time_once(lambda: replica.adopt(update))
     yield Figure("configuration, first taken", cost, "ms", at)
-    held = read_resident() - resident
-    yield Figure("configuration, held", held * 1e3 / len(files), "kB/file", at)
-    yield Figure("configuration, held", held, "MB", at)
+    resident_growth = read_resident() - resident
+    yield Figure(
+        "configuration, held", resident_growth * 1e3 / len(files), "kB/file", at
+    )
+    yield Figure("configuration, held", resident_growth, "MB", at)
     resident = read_resident()
     directories: list[Directory] = []
 
     def build() -> None:
-        directories.append(Directory(keeper.current.configuration))
+        directories.append(Directory(replica.current.configuration))
 
     cost = time_once(build)
     yield Figure("directory of callers, built", cost, "ms", at)
     yield Figure("directory of callers, held", read_resident() - resident, "MB", at)
-    yield from measure_change(keeper, files)
+    yield from measure_change(replica, files)
 
 
 def measure_change(
-    keeper: ConfigurationReplica, files: dict[str, str]
+    replica: ConfigurationReplica, files: dict[str, str]
 ) -> Iterator[Figure]:
-    """Measure one changed file, as it goes from a peer to a peer."""
-    ask = ConfigurationRequest(keeper.revision, dict(keeper.current.hashes))
+    """Measure the distribution of one changed file between two peers."""
+    request = ConfigurationRequest(replica.revision, dict(replica.current.hashes))
     costs = []
     for number in range(REPEATS):
         changed = change_file(files, number + 1)
         hashes = hash_files(changed)
-        given = ConfigurationFiles(2 + number, hashes, {CHANGED: changed[CHANGED]})
-        costs.append(time_once(lambda given=given: keeper.adopt(given)))
+        update = ConfigurationFiles(2 + number, hashes, {CHANGED: changed[CHANGED]})
+        costs.append(time_once(lambda update=update: replica.adopt(update)))
     at = {"files": len(files), "changed": 1}
     yield Figure("configuration, change taken", min(costs), "ms", at)
-    cost = time_calls(lambda: encode_frame([keeper.build_reply(ask)])) / 1e3
+    cost = time_calls(lambda: encode_frame([replica.build_reply(request)])) / 1e3
     yield Figure("change, answered by a peer", cost, "ms", at)
-    yield Figure("change, asked for", len(encode_frame([ask])), "bytes", at)
-    yield Figure("change, given", len(encode_frame([given])), "bytes", at)
+    yield Figure("change, asked for", len(encode_frame([request])), "bytes", at)
+    yield Figure("change, given", len(encode_frame([update])), "bytes", at)
--- a/bench/capacity/core.py
+++ b/bench/capacity/core.py
@@ -19,21 +19,21 @@
     "requests": "bench.capacity.requests:measure_requests",
     "spread": "bench.capacity.spread:measure_spread",
 }
-"""Modules are imported only when run: what they import would count as memory."""
+"""Functions by name. Modules are imported when run, as their imports use memory."""
 
 
 def find_measure(name: str) -> Measure:
-    """Find a measurement by its name."""
+    """Import the function of a measurement by its name."""
     module, _, function = MEASURES[name].partition(":")
     return getattr(importlib.import_module(module), function)
 
 
 def main() -> None:
-    """Run the measurements that are named, or all."""
+    """Run the measurements named on the command line, or all of them."""
     names = sys.argv[1:] or list(MEASURES)
     unknown = [name for name in names if name not in MEASURES]
     if unknown:
-        sys.exit(f"no measure {unknown[0]}; there are: {', '.join(MEASURES)}")
+        sys.exit(f"unknown measurement {unknown[0]}; known are: {', '.join(MEASURES)}")
     for name in names:
         for figure in find_measure(name)():
             print_figure(name, figure)
--- a/bench/capacity/figures.py
+++ b/bench/capacity/figures.py
@@ -1,4 +1,4 @@
-"""Figures that the measurements give."""
+"""Figures of the capacity measurements and the timing of calls."""
 
 import json
 import os
@@ -7,24 +7,24 @@
 from typing import Any, Final, NamedTuple
 
 QUIET_LOAD: Final = 4.0
-"""Load average from which a run is marked as taken on a busy machine."""
+"""Load average from which a figure is marked as taken on a busy machine."""
 
 
 class Figure(NamedTuple):
-    """Give the cost of one more of something."""
+    """Hold one measured cost."""
 
     what: str
     value: float
     unit: str
     at: dict[str, Any] = {}
-    """Circumstances that the figure holds for."""
+    """Conditions under which the figure was measured."""
 
 
 Measure = Callable[[], Iterator[Figure]]
 
 
 def print_figure(name: str, figure: Figure) -> None:
-    """Print a figure as a JSON line, with the command that gives it."""
+    """Print a figure as a JSON line, with the command that measures it."""
     load = os.getloadavg()[0]
     line = {
         "command": f"script/capacity {name}",
@@ -39,7 +39,7 @@
 
 
 def time_calls(call: Callable[[], object], seconds: float = 0.4) -> float:
-    """Give the microseconds of processor time of one call."""
+    """Measure the average processor time of a call in microseconds."""
     call()
     calls = 0
     begin = time.process_time()
--- a/bench/capacity/idle.py
+++ b/bench/capacity/idle.py
@@ -1,4 +1,4 @@
-"""What entries and agents cost when nobody asks for anything."""
+"""Measure what idle entries and agents cost."""
 
 import time
 from collections.abc import Iterator
@@ -13,31 +13,32 @@
 
 
 class Idle(NamedTuple):
-    """Hold what a fleet used in a second without requests."""
+    """Hold the usage per second of a fleet without requests."""
 
     reads: float
     writes: float
     entry: float
     """Processor seconds of one entry."""
     agent: float
+    """Processor seconds of one agent."""
 
 
 def measure_fleet(entries: int, agents: int) -> Idle:
-    """Watch a fleet that serves nothing."""
+    """Measure the usage of a fleet without requests."""
     fleet = make_fleet(entries, agents)
     with fleet:
         wait_to_settle(5.0)
-        counts = fleet.read_table_counts()
-        used = fleet.read_seconds("entry"), fleet.read_seconds("agent")
-        began = time.monotonic()
+        counts_before = fleet.read_table_counts()
+        cpu_before = fleet.read_seconds("entry"), fleet.read_seconds("agent")
+        started_at = time.monotonic()
         time.sleep(SECONDS)
-        took = time.monotonic() - began
-        after = fleet.read_table_counts()
-        entry = (fleet.read_seconds("entry") - used[0]) / entries
-        agent = (fleet.read_seconds("agent") - used[1]) / agents
-        reads = after["reads"] - counts["reads"]
-        writes = after["writes"] - counts["writes"]
-    return Idle(reads / took, writes / took, entry / took, agent / took)
+        elapsed = time.monotonic() - started_at
+        counts_after = fleet.read_table_counts()
+        entry = (fleet.read_seconds("entry") - cpu_before[0]) / entries
+        agent = (fleet.read_seconds("agent") - cpu_before[1]) / agents
+        reads = counts_after["reads"] - counts_before["reads"]
+        writes = counts_after["writes"] - counts_before["writes"]
+    return Idle(reads / elapsed, writes / elapsed, entry / elapsed, agent / elapsed)
 
 
 def measure_idle_fleets() -> Iterator[Figure]:
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -1,4 +1,4 @@
-"""Cost of following the hosts."""
+"""Measure the cost of membership tracking."""
 
 import itertools
 import json
@@ -25,7 +25,7 @@
 
 
 def make_listed(count: int) -> tuple[ListedHost, ...]:
-    """Make the lines of a host list."""
+    """Make the rows of a host list."""
     return tuple(
         ListedHost(f"host-{n}", f"place-{n % 8}", f"pool-{n % POOLS}", ADDRESS, LIVE)
         for n in range(count)
@@ -47,7 +47,7 @@
 
 
 def make_list_body(count: int) -> bytes:
-    """Make the reply that a host list gives."""
+    """Make the body of a host list reply."""
     groups = [
         {
             "targets": [item.address],
@@ -64,7 +64,7 @@
 
 
 def measure_members() -> Iterator[Figure]:
-    """Measure the membership's events."""
+    """Measure membership events and the parsing of the host list."""
     for count in HOSTS:
         at = {"hosts": count}
         membership = make_membership(count)
@@ -74,23 +74,25 @@
         def tick(membership: Membership = membership) -> None:
             handle(Tick(), membership, 1.0)
 
-        def read(
+        def apply_list(
             membership: Membership = membership, listed: HostListRead = listed
         ) -> None:
             handle(listed, membership, 1.0)
 
-        def hear(
+        def receive_traffic(
             membership: Membership = membership, hosts: Iterator[str] = hosts
         ) -> None:
             handle(TrafficReceived(next(hosts)), membership, 1.0)
 
-        def find(membership: Membership = membership) -> None:
+        def find_usable(membership: Membership = membership) -> None:
             membership.find_usable(1.0, "pool-0")
 
         yield Figure("membership, tick", time_calls(tick), "us", at)
-        yield Figure("membership, list taken", time_calls(read), "us", at)
-        yield Figure("membership, sign of life", time_calls(hear), "us", at)
-        yield Figure("membership, usable hosts of a pool", time_calls(find), "us", at)
+        yield Figure("membership, list taken", time_calls(apply_list), "us", at)
+        yield Figure("membership, sign of life", time_calls(receive_traffic), "us", at)
+        yield Figure(
+            "membership, usable hosts of a pool", time_calls(find_usable), "us", at
+        )
         body = make_list_body(count)
         reply = Reply(200, body)
         cost = time_calls(lambda reply=reply: _parse_reply(reply))
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -1,4 +1,4 @@
-"""Memory for one more of what entries and agents hold."""
+"""Measure the memory for each host, request, answer and team that is held."""
 
 import gc
 import itertools
@@ -26,20 +26,20 @@
 
 
 def measure_bytes(build: Callable[[], object]) -> float:
-    """Give the bytes that what is built keeps."""
+    """Measure the bytes retained by the object that a function builds."""
     build()
     gc.collect()
     tracemalloc.start()
-    kept = build()
+    built = build()
     gc.collect()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del built
     return used
 
 
 def build_hosts(count: int) -> object:
-    """Build what an entry knows of hosts."""
+    """Build an entry's membership and dispatch state for this many hosts."""
     core = DispatchCore("entry-1", "place-0", random.Random(1))
     membership = make_membership(count)
     for name, member in membership.members.items():
@@ -65,7 +65,7 @@
 
 
 def build_steps(count: int) -> object:
-    """Build the remembered steps of ended requests."""
+    """Build the recorded steps of ended requests."""
     steps = RequestSteps()
     for number in range(count):
         for step in range(4):
@@ -92,7 +92,7 @@
 
 
 def build_tombstones(count: int) -> object:
-    """Build an agent's marks against late offers."""
+    """Build an agent's tombstones, which refuse late offers of cancelled requests."""
     core = make_core(0, 1)
     for number in range(count):
         cancel = agent_events.Received("entry-1", Cancel(f"{number:032}", 1))
@@ -101,14 +101,14 @@
 
 
 def build_teams(count: int) -> object:
-    """Build the configuration in force with so many teams."""
+    """Build the applied configuration with this many teams."""
     files = make_folder(count, max(1, count // 100), 1, 8)
     configuration = merge_files(files).ok
     return files, configuration, Directory(configuration)
 
 
 def measure_memory() -> Iterator[Figure]:
-    """Measure what each thing takes, over and above none of it."""
+    """Measure the memory per item as the difference between two counts of items."""
     builds = {
         "host known": (build_hosts, 1_000),
         "request open, body of 4 kB": (build_requests, 1_000),
@@ -117,8 +117,8 @@
         "tombstone": (build_tombstones, 1_000),
         "team": (build_teams, 2_000),
     }
-    for what, (build, count) in builds.items():
+    for name, (build, count) in builds.items():
         base = measure_bytes(lambda build=build, count=count: build(count // 2))
         full = measure_bytes(lambda build=build, count=count: build(count))
         each = (full - base) / (count - count // 2) / 1e3
-        yield Figure(f"memory, {what}", each, "kB", {"count": count})
+        yield Figure(f"memory, {name}", each, "kB", {"count": count})
--- a/bench/capacity/peer.py
+++ b/bench/capacity/peer.py
@@ -1,4 +1,4 @@
-"""Be the far end of measured links, as a process of its own."""
+"""Run the remote end of the measured links in a separate process."""
 
 import asyncio
 import json
@@ -18,14 +18,14 @@
 
 
 def make_load(host: str) -> Load:
-    """Make a load report of the usual size."""
+    """Make a load report of typical size."""
     figures = 3, 12, 16, 0.41, 0.0813, 8123.5, 0.0231
     names = "mixed", "gown-llm", "2026.11", ("alteration-sheet", "fabric-tag")
     return Load(host, *figures, *names, False, 1_812_331, 712_998, 9_177, 41)
 
 
 def make_hub(host: str, receive: Callable[[str, Message], None]) -> LinkHub:
-    """Make a hub that does nothing but what it is told."""
+    """Make a link hub whose only active callback is `receive`."""
     hello = Hello(host, "place", "agent", host, 1)
     ignore = lambda *_: None  # noqa: E731
     return LinkHub(
@@ -34,7 +34,7 @@
 
 
 async def run_agents(count: int, reports: bool) -> None:
-    """Listen as so many hosts; answer pings with a load, as agents do."""
+    """Listen as this many hosts; with `reports`, answer pings with a load report."""
     hubs: list[LinkHub] = []
     addresses = {}
     for number in range(count):
--- a/bench/capacity/requests.py
+++ b/bench/capacity/requests.py
@@ -1,4 +1,4 @@
-"""What a request costs at the entry and the agent, by real daemons."""
+"""Measure what a request costs at the entry and the agent with real daemons."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 class Pace(NamedTuple):
-    """Describe a run: how fast the engines are and how much is asked of them."""
+    """Describe the engine speed and the load of a run."""
 
     name: str
     speed: float
@@ -28,8 +28,8 @@
     at_once: int
 
 
-# Tokens come to the caller in parts of about 20 ms. At the pace of the letter each is
-# a part of its own; at a fast one many share a part.
+# An entry sends tokens to the caller in parts of about 20 ms. At 57 ms a token each
+# token is a separate part; at 2 ms a token many tokens share a part.
 PACES: Final = (
     Pace("57 ms a token", 0.355, 96, 32),
     Pace("2 ms a token", 10.0, 400, 12),
@@ -37,18 +37,18 @@
 
 
 class Cost(NamedTuple):
-    """Hold the processor seconds of one request."""
+    """Hold the average processor seconds of one request."""
 
     entry: float
     agent: float
     parts: float
-    """Parts that a caller was sent."""
+    """Parts of the answer that the caller received."""
 
 
 async def ask(
     session: aiohttp.ClientSession, url: str, tokens: int, streamed: bool, number: int
 ) -> int:
-    """Ask once and count the parts of the answer."""
+    """Send one request and return the number of parts of the answer."""
     body = {
         "model": "model-0",
         "messages": [{"role": "user", "content": f"{number} {PROMPT}"}],
@@ -68,67 +68,70 @@
 async def ask_all(
     url: str, tokens: int, streamed: bool, requests: int, at_once: int
 ) -> int:
-    """Ask many times, some at once; give the number of parts."""
+    """Send requests, `at_once` of them concurrently; return the number of parts."""
     numbers = iter(range(requests))
     parts = 0
     headers = {"Authorization": "Bearer key-0"}
     async with aiohttp.ClientSession(headers=headers) as session:
 
-        async def ask_on() -> None:
+        async def ask_repeatedly() -> None:
             nonlocal parts
             for number in numbers:
-                given = await ask(session, url, tokens, streamed, number)
-                parts += given
+                part_count = await ask(session, url, tokens, streamed, number)
+                parts += part_count
 
-        await asyncio.gather(*[ask_on() for _ in range(at_once)])
+        await asyncio.gather(*[ask_repeatedly() for _ in range(at_once)])
     return parts
 
 
-class Clock:
-    """Read the processor time that a fleet used over what it uses when idle."""
+class CpuClock:
+    """Measure the processor time of a fleet in excess of its idle usage."""
 
     def __init__(self, fleet: SharedFleet) -> None:
         self._fleet = fleet
-        began, before = time.monotonic(), self._read()
+        started_at, before = time.monotonic(), self._read()
         time.sleep(IDLE_SECONDS)
-        took = time.monotonic() - began
+        elapsed = time.monotonic() - started_at
         after = self._read()
         self._idle = [
-            (two - one) / took for one, two in zip(before, after, strict=True)
+            (two - one) / elapsed for one, two in zip(before, after, strict=True)
         ]
-        self._began, self._before = began, after
+        self._started_at, self._before = started_at, after
 
     def start(self) -> None:
-        """Begin to count."""
-        self._began, self._before = time.monotonic(), self._read()
+        """Start a measurement."""
+        self._started_at, self._before = time.monotonic(), self._read()
 
     def stop(self) -> list[float]:
-        """Give the seconds used by the entry and the agents."""
-        took = time.monotonic() - self._began
-        used = zip(self._before, self._read(), self._idle, strict=True)
-        return [two - one - idle * took for one, two, idle in used]
+        """Return the processor seconds of the entry and of all agents."""
+        elapsed = time.monotonic() - self._started_at
+        readings = zip(self._before, self._read(), self._idle, strict=True)
+        return [two - one - idle * elapsed for one, two, idle in readings]
 
     def _read(self) -> list[float]:
         return [self._fleet.read_seconds(role) for role in ("entry", "agent")]
 
 
 def measure_cost(
-    fleet: SharedFleet, clock: Clock, pace: Pace, tokens: int, streamed: bool
+    fleet: SharedFleet, clock: CpuClock, pace: Pace, tokens: int, streamed: bool
 ) -> Cost:
-    """Measure requests of one kind."""
+    """Measure the average cost of requests with this many tokens, after a warm-up."""
     url = next(iter(fleet.entries.values())).url
     uvloop.run(ask_all(url, SHORT, streamed, pace.at_once, pace.at_once))
     clock.start()
     parts = uvloop.run(ask_all(url, tokens, streamed, pace.requests, pace.at_once))
-    entry, agent = (used / pace.requests for used in clock.stop())
+    entry, agent = (cpu_seconds / pace.requests for cpu_seconds in clock.stop())
     return Cost(entry, agent, parts / pace.requests)
 
 
 def measure_pace(pace: Pace) -> Iterator[Figure]:
-    """Measure whole and streamed answers, short and long, at one pace."""
+    """Measure unstreamed and streamed answers, short and long, at one pace.
+
+    The difference between short and long answers gives the cost of a token.
+    """
     with make_fleet(entries=1, agents=AGENTS, speed=pace.speed) as fleet:
         wait_to_settle()
-        clock = Clock(fleet)
+        clock = CpuClock(fleet)
         for streamed in (False, True):
             kind = "streamed" if streamed else "whole"
             short = measure_cost(fleet, clock, pace, SHORT, streamed)
@@ -147,6 +150,6 @@
 
 
 def measure_requests() -> Iterator[Figure]:
-    """Measure at each pace."""
+    """Measure requests at each pace."""
     for pace in PACES:
         yield from measure_pace(pace)
--- a/bench/capacity/routing.py
+++ b/bench/capacity/routing.py
@@ -1,4 +1,4 @@
-"""Cost of a routing choice and of the entry's bookkeeping."""
+"""Measure the cost of a routing choice and of the entry's dispatch core."""
 
 import itertools
 import random
@@ -26,7 +26,7 @@
 
 
 def make_work(request: str, upstream: str) -> Work:
-    """Make work of the usual size."""
+    """Make a work item of typical size."""
     return Work(
         request, "team", upstream, CHAT, BODY, "gown-llm", prompt_tokens=900,
         max_tokens=229, prefix=hash(request),
@@ -34,7 +34,7 @@
 
 
 def make_core(hosts: int, pools: int) -> DispatchCore:
-    """Make an entry's core that knows so many live hosts and their loads."""
+    """Make an entry's core with this many live hosts that have reported their load."""
     core = DispatchCore("entry-1", "place-0", random.Random(1))
     for number in range(hosts):
         place, upstream = f"place-{number % 8}", f"pool-{number % pools}"
@@ -43,14 +43,14 @@
 
 
 def add_host(core: DispatchCore, host: str, place: str, upstream: str) -> None:
-    """Make a host known that is live, linked and has reported its load."""
+    """Add a host that is live, linked and has reported its load."""
     core.set_host(host, place, upstream, True)
     handle_event(events.LinkUp(Hello(host, place, "agent", "one", 1)), core, 0.0)
     handle_event(events.Received(host, make_load(host)), core, 0.0)
 
 
 def open_requests(core: DispatchCore, count: int) -> list[tuple[str, str]]:
-    """Open so many requests that are accepted; give them with their hosts."""
+    """Open this many accepted requests; return their ids and hosts."""
     opened = []
     for number in range(count):
         request = f"{number:032}"
@@ -64,7 +64,7 @@
 
 
 def time_choice(hosts: int) -> float:
-    """Give the microseconds of one choice among so many hosts."""
+    """Measure the microseconds of one choice among this many hosts."""
     candidates = [
         Candidate(f"host-{n}", f"place-{n % 8}", make_load(f"host-{n}"), 0.5, 3, 2)
         for n in range(hosts)
@@ -72,16 +72,14 @@
     numbers = itertools.count()
 
     def choose_once() -> None:
-        wanted = WorkSpec(
-            WHOLE, next(numbers), "gown-llm", "", 900, 229, 30.0, "place-0"
-        )
-        choose_host(wanted, candidates, ())
+        spec = WorkSpec(WHOLE, next(numbers), "gown-llm", "", 900, 229, 30.0, "place-0")
+        choose_host(spec, candidates, ())
 
     return time_calls(choose_once)
 
 
 def time_request(hosts: int, pools: int) -> float:
-    """Give the microseconds of the core's part of one request, from offer to end."""
+    """Measure the microseconds that the core takes for one request, arrival to end."""
     core = make_core(hosts, pools)
     numbers = itertools.count()
 
@@ -99,18 +97,18 @@
 
 
 def time_chunk(open_count: int) -> float:
-    """Give the microseconds of one chunk with so many requests open."""
+    """Measure the microseconds of one chunk with this many open requests."""
     core = make_core(1_400, POOLS)
     opened = itertools.cycle(open_requests(core, open_count))
 
-    def take_chunk() -> None:
+    def handle_chunk() -> None:
         request, host = next(opened)
         offset = len(core.requests[request].received)
         message = Chunk(request, 1, offset, b"word ", 1)
         handle_event(events.Received(host, message), core, 0.0)
         core.next_wake()
 
-    return time_calls(take_chunk)
+    return time_calls(handle_chunk)
 
 
 def measure_routing() -> Iterator[Figure]:
--- a/bench/capacity/samples.py
+++ b/bench/capacity/samples.py
@@ -1,4 +1,4 @@
-"""Configuration folders of any size."""
+"""Generate configuration folders of any size."""
 
 import hashlib
 import json
@@ -13,12 +13,12 @@
 
 
 def hash_name(name: str) -> str:
-    """Make a key's hash."""
+    """Return the SHA-256 of a key in hex."""
     return hashlib.sha256(name.encode()).hexdigest()
 
 
 def make_folder(teams: int, team_files: int, pools: int, hosts: int) -> dict[str, str]:
-    """Make the files of a folder: teams spread over files, one more file a pool."""
+    """Make the files of a folder: teams spread over `team_files`, one file per pool."""
     files = {"10-places.json": make_places(pools)}
     for pool in range(pools):
         files[f"30-pool-{pool:03}.json"] = make_pool(pool, pools, hosts)
@@ -28,10 +28,11 @@
 
 
 def make_full_size_folder() -> dict[str, str]:
-    """Make a folder of the letter's size: 27,000 teams in 277 files with the rest."""
+    """Make the folder of a full-size deployment: 27,000 teams, 277 files in all."""
     files = make_folder(TEAMS, TEAM_FILES, POOLS, HOSTS)
     pools = [name for name in files if name.startswith("30-")]
-    # Six files hold the 34 pools, so that there are 277 with the places and operators.
+    # Merge the 34 pools into six files: with 270 files of teams and the one of places
+    # and operators there are 277.
     merged: dict[str, dict[str, object]] = {}
     for number, name in enumerate(pools):
         part = merged.setdefault(f"30-pools-{number % 6}.json", {"upstreams": {}})
@@ -40,7 +41,7 @@
 
 
 def make_places(pools: int) -> str:
-    """Make the file of the places, models and operators."""
+    """Make the file of places, models, operators and the policy."""
     content = {
         "deployment": "capacity",
         "places": {
--- a/bench/capacity/spread.py
+++ b/bench/capacity/spread.py
@@ -1,4 +1,4 @@
-"""Time from the acceptance of a change until it is in force everywhere."""
+"""Measure the time from accepting a change until every process applies it."""
 
 import json
 import time
@@ -11,46 +11,48 @@
 FLEETS: Final = ((1, 4), (3, 17), (6, 54), (12, 78))
 """Entries and agents."""
 CHANGES: Final = 5
-LIMIT_SECONDS: Final = 60.0
-EVENT: Final = "configuration:in_force"
+CHANGE_TIMEOUT_SECONDS: Final = 60.0
+IN_FORCE_EVENT: Final = "configuration:in_force"
 
 
 def find_in_force(fleet: SharedFleet, host: str, revision: int) -> float | None:
-    """Find when a revision came into force at a host, by its log."""
+    """Return when a host applied a revision or a later one, according to its log."""
     for line in fleet.read_log(host).splitlines():
-        if EVENT not in line:
+        if IN_FORCE_EVENT not in line:
             continue
-        said = json.loads(line)
-        if said["revision"] >= revision:
-            return said["timestamp"]
+        log_line = json.loads(line)
+        if log_line["revision"] >= revision:
+            return log_line["timestamp"]
     return None
 
 
 def time_change(fleet: SharedFleet, number: int) -> float:
-    """Change a file and give the seconds until every process has it in force."""
+    """Change a file and measure the seconds until every process applies the change."""
     text = json.dumps({"policy": {"deadline_seconds": 60 + number}})
     base = number
     revision = fleet.apply({"90-change.json": text}, fleet.operator_key, base)
     accepted = time.time()
-    left = {*fleet.entries, *fleet.agents}
+    pending = {*fleet.entries, *fleet.agents}
     last = 0.0
-    while left and time.time() - accepted < LIMIT_SECONDS:
-        for host in list(left):
+    while pending and time.time() - accepted < CHANGE_TIMEOUT_SECONDS:
+        for host in list(pending):
             at = find_in_force(fleet, host, revision)
             if at is not None:
                 last = max(last, at)
-                left.discard(host)
+                pending.discard(host)
         time.sleep(0.02)
-    assert not left, f"not in force after {LIMIT_SECONDS} s at {sorted(left)}"
+    assert not pending, (
+        f"change not applied after {CHANGE_TIMEOUT_SECONDS} s at {sorted(pending)}"
+    )
     return last - accepted
 
 
 def measure_spread() -> Iterator[Figure]:
-    """Measure fleets of several sizes."""
+    """Measure the spread of changes in fleets of several sizes."""
     for entries, agents in FLEETS:
         with make_fleet(entries, agents) as fleet:
             wait_to_settle()
-            took = [time_change(fleet, number + 1) for number in range(CHANGES)]
+            durations = [time_change(fleet, number + 1) for number in range(CHANGES)]
         at = {"processes": entries + agents, "entries": entries, "changes": CHANGES}
-        longest = max(took) * 1e3
+        longest = max(durations) * 1e3
         yield Figure("change in force everywhere, longest", longest, "ms", at)
--- a/bench/capacity/startup.py
+++ b/bench/capacity/startup.py
@@ -1,4 +1,4 @@
-"""Memory of a bare process, and what each library adds to it."""
+"""Measure the memory of a bare process and what each import adds to it."""
 
 import subprocess
 import sys
@@ -28,7 +28,7 @@
 
 
 def measure_imports(role: str) -> Iterator[Figure]:
-    """Measure what each import adds, in the order given."""
+    """Measure the memory that each import adds, in the order of `IMPORTS`."""
     command = [sys.executable, "-c", CODE, *IMPORTS[role]]
     lines = subprocess.run(
         command, cwd=ROOT, env=make_environment(), capture_output=True, check=True
@@ -43,7 +43,7 @@
 
 
 def measure_startup() -> Iterator[Figure]:
-    """Measure imports, and daemons that have just started and serve nothing."""
+    """Measure the memory of imports and of daemons just started and idle."""
     for role in IMPORTS:
         yield from measure_imports(role)
     fleet = make_fleet(entries=1, agents=2)
--- a/bench/capacity/usage.py
+++ b/bench/capacity/usage.py
@@ -1,4 +1,4 @@
-"""What a process has used, by the kernel's count."""
+"""Read the processor time and memory of a process from /proc."""
 
 import gc
 import os
@@ -7,16 +7,16 @@
 
 
 class Usage(NamedTuple):
-    """Hold what one process has used."""
+    """Hold the processor time and memory of one process."""
 
     seconds: float
     """Processor time since its start."""
     resident: float
-    """MB, pages shared with other processes included."""
+    """Resident memory in MB, including pages shared with other processes."""
 
 
 def read_usage(pid: int | None = None) -> Usage:
-    """Read the usage of a process, by default this one."""
+    """Read the usage of a process, by default the current one."""
     folder = Path("/proc") / str(pid or os.getpid())
     nanoseconds = int((folder / "schedstat").read_text().split()[0])
     pages = int((folder / "statm").read_text().split()[1])
@@ -24,6 +24,6 @@
 
 
 def read_resident() -> float:
-    """Give this process's resident MB after a garbage collection."""
+    """Return the resident MB of the current process after a garbage collection."""
     gc.collect()
     return read_usage().resident
