--- a/radishtally/engines/choice.py
+++ b/radishtally/engines/choice.py
@@ -23,8 +23,8 @@
 RECOMPUTE_TOKEN_SECONDS: Final = 40e-6
 """Penalty for each token of a shared part that is prefilled again, in addition to the
 time it takes: the work is done twice, and the part then occupies two engines' caches.
-The penalty also counts for prompts that are already late; without it there, a quarter
-more tokens are prefilled again."""
+The penalty also applies to prompts that will be late, which reduces the tokens that are
+prefilled again by a quarter."""
 ON_TIME_SHARE: Final = 0.7
 """Share of the latency objective within which a prediction counts as safely on time, so
 that cached parts decide and not the earliest start."""
--- a/radishtally/gateway/members.py
+++ b/radishtally/gateway/members.py
@@ -319,7 +319,7 @@
                 self._removals.append(_Removal(now, instance))
 
     def _find_mass_removals(self) -> frozenset[str]:
-        """Return the upstreams that lose more hosts at once than maintenance removes."""
+        """Return upstreams that lose more hosts at once than maintenance removes."""
         lost = {removal.instance.host: removal.instance for removal in self._removals}
         in_service = {
             host: instance
