--- a/tests/gateway/test_poison_requests.py
+++ b/tests/gateway/test_poison_requests.py
@@ -221,7 +221,7 @@
 def test_request_is_denied_while_the_store_is_away() -> None:
     async def scenario() -> None:
         async with run_fleet(answering=9, gateways=2) as fleet:
-            fleet.env.rows.gate._fault = {"mode": "down"}
+            fleet.env.rows.fault_gate._fault = {"mode": "down"}
             for number in range(REPEATS):
                 await fleet.send(number, f"poison-{number}")
             assert fleet.arrivals <= ENDS_ALLOWED + RETRIES_ALLOWED
@@ -263,7 +263,7 @@
     async def scenario() -> None:
         async with run_fleet(answering=3) as fleet:
             for engine in fleet.decode_engines:
-                engine.born = 1_000
+                engine.started_ms = 1_000
                 fleet.env.announce_engine(engine)
             core = fleet.gateways[0].core
             for number in range(REPEATS):
