--- a/radishtally/authority/lease.py
+++ b/radishtally/authority/lease.py
@@ -4,9 +4,9 @@
 has stayed unchanged for the lease duration and a margin on the contender's own
 monotonic clock. The holder counts its lease from before it sent the write.
 
-A store that is restored from an older copy starts a new era and loses the writes that
-it has acknowledged since that copy. A row from before an era doesn't show who holds the
-lease in it, so a contender that enters an era waits out the longest lease it knows of.
+Restoring the store from a backup starts a new era: writes acknowledged since the backup
+are lost. A row written in an earlier era does not show who holds the lease now, so a
+contender that enters a new era first waits for the longest lease duration it knows of.
 """
 
 from functools import singledispatchmethod
@@ -47,6 +47,8 @@
 
 
 class _Held(NamedTuple):
+    """Represent a lease held by this process; the times are monotonic."""
+
     fencing: int
     until: float
     renew_at: float
@@ -90,7 +92,7 @@
         return None if self._held is None else self._held.fencing
 
     def make_check(self, now: float) -> Check | None:
-        """Build the check that makes a transaction fail once the lease has moved on."""
+        """Build a check that fails a transaction if the lease row has changed."""
         if not self.holds(now) or self.row.row is None:
             return None
         return Check(self.key, self.row.rev)
@@ -133,8 +135,8 @@
 
     @_apply.register
     def _(self, event: WriteSettled, now: float) -> list[Command]:
-        # A write of an earlier era may have been applied and lost, or may be applied
-        # late by chance. Its outcome says nothing about the current row.
+        # A write of an earlier era may have been applied and then lost in the restore,
+        # or may still be applied. Its outcome says nothing about the current row.
         if event.write_id not in self._sent_writes:
             return []
         self._call_in_flight = False
@@ -187,12 +189,13 @@
     def _(self, event: EraEntered, now: float) -> list[Command]:
         if event.era <= self.row.era:
             return []
-        # Failure: a restore loses the last holder's row. What reappears is released,
-        # this process's own older row, or no row. Symptom: a second holder gives
-        # orders. Therefore all knowledge of the row is dropped and its age counts from
-        # the first read in this era; any holder wrote earlier, so its time ends first.
-        # A process that has just started can't tell its first sight of an era from a
-        # restore, so even the very first holder waits if the store reports eras.
+        # A restore may lose the current holder's row and bring back a released row, an
+        # older row of this process, or no row. A contender that trusts it takes over at
+        # once, and two holders give orders. Therefore everything known about the row is
+        # discarded, and the time for which it is unchanged counts from the first read
+        # in this era. A holder wrote its row before that read, so its lease ends first.
+        # A process that has just started can't distinguish a restore from the first era
+        # that it sees, so even the very first holder waits if the store reports eras.
         self.row.enter_era(event.era)
         self._era_entered_at = now
         self._sent_writes.clear()
@@ -237,8 +240,8 @@
             return []
         fencing = sent.value["fencing"]
         gained = self._held is None
-        # The reply to this renewal came after the lease had lapsed. Its fencing token
-        # was abandoned with the lease, and the next write uses a new one.
+        # If the reply to a renewal arrives after the lease has lapsed, the lease is not
+        # regained: its fencing token was abandoned, and the next write uses a new one.
         if gained and fencing <= self._highest_fencing:
             return []
         until = sent.sent_at + sent.value["granted"] - self.terms.margin
--- a/radishtally/authority/lease_driver.py
+++ b/radishtally/authority/lease_driver.py
@@ -85,11 +85,11 @@
         return self._core.holds(self._clock())
 
     def set_contender_count(self, contenders: int) -> None:
-        """Read less often the more processes contend, to limit the load on the store.
+        """Scale the read interval with the contenders, to limit the load on the store.
 
         It is enough that one contender reads soon after the lease lapses. The interval
         stays below the lease duration: otherwise a row renewed in between would seem to
-        have lapsed, and the takeover would be attempted in vain.
+        have lapsed, and the attempted takeover would fail.
         """
         self._contenders = contenders
         shortest = self._terms.read_every
@@ -120,7 +120,7 @@
         self.set_contender_count(self._contenders)
 
     def make_check(self) -> Check | None:
-        """Build the check that makes a transaction fail once the lease has moved on."""
+        """Build a check that fails a transaction if the lease row has changed."""
         return self._core.make_check(self._clock())
 
     def give_up(self, fencing: int) -> None:
--- a/radishtally/authority/lease_row.py
+++ b/radishtally/authority/lease_row.py
@@ -37,7 +37,7 @@
         return ABSENT if self.row is None else self.row.rev
 
     def record_lease_time(self, granted: float) -> None:
-        """Remember a duration that a lease may have been granted for."""
+        """Record a duration for which a lease may have been granted."""
         self._longest_granted = max(self._longest_granted, granted)
 
     def enter_era(self, era: int) -> None:
@@ -125,7 +125,8 @@
         return is_own or self.value["granted"] == RELEASED
 
     def _find_lease_time(self) -> float:
-        # A row of another era, or an invalid one, may have replaced a holder's row.
+        # A row of another era, or an invalid one, may have replaced the row of a holder
+        # whose lease duration is then unknown.
         if self.value is None or self._get_era() != self.era:
             return self._longest_granted
         return self.value["granted"]
--- a/radishtally/authority/lease_value.py
+++ b/radishtally/authority/lease_value.py
@@ -13,7 +13,7 @@
 
 
 def parse_lease_value(value: dict[str, Any]) -> Result[LeaseValue, str]:
-    """Parse a row's value, which a foreign writer may have filled with anything."""
+    """Parse a row's value, which other software may have filled with anything."""
     fault = _find_fault(value)
     if fault is not None:
         return Error(fault)
--- a/radishtally/authority/order_events.py
+++ b/radishtally/authority/order_events.py
@@ -28,7 +28,7 @@
     """Define the timing of the agent's orders, in seconds."""
 
     settle: float = 2.0
-    """How long an order from a dead predecessor may stay in flight on the same host."""
+    """Time for which an order of an agent that died may stay in flight on the host."""
     poll: float = 1.0
     """Interval of engine reads, and of plan reads while a change is pending."""
     busy_poll: float = 0.2
--- a/radishtally/authority/orders.py
+++ b/radishtally/authority/orders.py
@@ -43,11 +43,15 @@
 
 
 class _Step(NamedTuple):
+    """Represent one change that brings the engine closer to the wanted state."""
+
     kind: str
     adapter: str = ""
 
 
 class _SentOrder(NamedTuple):
+    """Represent an order and the engine's state before it."""
+
     order: SendOrder
     before: EngineStatus
     accepted_at: float = float("inf")
@@ -65,18 +69,21 @@
         self._reading_plan = False
         self._needs_plan_read = True
         self._plan_read_needed_at = float("-inf")
+        # Highest fencing token seen, and the highest plan number under it.
         self._highest_seen = (0, 0)
         self._engine: EngineStatus | None = None
         self._engine_asked_at = float("-inf")
         self._engine_read_at = float("-inf")
         self._reading_engine = False
-        # A previous agent on this host may have died with an order in flight.
+        # Whether no order of unknown outcome can still take effect. False at first: a
+        # previous agent on this host may have died with an order in flight.
         self._settled = False
         self._idle_since: float | None = None
         self._draining = False
         self._drained_at: float | None = None
         self._sent: _SentOrder | None = None
         self._accepted: _SentOrder | None = None
+        # Part of the order id; a new generation makes the engine run an order again.
         self._generation = 0
         self._failures = 0
         self._retry_at = float("-inf")
@@ -121,8 +128,8 @@
         if plan is None:
             return []
         if (plan.fencing, plan.number) < self._highest_seen:
-            # A newer plan or fencing token has been seen; an order by this plan could
-            # undo what was done under it.
+            # A newer plan or fencing token has been seen; an order from this older plan
+            # could undo changes made under the newer one.
             return []
         if self._plan is not None and plan.number != self._plan.number:
             self._reset_failures()
@@ -135,7 +142,7 @@
     def _(self, event: PlanUnreadable, now: float) -> list[Command]:
         self._reading_plan = False
         self._plan_asked_at = float("-inf")
-        # The order can't be given now, so the drained engine would sit idle.
+        # No order can be sent without a fresh plan, so a drained engine would idle.
         return self._end_drain()
 
     @_apply.register
@@ -194,12 +201,12 @@
     def _check_settled(
         self, engine: EngineStatus, asked_at: float, now: float, restarted: bool
     ) -> None:
-        """Determine whether an order of unknown outcome may still take effect.
+        """Update whether an order of unknown outcome may still take effect.
 
-        An order from a dead predecessor, or one whose reply was lost, may arrive after
-        the next order and undo it. Such an order sits in this host's own sockets, so an
-        engine that has answered twice over the settle time without starting a change
-        has read everything that was sent to it before.
+        An order from an agent that died, or one whose reply was lost, may arrive after
+        the next order and undo it. Such an order waits in a socket of this host. An
+        engine that every read over the settle time shows idle has read everything that
+        was sent to it before.
         """
         if self._settled:
             return
--- a/radishtally/authority/plan_store.py
+++ b/radishtally/authority/plan_store.py
@@ -62,7 +62,7 @@
         """Return the fencing token if the lease is held now."""
 
     def make_check(self) -> Check | None:
-        """Build the check that makes a transaction fail once the lease has moved on."""
+        """Build a check that fails a transaction if the lease row has changed."""
 
 
 def _read_wall_ms() -> int:
