--- a/radishtally/claims/core.py
+++ b/radishtally/claims/core.py
@@ -65,15 +65,16 @@
 OUTCOME_SLOT_INTERVAL: Final = 4
 """One in this many slots of a group is reserved for outcomes while any are queued."""
 FAILURES_TO_SUSPEND: Final = 4
-"""Consecutive failures, over about a second, after which new claims are refused while
-the backoff lasts."""
+"""Consecutive failures after which new claims are refused while the backoff lasts. With
+the default backoff they take about a second."""
 
 
 class ClaimLimits(NamedTuple):
-    """Limits of batching, retries and memory."""
+    """Define the limits on batching, retries and memory."""
 
     group_size: int = MAX_WRITES
     group_seconds: float = 0.004
+    """Time for which a queued write waits for others to join its transaction."""
     max_groups: int = 4
     """Concurrent transactions."""
     first_retry_seconds: float = 0.1
@@ -96,6 +97,7 @@
         self.value = value
         self.expect = expect
         self.caller: int | None = None
+        """Caller that waits for the claim; None for outcomes and expired claims."""
         self.claim_write_ids: frozenset[str] = frozenset()
         """Write ids under which the claim itself may have been written."""
         self.write_ids: set[str] = set()
@@ -136,7 +138,7 @@
         self._finished: OrderedDict[Key, _GrantedCall] = OrderedDict()
         self._finished_bytes = 0
         self._waiting_bytes = 0
-        self._size = limits.group_size
+        self._group_size = limits.group_size
         self._flush_at = float("inf")
         self._pause_until = float("-inf")
         self._failures = 0
@@ -253,8 +255,8 @@
         if known is not None and known.answer is not None:
             return Repeated(known.answer)
         if job is not None and not job.is_claim:
-            # An earlier claim is being revoked; the key can't be claimed again until
-            # that is in the table.
+            # The row of an earlier claim is being changed to NOT_RUN or DONE; the key
+            # can't be claimed again until that is in the table.
             return StoreAway()
         return UnknownOutcome()
 
@@ -335,25 +337,26 @@
         return commands
 
     def _expire_claim(self, job: _PendingWrite, now: float) -> list[Command]:
-        answer = ReplyToCaller(job.caller, StoreAway())
+        reply = ReplyToCaller(job.caller, StoreAway())
         job.caller = None
         if job.in_flight:
-            return [answer]
+            return [reply]
         if job in self._claims:
             self._claims.remove(job)
         if job.key in self._unread:
             self._unread.remove(job.key)
-        return [answer, *self._revoke(job, now)]
+        return [reply, *self._revoke(job, now)]
 
     def _revoke(self, job: _PendingWrite, now: float) -> list[Command]:
-        """Revoke a claim that may be stored although its caller was told "not run".
-
-        The write whose reply was lost may have been applied or may still arrive.
-        Nothing ran, as the caller was told, but its repeat would find the key claimed
-        and get "unknown" for ever. Therefore "not run" is written over our own claim,
-        or in its place if it is not there yet, so that the late write fails its
-        condition. Until that write is confirmed, a repeat is refused as "not run" here
-        and as "unknown" at other entries; afterwards it may claim the key.
+        """Revoke a claim that may be stored although its caller was refused.
+
+        A claim whose reply was lost may have been written or may still arrive. The call
+        did not run, but a repeat of it would find the key claimed and get "unknown" for
+        as long as the row exists. Therefore a NOT_RUN row replaces this process's own
+        claim. If the claim has not arrived yet, the NOT_RUN row is written first, and
+        the late write fails its condition. Until the NOT_RUN row is confirmed, a repeat
+        is refused as "not run" by this process and as "unknown" by other entries;
+        afterwards it may claim the key.
         """
         if not job.write_ids:
             self._remove(job)
@@ -374,7 +377,7 @@
             job.write_ids.discard(write_id)
         if isinstance(error, Unavailable):
             self._back_off(now)
-            self._size = max(1, len(jobs) // 2)
+            self._group_size = max(1, len(jobs) // 2)
             return self._requeue_all(jobs, now)
         if isinstance(error, Conflict):
             self._record_success()
@@ -439,11 +442,11 @@
 
     def _pick_jobs(self) -> list[_PendingWrite]:
         """Pick claims first, since callers wait for them, but reserve outcome slots."""
-        kept = min(len(self._outcomes), self._size // OUTCOME_SLOT_INTERVAL)
+        reserved = min(len(self._outcomes), self._group_size // OUTCOME_SLOT_INTERVAL)
         jobs: list[_PendingWrite] = []
-        _fill_group(self._claims, jobs, self._size - kept)
-        _fill_group(self._outcomes, jobs, self._size)
-        _fill_group(self._claims, jobs, self._size)
+        _fill_group(self._claims, jobs, self._group_size - reserved)
+        _fill_group(self._outcomes, jobs, self._group_size)
+        _fill_group(self._claims, jobs, self._group_size)
         return jobs
 
     def _is_suspended(self, now: float) -> bool:
@@ -464,7 +467,7 @@
 
     def _record_success(self) -> None:
         self._failures = 0
-        self._size = min(self._limits.group_size, self._size * 2)
+        self._group_size = min(self._limits.group_size, self._group_size * 2)
 
     def _remember(self, known: _GrantedCall) -> None:
         key = make_claim_key(known.claim)
--- a/radishtally/claims/record.py
+++ b/radishtally/claims/record.py
@@ -26,7 +26,7 @@
 
 
 class StoredAnswer(NamedTuple):
-    """Hold the first answer to a call, which repeats receive."""
+    """Represent the first answer to a call; repeats of the call receive it."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -36,7 +36,7 @@
 
 
 class ClaimValue(TypedDict):
-    """Describe the value of a claim's row."""
+    """Represent the value of a claim's row."""
 
     request: str
     body_hash: str
--- a/radishtally/claims/store.py
+++ b/radishtally/claims/store.py
@@ -42,7 +42,7 @@
 
 
 class ClaimStore(CoreDriver):
-    """Claim keys for one process; `holder` must differ on every start of it."""
+    """Claim keys for one process; each start of it needs a new `holder`."""
 
     def __init__(
         self,
@@ -64,6 +64,7 @@
         self._pending: dict[int, _PendingClaim] = {}
         self._last_caller = 0
         self.lost = 0
+        """Number of outcomes that could not be stored."""
 
     @property
     def waiting(self) -> int:
