--- a/radishtally/limits/breaker.py
+++ b/radishtally/limits/breaker.py
@@ -29,7 +29,7 @@
     def record_failure(self, now: float) -> None:
         """Record a failure of the peer."""
         # Requests in flight at the same time fail together and count as one failure.
-        # Otherwise a single hiccup under load would open the breaker for the maximum.
+        # Otherwise one short fault under load would open the breaker for the maximum.
         if self._open_seconds and not self._is_probing and now < self._open_until:
             return
         doubled = min(self._max_seconds, 2 * self._open_seconds)
@@ -50,7 +50,7 @@
         """Record an offer to the peer; a peer that is being probed gets no others."""
         if not self._open_seconds:
             return
-        # The probe's result may never arrive: another probe is allowed after the same
-        # time.
+        # The probe's result may never arrive, so another probe is allowed after the
+        # same time.
         self._is_probing = True
         self._open_until = now + self._open_seconds
--- a/radishtally/limits/pace.py
+++ b/radishtally/limits/pace.py
@@ -10,6 +10,7 @@
 PACE_WINDOW_SECONDS: Final = 2.0
 """Window for averaging the seconds per token; spans several steps of a full batch."""
 MIN_TOKENS: Final = 4.0
+"""Tokens in the window below which the nominal time per token is used."""
 ADMISSION_WINDOW_SECONDS: Final = 5.0
 MAX_RECENT_ADMISSIONS: Final = 512
 MAX_HIGHER_PRIORITY_SHARE: Final = 0.95
@@ -69,6 +70,7 @@
     """Describe a recently admitted job."""
 
     at: float
+    """Time of admission."""
     team: str
     priority: int
     slack: float
@@ -81,8 +83,9 @@
     """Predict how much future work will overtake a queued job.
 
     A queued job is overtaken by later arrivals of a higher priority and by more urgent
-    work of its own team. Jobs admitted by the present queue alone were cut off at their
-    deadline, or returned too late for their caller to try elsewhere.
+    work of its own team. Admission by the present queue alone accepts jobs that are
+    then cut off at their deadline, or returned too late for their caller to try
+    elsewhere.
     """
 
     def __init__(self) -> None:
@@ -98,13 +101,15 @@
         """Extend a predicted wait by the work that is likely to overtake the job."""
         if wait <= 0:
             return wait
-        left = self.find_remaining_share(job.priority, slots, now)
-        passing = sum(
+        share_left = self.find_remaining_share(job.priority, slots, now)
+        # A job like this item that arrives t seconds from now overtakes if t is below
+        # the difference in slack.
+        overtaking = sum(
             item.seconds * min(wait, max(0.0, slack - item.slack))
             for item in self._recent
             if item.priority == job.priority and item.team == job.team
         )
-        return (wait + passing / (ADMISSION_WINDOW_SECONDS * slots)) / left
+        return (wait + overtaking / (ADMISSION_WINDOW_SECONDS * slots)) / share_left
 
     def find_remaining_share(self, priority: int, slots: int, now: float) -> float:
         """Return the share of slot time that higher priorities leave."""
--- a/radishtally/limits/queue.py
+++ b/radishtally/limits/queue.py
@@ -45,17 +45,18 @@
 
 
 class QueueEntry(NamedTuple):
-    """Hold a queued job; a team's entries sort by these fields in order."""
+    """Represent a queued job; a team's entries sort by these fields in order."""
 
     latest_start: float
     number: int
+    """Arrival number, which breaks ties."""
     job: Job
     charge: float
     """Slot seconds divided by the team's share."""
 
 
 class TeamFlow:
-    """Hold the queued jobs of one team within one priority."""
+    """Order the queued jobs of one team within one priority."""
 
     __slots__ = ("entries", "tag")
 
@@ -192,7 +193,7 @@
         lateness = (
             now + (1 + WAIT_MARGIN) * wait + rates.service_time(job) - job.deadline
         )
-        # Late work occupies slots for nothing, so that under overload all work becomes
+        # Work that ends late wastes its slot, so that under overload all work becomes
         # late. A job that is rejected at once may still meet its deadline elsewhere.
         if lateness > 0:
             return Error(Rejection(Reason.DEADLINE, clamp_retry_after(lateness)))
@@ -339,7 +340,7 @@
 
 
 def find_lateness_grace(job: Job) -> float:
-    """Return how late a queued job may be predicted before it is dropped."""
+    """Return the predicted lateness in seconds up to which a job stays queued."""
     # Predictions fluctuate with the rates. Without a grace, a job admitted just in time
     # would be dropped at the next check. Beyond the grace it will be late in any case.
     return LATENESS_GRACE * max(0.0, job.deadline - job.arrived)
--- a/radishtally/limits/retries.py
+++ b/radishtally/limits/retries.py
@@ -7,10 +7,10 @@
 FLOOR_BURST_SECONDS: Final = 10.0
 """Seconds' worth of the floor rate that may accumulate unused."""
 EARNED_DECAY_SECONDS: Final = 10.0
-"""Time in which the budget earned by requests decays to 37%. An undecayed budget is
-spent at once when everything fails: 31 entries made 476 retries in 10 s on 1,676
-requests, although only a fifth of the requests was allowed. With decay the accumulated
-budget never exceeds what 10 s of requests earn."""
+"""Time in which the budget earned by requests decays to 37%. Without decay, everything
+earned before an outage is spent at once when it begins: 31 entries made 476 retries in
+10 s on 1,676 requests, although only a fifth of the requests was allowed. With decay
+the accumulated budget never exceeds what 10 s of requests earn."""
 FIRST_BACKOFF_SECONDS: Final = 0.02
 MAX_BACKOFF_SECONDS: Final = 2.0
 MAX_DOUBLINGS: Final = 16
--- a/radishtally/limits/timeline.py
+++ b/radishtally/limits/timeline.py
@@ -45,7 +45,8 @@
 class Timeline:
     """Simulate an upstream's slots and prefill while it works off its jobs.
 
-    Prefills run one after another; each job occupies its slot until its last token.
+    Prefills run one after another; each job occupies its slot until its last token. All
+    times are in seconds from now.
     """
 
     def __init__(self, rates: Rates, running: Sequence[Running]) -> None:
@@ -54,9 +55,10 @@
         ends = []
         for item in running:
             self._prefill_done_at += rates.prefill_time(max(0, item.prefill_left))
-            begun = self._prefill_done_at if item.prefill_left > 0 else 0.0
-            ends.append(begun + rates.decode_time(max(0, item.tokens_left)))
+            decode_start = self._prefill_done_at if item.prefill_left > 0 else 0.0
+            ends.append(decode_start + rates.decode_time(max(0, item.tokens_left)))
         ends.sort()
+        # If more jobs run than there are slots, the first to end free no slot.
         excess = max(0, len(ends) - rates.slots)
         self._slots_free_at = ends[excess:] + [0.0] * (rates.slots - len(ends))
         heapify(self._slots_free_at)
--- a/radishtally/limits/work.py
+++ b/radishtally/limits/work.py
@@ -4,7 +4,7 @@
 
 
 class Job(NamedTuple):
-    """Describe one attempt of a request for admission."""
+    """Represent one attempt to run a request."""
 
     request: str
     attempt: int
