--- a/radishtally/membership/core.py
+++ b/radishtally/membership/core.py
@@ -29,11 +29,12 @@
 GONE: Final = "gone"
 
 LINK_SILENCE_TIMEOUT_SECONDS: Final = 120.0
-"""Silence after which the membership takes a link for dead. A link itself detects a
+"""Silence after which the membership treats a link as down. A link itself detects a
 failure much sooner and closes. With very many links, the heartbeats of idle ones are
 this far apart."""
 UNLISTED_GRACE_SECONDS: Final = 30.0
-"""Time off the host list after which a host without a link is removed."""
+"""Time for which a host without a link must be missing from the host list before it is
+removed. A host that has announced that it leaves is removed without this delay."""
 MAX_LIST_LAG_SECONDS: Final = 15.0
 """Maximum staleness of the host list."""
 PEER_REPORT_TTL_SECONDS: Final = 30.0
@@ -41,7 +42,7 @@
 
 
 class FaultLocation:
-    """Locate the fault that makes a host unreachable from this process."""
+    """Classify where the fault lies if this process can't reach a host."""
 
     LOCAL: Final = "ours"
     REMOTE: Final = "theirs"
@@ -76,10 +77,12 @@
         self.links = 0
         """Open links; a new one may open before the old one is found to be closed."""
         self.heard_at = 0.0
+        """Time at which a link to the host opened or data from it last arrived."""
         self.listed_leaving = False
         self.ignore_listed_leaving_until = 0.0
         """Until then, listed leaving may still refer to the previous incarnation."""
         self.unlisted_since: float | None = None
+        """Since when the host is missing from the host list; None if it is listed."""
 
     def is_reachable(self, now: float) -> bool:
         """Return whether a link is up and not silent."""
@@ -145,10 +148,10 @@
             for at, unreachable in self._peer_reports.values()
             if now - at < PEER_REPORT_TTL_SECONDS
         ]
-        cut_off = sum(host in unreachable for unreachable in reports)
-        if 2 * cut_off < len(reports):
+        confirming = sum(host in unreachable for unreachable in reports)
+        if 2 * confirming < len(reports):
             return FaultLocation.LOCAL
-        if 2 * cut_off > len(reports):
+        if 2 * confirming > len(reports):
             return FaultLocation.REMOTE
         return FaultLocation.UNCLEAR
 
@@ -160,7 +163,7 @@
                 del self._peer_reports[peer]
 
     def refresh(self, hosts: Iterable[str], cause: str, now: float) -> list[Change]:
-        """Derive the states of these hosts again and return the changes."""
+        """Recompute the states of these hosts and return the changes."""
         changes: list[Change] = []
         for host in hosts:
             member = self.members[host]
@@ -187,8 +190,8 @@
 
 @handle.register
 def _(event: HostListRead, membership: Membership, now: float) -> list[Change]:
-    # An unreadable or empty list says nothing about the hosts. Applied, it would empty
-    # every pool at once; ignored, the links still show which hosts are there.
+    # An unreadable or empty list says nothing about the hosts. Applying it would empty
+    # every pool at once. While it is ignored, the links still show which hosts exist.
     if not event.hosts:
         return []
     listed = {item.host: item for item in event.hosts}
@@ -305,8 +308,8 @@
     restarted = member.incarnation != ""
     member.incarnation = incarnation
     member.left_incarnation = None
-    # The list may still show the previous incarnation as leaving. That is ignored for
-    # the list's maximum staleness; after it, the listed state is the new incarnation's.
+    # The list may still show the previous incarnation as leaving. Its leaving state is
+    # ignored for the maximum staleness of the list; later lists show the new one.
     if restarted:
         member.ignore_listed_leaving_until = now + MAX_LIST_LAG_SECONDS
 
