--- a/radishtally/agent/daemon.py
+++ b/radishtally/agent/daemon.py
@@ -78,7 +78,7 @@
 
     def find_drain_seconds(self) -> float:
         """Return the seconds that running answers get before they are handed over."""
-        current = self.process.keeper.current
+        current = self.process.replica.current
         if current is None:
             return self.settings.stop_seconds / 2
         return current.configuration.policy.drain_seconds
@@ -151,7 +151,7 @@
         self.handle(events.LinkUp(hello.host))
 
     def _link_down(self, host: str, reason: str) -> None:
-        self.process.keeper.forget_peer(host)
+        self.process.replica.forget_peer(host)
         self.handle(events.LinkDown(host))
 
     def _receive(self, host: str, message: Message) -> None:
@@ -193,7 +193,7 @@
             await asyncio.sleep(STATE_POLL_SECONDS)
 
     def _get_slots(self) -> int:
-        current = self.process.keeper.current
+        current = self.process.replica.current
         if current is None:
             return DEFAULT_SLOTS
         found = current.configuration.upstreams.get(self.settings.upstream.name)
--- a/radishtally/entry/daemon.py
+++ b/radishtally/entry/daemon.py
@@ -65,7 +65,7 @@
         )
         self.members = MembershipDriver(settings, hub, self.core)
         self.configurations = ConfigurationStore(
-            self.process.table, self.process.objects, merge=self.process.keeper.merge
+            self.process.table, self.process.objects, merge=self.process.replica.merge
         )
         holder = f"{settings.host}:{self.process.incarnation}"
         self.claims = ClaimStore(self.process.table, holder, self.process.write_ids)
@@ -249,7 +249,7 @@
         return await self.claims.claim(work.team, work.key, work.request, digest)
 
     def _configure(self) -> None:
-        current = self.process.keeper.current
+        current = self.process.replica.current
         self.directory = Directory(current.configuration)
         policy = current.configuration.policy
         self.core.budgets = RetryBudgets(policy.retry_budget)
@@ -263,7 +263,7 @@
         self.handle(events.LinkUp(hello))
 
     def _link_down(self, host: str, reason: str) -> None:
-        self.process.keeper.forget_peer(host)
+        self.process.replica.forget_peer(host)
         self.members.link_down(host)
         self.handle(events.LinkDown(host))
 
--- a/radishtally/entry/host_descriptions.py
+++ b/radishtally/entry/host_descriptions.py
@@ -11,13 +11,13 @@
 def describe_host(entry: Entry, host: str, now: float) -> dict[str, Any]:
     """Return the place, upstream, state, revision and load of a host."""
     member = entry.members.membership.members[host]
-    keeper = entry.process.keeper
+    replica = entry.process.replica
     own = host == entry.settings.host
     return {
         "place": member.place,
         "upstream": member.upstream,
         "state": find_state(entry, host, now),
-        "revision": keeper.revision if own else keeper.peer_revisions.get(host),
+        "revision": replica.revision if own else replica.peer_revisions.get(host),
         **describe_load(entry, host),
     }
 
--- a/radishtally/entry/operators.py
+++ b/radishtally/entry/operators.py
@@ -96,14 +96,14 @@
 
 async def _status(request: Request) -> HTTPResponse:
     entry: Entry = request.app.ctx.entry
-    keeper = entry.process.keeper
+    replica = entry.process.replica
     now = time.monotonic()
     members = entry.members.membership.members
     return respond_json(
         {
             "entry": entry.settings.host,
             "place": entry.settings.place,
-            "revision": keeper.revision,
+            "revision": replica.revision,
             "open_requests": len(entry.core.requests),
             "planner": entry.planners.describe(),
             "audit": {
@@ -119,12 +119,12 @@
 
 async def _read_configuration(request: Request) -> HTTPResponse:
     entry: Entry = request.app.ctx.entry
-    keeper = entry.process.keeper
-    if keeper.revision < _read_number(request, "at_least", 0):
+    replica = entry.process.replica
+    if replica.revision < _read_number(request, "at_least", 0):
         await entry.watcher.read_head()
-    if keeper.current is None:
+    if replica.current is None:
         return respond_json({"revision": 0, "files": {}})
-    current = keeper.current
+    current = replica.current
     return respond_json({"revision": current.revision, "files": current.files})
 
 
@@ -177,11 +177,11 @@
 
 def _find_behind(entry: Entry, revision: int) -> list[str]:
     """Return the hosts that have not confirmed a revision or are unreachable."""
-    keeper = entry.process.keeper
-    behind = set(keeper.list_lagging_peers(revision))
-    behind |= set(entry.members.membership.members) - set(keeper.peer_revisions)
+    replica = entry.process.replica
+    behind = set(replica.list_lagging_peers(revision))
+    behind |= set(entry.members.membership.members) - set(replica.peer_revisions)
     behind.discard(entry.settings.host)
-    if keeper.revision < revision:
+    if replica.revision < revision:
         behind.add(entry.settings.host)
     return sorted(behind)
 
@@ -226,7 +226,7 @@
     """Return whether a host is listed, or configured even if currently absent."""
     if host in entry.members.membership.members:
         return True
-    current = entry.process.keeper.current
+    current = entry.process.replica.current
     upstreams = current.configuration.upstreams.values() if current else ()
     return any(host in upstream.servers for upstream in upstreams)
 
@@ -303,7 +303,7 @@
 
 async def _explain_place(request: Request, place: str) -> HTTPResponse:
     entry: Entry = request.app.ctx.entry
-    current = entry.process.keeper.current
+    current = entry.process.replica.current
     if current is None or place not in current.configuration.places:
         return respond_error(404, f"place {place!r} is not known")
     return respond_json(await entry.planners.describe_place(place))
--- a/radishtally/entry/watch.py
+++ b/radishtally/entry/watch.py
@@ -49,7 +49,7 @@
         if head.is_error():
             log_message("head:unread", error=str(head.error))
             return
-        if head.ok.revision <= entry.process.keeper.revision:
+        if head.ok.revision <= entry.process.replica.revision:
             return
         files = await entry.configurations.load(head.ok)
         if files.is_error():
@@ -71,7 +71,7 @@
         An entry that reads a new head notifies all its peers, so one read per second
         by any entry is enough. The load on the table doesn't grow with the entries.
         """
-        if self._entry.process.keeper.current is None:
+        if self._entry.process.replica.current is None:
             return HEAD_POLL_SECONDS
         members = self._entry.members.membership.members.values()
         entries = sum(member.upstream == ENTRY for member in members)
--- a/radishtally/process.py
+++ b/radishtally/process.py
@@ -35,7 +35,7 @@
         self.settings = settings
         self.incarnation = secrets.token_hex(8)
         self.write_ids = WriteIds(self.incarnation)
-        self.keeper = ConfigurationReplica()
+        self.replica = ConfigurationReplica()
         self.table = HttpTable(settings.table.url, settings.table.name)
         self.objects = HttpObjects(settings.objects.url, settings.objects.bucket)
         self.host_list = HttpHostList(settings.host_list.url)
@@ -71,7 +71,7 @@
             self.request_newer_configuration(host, message.revision)
             return not isinstance(message, Ping)
         if isinstance(message, ConfigurationRequest):
-            reply = self.keeper.build_reply(message)
+            reply = self.replica.build_reply(message)
             if reply is not None:
                 self.hub.send(host, reply)
             return True
@@ -82,13 +82,13 @@
 
     def request_newer_configuration(self, host: str, revision: int) -> None:
         """Request the configuration from a peer that has a newer revision."""
-        request = self.keeper.record_peer_revision(host, revision, time.monotonic())
+        request = self.replica.record_peer_revision(host, revision, time.monotonic())
         if request is not None:
             self.hub.send(host, request)
 
     def apply_configuration(self, files: ConfigurationFiles, source: str) -> None:
         """Apply a configuration and announce its revision to all peers."""
-        outcome = self.keeper.adopt(files)
+        outcome = self.replica.adopt(files)
         if outcome.is_error():
             log_message(
                 "configuration:refused", source=source, fault=str(outcome.error)
@@ -97,7 +97,7 @@
         if not outcome.ok:
             return
         log_message(
-            "configuration:in_force", revision=self.keeper.revision, source=source
+            "configuration:in_force", revision=self.replica.revision, source=source
         )
-        self.hub.announce(self.keeper.revision)
+        self.hub.announce(self.replica.revision)
         self.on_configuration()
